--- a/decide/entry.c
+++ b/decide/entry.c
@@ -21,7 +21,7 @@
 	int bad;
 };
 
-/* Keeps the first fault found: where it is and what is allowed. */
+/* Records a fault: where it is and what is allowed.  Only the first is kept. */
 static void __attribute__((format(printf, 2, 3)))
 bad(struct check *c, const char *fmt, ...)
 {
@@ -35,7 +35,7 @@
 	va_end(ap);
 }
 
-/* Refuses keys that are not in the NULL-ended list, so that typos show. */
+/* Rejects keys that are not in the NULL-terminated list, to catch typos. */
 static void
 only(struct check *c, json_t *o, const char *at, const char *const *allowed)
 {
@@ -58,7 +58,8 @@
 	}
 }
 
-/* Reads a whole number; `other` where absent, unless that is below low. */
+/* Reads an integer; returns `other` if it is absent.  The field is mandatory if
+ * `other` is below low. */
 static int
 number(struct check *c, json_t *o, const char *at, const char *key, int low,
     int high, int other)
@@ -77,7 +78,7 @@
 	return ((int)n);
 }
 
-/* Reads a name into dst. */
+/* Reads a name into dst, of NAME_MAX_GS bytes. */
 static void
 name(struct check *c, json_t *o, const char *at, const char *key, char *dst)
 {
@@ -94,7 +95,7 @@
 	name_copy(dst, NAME_MAX_GS, json_string_value(v));
 }
 
-/* Reads free text of 1 to size - 1 bytes into dst. */
+/* Reads text of 1 to size - 1 bytes into dst. */
 static void
 text(struct check *c, json_t *o, const char *at, const char *key, char *dst,
     size_t size)
@@ -110,7 +111,7 @@
 	name_copy(dst, size, json_string_value(v));
 }
 
-/* Reads true or false; false where absent. */
+/* Reads a boolean; false if absent. */
 static int
 flag(struct check *c, json_t *o, const char *at, const char *key)
 {
@@ -145,7 +146,8 @@
 	t->checks = flag(c, o, at, "checks");
 }
 
-/* Reads the data centres of a cell; their names joined name the cell. */
+/* Reads the data centres of a cell; the cell's name is their names joined by
+ * '+'. */
 static void
 dcs(struct check *c, json_t *a, const char *at, struct cell_conf *cell)
 {
@@ -178,7 +180,7 @@
 	cell->ndcs = (int)i;
 }
 
-/* True where the data centre is one of the cell's. */
+/* True if the data centre is one of the cell's. */
 static int
 has_dc(const struct cell_conf *cell, const char *dc)
 {
@@ -225,13 +227,13 @@
 			bad(c, "%s.dc: allowed: one of the cell's dcs", where);
 		if (!c->bad &&
 		    cell_conf_target(cell, cell->targets[i].name) != NULL)
-			bad(c, "%s.name: '%s' is there already", where,
+			bad(c, "%s.name: duplicate target '%s'", where,
 			    cell->targets[i].name);
 		cell->ntargets++;
 	}
 }
 
-/* Reads the cells, which must cover each shard once. */
+/* Reads the cells, which must cover each shard exactly once, in order. */
 static void
 cells(struct check *c, json_t *a, struct entry *e)
 {
@@ -258,12 +260,11 @@
 		next = e->cells[i].last + 1;
 	}
 	if (next != e->shards)
-		bad(c,
-		    "cells: cover shards up to %u; allowed: up to shards, %u",
-		    next, e->shards);
+		bad(c, "cells: cover %u shards; allowed: all shards, %u", next,
+		    e->shards);
 }
 
-/* Reads the limits. */
+/* Reads the limits; all of them are optional. */
 static void
 limits(struct check *c, json_t *o, struct entry *e)
 {
@@ -279,7 +280,7 @@
 	e->rate = number(c, o, "limits", "rate", 0, 10000000, 0);
 }
 
-/* Reads the class and what it weighs. */
+/* Reads the class and the balance policy. */
 static void
 class_of(struct check *c, json_t *o, struct entry *e)
 {
@@ -302,8 +303,9 @@
 }
 
 /*
- * Reads an entry from JSON.  NULL where anything is wrong, and `why` says
- * where and what is allowed: no part of a faulty entry is ever used.
+ * Parses an entry from n bytes of JSON.  Returns NULL if anything is wrong, and
+ * `why` tells where and what is allowed: no part of a faulty entry is used.
+ * The caller frees the entry with entry_free.
  */
 struct entry *
 entry_parse(const char *p, size_t n, char *why, size_t size)
@@ -358,7 +360,7 @@
 	free(e);
 }
 
-/* The cell that a shard belongs to, or NULL. */
+/* Returns the cell that a shard belongs to, or NULL. */
 const struct cell_conf *
 entry_cell(const struct entry *e, uint32_t shard)
 {
@@ -371,7 +373,7 @@
 	return (NULL);
 }
 
-/* A target of the cell by name, or NULL. */
+/* Finds a target of the cell by name; NULL if absent. */
 const struct target_conf *
 cell_conf_target(const struct cell_conf *c, const char *target_name)
 {
--- a/decide/entry.h
+++ b/decide/entry.h
@@ -1,4 +1,5 @@
-/* A catalogue entry: one service, checked whole before any use. */
+/* A catalogue entry: the description of one service, validated as a whole
+ * before use. */
 #ifndef ENTRY_H
 #define ENTRY_H
 
@@ -11,14 +12,14 @@
 #define ENTRY_TARGETS 128
 #define CELL_DCS 8
 #define SHARDS_MAX 65536
-/* Room for a cell's name: its data centres joined by '+'. */
+/* Size of a cell's name: its data centres joined by '+'. */
 #define CELL_NAME 256
 
-/* What requests of the class are and how they are treated. */
+/* Properties that all requests of a class share. */
 struct class {
 	const char *name;
 	int idempotent;
-	int is_long;
+	int is_long; /* long-running */
 };
 
 struct target_conf {
@@ -26,11 +27,12 @@
 	char dc[NAME_MAX_GS];
 	char addr[64];
 	int slots;
-	int leaving;
-	int checks; /* refuses orders of an earlier epoch */
+	int leaving; /* to be drained */
+	int checks;  /* refuses orders of an earlier epoch */
 };
 
-/* A run of the service's shards, and the targets they may be on. */
+/* A contiguous range of the service's shards, and the targets that may serve
+ * them. */
 struct cell_conf {
 	char name[CELL_NAME];
 	char dcs[CELL_DCS][NAME_MAX_GS];
@@ -41,20 +43,22 @@
 	int ntargets;
 };
 
+/* Balance policy: whether uneven load or shards that are unavailable while they
+ * move weigh more. */
 enum weigh { WEIGH_IMBALANCE, WEIGH_UNAVAILABLE };
 
 struct entry {
 	char name[NAME_MAX_GS];
-	char owner[128];
-	char edit[64];
+	char owner[128]; /* free text */
+	char edit[64];	 /* id of the edit that wrote it; may be empty */
 	const struct class *class;
 	uint32_t shards;
 	uint64_t version;
-	int queue;
+	int queue; /* requests */
 	int deadline_ms;
-	int body;
-	int answer;
-	int rate;
+	int body;   /* longest request body, bytes */
+	int answer; /* longest answer, bytes */
+	int rate;   /* requests a second; 0 is unlimited */
 	enum weigh weigh;
 	struct cell_conf cells[ENTRY_CELLS];
 	int ncells;
--- a/decide/evacuation.c
+++ b/decide/evacuation.c
@@ -4,10 +4,10 @@
 
 #include "evacuation.h"
 
-/* Ended evacuations are kept until the targets are warm again. */
+/* Ended evacuations are kept this long, until the targets are warm again. */
 #define ENDED_KEPT MS(30000)
 
-/* The place of a data centre, or -1. */
+/* Returns the index of a data centre, or -1. */
 static int
 find(const struct evacuations *e, const char *dc)
 {
@@ -20,8 +20,8 @@
 	return (-1);
 }
 
-/* A free entry: a new one, or the oldest that has ended; NULL where all are
- * active. */
+/* Allocates a slot: a new one, or that of the evacuation that ended first; NULL
+ * if all are active. */
 static struct evacuation *
 spare(struct evacuations *e)
 {
@@ -39,8 +39,8 @@
 }
 
 /*
- * Starts an evacuation; since is 0 where its start is unknown.  One that is
- * already active keeps its start.  0, or -1 where the table is full.
+ * Starts an evacuation; since is 0 if its start is unknown.  One that is
+ * already active keeps its start.  0, or -1 if the table is full.
  */
 int
 evacuations_begin(struct evacuations *e, const char *dc, usec since)
@@ -71,8 +71,8 @@
 }
 
 /*
- * Adopts the complete set as listed from the store; 1 where that changes
- * anything.  A set of a later revision is kept.
+ * Adopts the complete set as listed from the store, unless the present set is
+ * of a later revision.  Returns 1 if that changes anything.
  */
 int
 evacuations_listed(
@@ -94,8 +94,9 @@
 }
 
 /*
- * Adopts the set of another host; 1 where it is newer.  Known start times are
- * kept: a host that only listed the store does not have them.
+ * Adopts the set received from another host if it is newer, and returns 1 then.
+ * Known start times are kept: a host that only listed the store does not have
+ * them.
  */
 int
 evacuations_told(struct evacuations *e, const struct evacuations *told)
@@ -127,7 +128,7 @@
 	}
 }
 
-/* True where a data centre is being evacuated. */
+/* True if a data centre is being evacuated. */
 int
 evacuations_active(const struct evacuations *e, const char *dc)
 {
@@ -137,8 +138,9 @@
 }
 
 /*
- * When targets of a data centre stop getting new requests; 0 where they do not.
- * The grace period is for targets that own keys, which are moved in it.
+ * Returns when targets of a data centre stop getting new requests; 0 if it is
+ * not being evacuated.  The grace period is for targets that own keys, which
+ * are moved during it.
  */
 usec
 evacuations_closed_from(const struct evacuations *e, const char *dc, usec grace)
@@ -151,8 +153,9 @@
 }
 
 /*
- * When targets of a data centre are warm after its evacuation has ended; 0
- * where none has.  Their entries may say so later than the end itself.
+ * Returns until when targets of a data centre are cold after its evacuation has
+ * ended; 0 if none has.  Their entries may report the cold start later than the
+ * end of the evacuation becomes known.
  */
 usec
 evacuations_cold_until(
@@ -163,8 +166,8 @@
 	return (i < 0 || !e->list[i].ended ? 0 : e->list[i].since + cold_start);
 }
 
-/* A digest of the active evacuations, independent of their order; 0 for none.
- */
+/* Returns a digest of the active evacuations, independent of their order; 0 if
+ * there are none. */
 uint64_t
 evacuations_digest(const struct evacuations *e)
 {
--- a/decide/evacuation.h
+++ b/decide/evacuation.h
@@ -1,6 +1,6 @@
 /*
- * Data centres that the operator evacuates: their targets get no new requests
- * until that is taken back.
+ * Evacuations of data centres by the operator: until one ends, targets in the
+ * data centre get no new requests.
  */
 #ifndef EVACUATION_H
 #define EVACUATION_H
@@ -15,13 +15,13 @@
 struct evacuation {
 	char dc[NAME_MAX_GS];
 	int ended;
-	usec since; /* when this became known; 0 is an unknown time ago */
+	usec since; /* when its start or end became known; 0 if unknown */
 };
 
 struct evacuations {
 	struct evacuation list[EVACUATIONS_MAX];
 	int n;
-	uint64_t as_of; /* store revision of this set; 0 where none was read */
+	uint64_t as_of; /* store revision of this set; 0 if none was read */
 };
 
 int evacuations_begin(struct evacuations *, const char *dc, usec since);
--- a/decide/fleet.h
+++ b/decide/fleet.h
@@ -1,4 +1,4 @@
-/* The targets that are known, as of one moment; only read once published. */
+/* Immutable snapshot of the known targets, shared between services. */
 #ifndef FLEET_H
 #define FLEET_H
 
@@ -9,27 +9,28 @@
 #include "str.h"
 
 #define FLEET_ADDR 64
-/* More slots than this no target has; an entry that says so is not its own. */
+/* No target has more slots than this; an entry that says so was not written by
+ * the target. */
 #define FLEET_SLOTS_MAX 65536
 
 struct fleet_target {
-	char id[NAME_MAX_GS]; /* of this life, see incarnation.h */
+	char id[NAME_MAX_GS]; /* of the incarnation, see incarnation.h */
 	char addr[FLEET_ADDR];
 	char service[NAME_MAX_GS];
 	char dc[NAME_MAX_GS];
 	int slots;
-	int leaving; /* says so itself, or its entry is gone */
-	int gone;    /* its entry is gone */
-	usec cold_until;
+	int leaving;	 /* announced by the target, or its entry is gone */
+	int gone;	 /* its entry is gone */
+	usec cold_until; /* 0 if warm; for known_put it is the time left */
 };
 
 struct fleet {
 	struct fleet_target *targets;
 	int ntargets;
 	struct evacuations evacuations;
-	int whole;	 /* of what was told: all, not only what changed */
-	uint64_t digest; /* of who is there, who leaves and what is evacuated;
-			    the same at each host that knows the same */
+	int whole;	 /* if received: complete, not only changes */
+	uint64_t digest; /* of targets, leaving flags and evacuations; equal on
+			    hosts that know the same */
 };
 
 void fleet_free(void *);
--- a/decide/incarnation.c
+++ b/decide/incarnation.c
@@ -7,11 +7,11 @@
 
 #include "incarnation.h"
 
-/* Between the id and the moment of the start, in Unix milliseconds. */
+/* Separates the target's id from its start time, in Unix milliseconds. */
 #define BORN_AFTER '#'
 
-/* Names a life of a target; born is 0 where it tells none.  0, or -1 where the
- * name is too long, or the id could be taken for that of a life. */
+/* Formats the name of an incarnation; born is 0 if the target gives no start
+ * time.  0, or -1 if the name does not fit or the id contains the separator. */
 int
 incarnation_name(char *name, size_t size, const char *target, uint64_t born)
 {
@@ -27,7 +27,7 @@
 	return (n < 0 || (size_t)n >= size ? -1 : 0);
 }
 
-/* How many bytes of a life's name are its target's id. */
+/* Returns the length of the target's id at the start of a name. */
 size_t
 incarnation_target(const char *name)
 {
@@ -36,7 +36,7 @@
 	return (at == NULL ? strlen(name) : (size_t)(at - name));
 }
 
-/* When a life began; 0 is not told. */
+/* Returns the start time of an incarnation; 0 if it has none. */
 static uint64_t
 born(const char *name)
 {
@@ -45,7 +45,7 @@
 	return (at == NULL ? 0 : strtoull(at + 1, NULL, 10));
 }
 
-/* True where the name is that of a life of the target. */
+/* True if the name is that of an incarnation of the target. */
 int
 incarnation_is_of(const char *name, const char *target)
 {
@@ -54,15 +54,16 @@
 	return (strlen(target) == n && memcmp(name, target, n) == 0);
 }
 
-/* True at the end of the target's id in a life's name. */
+/* True if the character ends the target's id in a name. */
 static int
 id_ends(char c)
 {
 	return (c == '\0' || c == BORN_AFTER);
 }
 
-/* True where both name lives of one target, the same life included.  Asked of
- * each target for each other while a list is read, so it ends early. */
+/* True if both name incarnations of one target, or the same one.  Runs for many
+ * pairs of targets while a list is read, so it stops at the first difference.
+ */
 int
 incarnation_same_target(const char *a, const char *b)
 {
@@ -73,7 +74,8 @@
 	return (id_ends(*a) && id_ends(*b));
 }
 
-/* True where one life of a target came after another: that one has ended. */
+/* True if one incarnation of a target is later than another, which has thus
+ * ended. */
 int
 incarnation_follows(const char *later, const char *earlier)
 {
@@ -81,7 +83,7 @@
 	    born(later) > born(earlier));
 }
 
-/* A number that stands for a life; never 0. */
+/* Returns a digest of an incarnation's name; never 0. */
 uint64_t
 incarnation_digest(const char *name)
 {
--- a/decide/incarnation.h
+++ b/decide/incarnation.h
@@ -1,8 +1,8 @@
 /*
- * Lives of one target.  A target that starts again keeps its id and nothing
- * else: it holds no keys, knows no fence, and is not leaving though it was.  So
- * wherever a target is named in this system, the name is that of one life: the
- * target's id, and the moment of its start.
+ * Incarnations of a target: its runs, each from one start to the next.  A
+ * target that restarts keeps its id and nothing else: it holds no keys, knows
+ * no fence, and is no longer leaving.  So targets are named by incarnation
+ * throughout: by the target's id and its start time.
  */
 #ifndef INCARNATION_H
 #define INCARNATION_H
--- a/decide/known.c
+++ b/decide/known.c
@@ -7,15 +7,15 @@
 #include "incarnation.h"
 #include "known.h"
 
-/* Outages shorter than so many heartbeats let no entry lapse. */
+/* Entries do not lapse in outages shorter than this many heartbeats. */
 #define LAPSE_BEATS 2
-/* So many entries that go at once are a lapse, not work on the targets. */
+/* Fewer entries removed at once are planned work, not a lapse. */
 #define MASS_MIN 4
 
-/* Room for so many targets at first. */
+/* Number of targets to allocate space for at first. */
 #define ROOM_FIRST 16
 
-/* Frees the list. */
+/* Frees the list and resets all of it. */
 void
 known_free(struct known *k)
 {
@@ -24,7 +24,7 @@
 	memset(k, 0, sizeof(*k));
 }
 
-/* The chain that all lives of a target are in. */
+/* Returns the bucket of a target; all its incarnations are in it. */
 static int *
 head_of(const struct known *k, const char *id)
 {
@@ -33,16 +33,16 @@
 	return (&k->heads[h & (uint64_t)(k->nheads - 1)]);
 }
 
-/* Begins a walk of the chain of a target: 1 + index, 0 is none.  A list of all
- * targets is read entry by entry: a walk of all for each costs by their square.
- */
+/* Returns the first in the bucket of a target: 1 + index, 0 if empty.  Lists of
+ * all targets are read entry by entry: scanning all targets for each would take
+ * quadratic time. */
 static int
 first_of(const struct known *k, const char *id)
 {
 	return (k->nheads == 0 ? 0 : *head_of(k, id));
 }
 
-/* Puts an entry into its chain. */
+/* Adds a target to its bucket. */
 static void
 chain(struct known *k, int i)
 {
@@ -52,7 +52,7 @@
 	*head = i + 1;
 }
 
-/* Makes all chains anew. */
+/* Rebuilds the hash table. */
 static void
 chain_all(struct known *k)
 {
@@ -63,7 +63,8 @@
 		chain(k, i);
 }
 
-/* Makes room for one more; 0, or -1 without memory. */
+/* Grows the list, if needed, to hold one more target; 0, or -1 if out of
+ * memory. */
 static int
 make_room(struct known *k)
 {
@@ -88,7 +89,7 @@
 	return (0);
 }
 
-/* The target with an id, or NULL. */
+/* Finds a target by the id of its incarnation; NULL if absent. */
 static struct known_target *
 find(struct known *k, const char *id)
 {
@@ -101,7 +102,7 @@
 	return (NULL);
 }
 
-/* A call to the store failed. */
+/* Records that a call to the store failed. */
 void
 known_store_failed(struct known *k, usec now)
 {
@@ -110,9 +111,9 @@
 }
 
 /*
- * The store answered.  After an outage entries may be missing whose targets
- * live: they could not renew them.  Taken for gone, all targets of a service
- * would be left without work at once, just when the store is back.
+ * Records that the store answered.  After an outage entries of live targets may
+ * be missing, as these could not renew them.  If they were taken for gone, all
+ * targets of a service would stop getting requests just as the store is back.
  */
 void
 known_store_answered(struct known *k, usec now)
@@ -123,8 +124,8 @@
 	k->failing_since = 0;
 }
 
-/* True where a later life of the target is known: what is heard of this one
- * is old news. */
+/* True if a later incarnation of the target is known, so that news of this one
+ * is outdated. */
 static int
 is_past(const struct known *k, const char *id)
 {
@@ -137,7 +138,7 @@
 	return (0);
 }
 
-/* The target is gone for sure. */
+/* Marks a target as gone. */
 static void
 mark_gone(struct known *k, struct known_target *e, usec now)
 {
@@ -150,8 +151,8 @@
 }
 
 /*
- * Earlier lives of a target that has started again are over.  Left to their
- * entries they would never go, for the entry is now that of the later one.
+ * Marks earlier incarnations of a target as gone.  They would not expire by
+ * their entry, for it now belongs to the later incarnation.
  */
 static void
 end_earlier(struct known *k, const char *id, usec now)
@@ -164,7 +165,7 @@
 	}
 }
 
-/* An entry was read. */
+/* Adds or updates a target from its entry; its cold_until is the time left. */
 void
 known_put(struct known *k, const struct fleet_target *t, usec now)
 {
@@ -183,7 +184,7 @@
 		chain(k, k->n - 1);
 	}
 	e->t = *t;
-	/* What is heard late must not take that back. */
+	/* An outdated entry that arrives late must not undo that. */
 	e->said_so |= t->leaving && !t->gone;
 	e->t.leaving |= e->said_so;
 	e->t.cold_until = cold > 0 ? now + cold : 0;
@@ -193,7 +194,7 @@
 	k->changed = 1;
 }
 
-/* The target's entry is no longer there. */
+/* Handles the removal of a target's entry. */
 static void
 lost(struct known *k, struct known_target *e, usec now)
 {
@@ -207,7 +208,7 @@
 	mark_gone(k, e, now);
 }
 
-/* Does something to each life of a target. */
+/* Calls a function for each incarnation of a target. */
 static void
 each_life(struct known *k, const char *target, usec now,
     void (*fn)(struct known *, struct known_target *, usec))
@@ -220,7 +221,7 @@
 	}
 }
 
-/* The entry of a target, by its own id, was removed. */
+/* Handles the removal of an entry; target is an id without start time. */
 void
 known_gone(struct known *k, const char *target, usec now)
 {
@@ -228,10 +229,10 @@
 }
 
 /*
- * The entry of a target can no longer be read, or makes no sense: another has
- * written it.  It names nobody to send work to, whatever the store went
- * through; that the target goes on serving is not known, so its keys are asked
- * back from it as from one that is gone.
+ * Handles an entry that cannot be read or is invalid, because somebody other
+ * than the target has written it.  It gives no address to send requests to,
+ * whether or not the store had an outage.  Whether the target still serves is
+ * unknown, so it is asked to release its keys, like one that is gone.
  */
 void
 known_unusable(struct known *k, const char *target, usec now)
@@ -240,8 +241,9 @@
 }
 
 /*
- * Takes in what the controller tells: its word counts, also where it doubted
- * an entry that was missing.  What it does not name in a whole list is gone.
+ * Adopts targets and evacuations received from the controller.  The controller
+ * is trusted even where this host would doubt that a target is gone; targets
+ * that are missing from a complete list are gone.
  */
 void
 known_told(struct known *k, const struct fleet *f, usec now)
@@ -268,7 +270,7 @@
 	k->changed |= evacuations_told(&k->evacuations, &f->evacuations);
 }
 
-/* A whole list is about to be read. */
+/* Starts reading a complete list of the entries. */
 void
 known_list_begin(struct known *k)
 {
@@ -278,7 +280,7 @@
 		k->list[i].seen = 0;
 }
 
-/* The whole list was read: what it did not name is gone. */
+/* Ends reading a complete list: entries that were not in it are removed. */
 void
 known_list_end(struct known *k, usec now)
 {
@@ -294,8 +296,9 @@
 }
 
 /*
- * So many entries went together.  Half of all at once is no planned work: the
- * store let them lapse, and this host had not noticed that it was away.
+ * Records how many entries were removed at once.  Half of all targets or more
+ * is no planned work: the entries lapsed in a store outage that this host did
+ * not notice.
  */
 void
 known_batch(struct known *k, int gone, usec now)
@@ -309,7 +312,8 @@
 		k->doubt_until = now + LAPSE_BACK;
 }
 
-/* Gives up on entries that are not back, and forgets those long gone. */
+/* Marks targets as gone whose entries have not come back in time, and drops
+ * those that have been gone for long. */
 void
 known_tick(struct known *k, usec now)
 {
@@ -333,7 +337,8 @@
 		chain_all(k);
 }
 
-/* A number for one target and its state; the sum does not depend on order. */
+/* Returns a digest of one target and its state; sums of these do not depend on
+ * the order of targets. */
 static uint64_t
 digest_of(const struct fleet_target *t)
 {
@@ -341,7 +346,7 @@
 	    XXH3_64bits_withSeed(t->id, strlen(t->id), (uint64_t)t->leaving));
 }
 
-/* What is known now, to be published; NULL without memory. */
+/* Returns a snapshot, to be freed with fleet_free; NULL if out of memory. */
 struct fleet *
 known_fleet(struct known *k)
 {
@@ -366,7 +371,9 @@
 	return (f);
 }
 
-/* Frees what known_fleet gave. */
+/* Frees a snapshot; takes void * so that it can be a shared object's
+ * destructor.
+ */
 void
 fleet_free(void *arg)
 {
--- a/decide/known.h
+++ b/decide/known.h
@@ -1,4 +1,6 @@
-/* What is known of targets from the platform's list, and how far to trust it.
+/*
+ * Membership: the targets that this host knows, from the platform's store or
+ * from the controller, and how far missing entries are trusted.
  */
 #ifndef KNOWN_H
 #define KNOWN_H
@@ -7,33 +9,33 @@
 
 #include "fleet.h"
 
-/* Entries that lapsed in an outage are back this long after its end: the
- * platform's operators say about two seconds. */
+/* Entries that lapsed in a store outage are back this long after its end: the
+ * platform's operators give about two seconds. */
 #define LAPSE_BACK MS(2000)
-/* How long a target that is gone is still named, for its keys. */
+/* How long a target that is gone stays in the list, so that its keys can be
+ * moved. */
 #define GONE_KEPT MS(20000)
 
 struct known_target {
 	struct fleet_target t;
-	usec missing_since; /* its entry went in an outage; 0 where it is there
-			     */
-	usec gone_since;
-	int said_so; /* it said itself that it leaves: it never comes back */
-	int seen;    /* while a list is read */
-	int next;    /* of its chain: 1 + index, 0 ends it */
+	usec missing_since; /* entry removed while in doubt; else 0 */
+	usec gone_since;    /* 0 if not gone */
+	int said_so; /* the target announced that it leaves, which is final */
+	int seen;    /* in the list that is being read */
+	int next;    /* in its bucket: 1 + index, 0 at the end */
 };
 
 struct known {
 	struct known_target *list;
 	int n;
 	int room;
-	int *heads; /* of chains of lives of targets: 1 + index, 0 is none */
+	int *heads; /* hash table by target id: 1 + index, 0 if empty */
 	int nheads; /* a power of two */
 	struct evacuations evacuations;
-	usec heartbeat;
+	usec heartbeat;	    /* interval at which targets renew their entries */
 	usec failing_since; /* the store; 0 while it answers */
-	usec doubt_until;   /* entries that go until then may have lapsed */
-	int changed;
+	usec doubt_until;   /* entries removed before this may have lapsed */
+	int changed;	    /* since the last snapshot; the user clears it */
 };
 
 void known_free(struct known *);
--- a/decide/owners.c
+++ b/decide/owners.c
@@ -3,7 +3,9 @@
 
 #include "owners.h"
 
-/* Frees a snapshot; void * so that shared ones can be. */
+/* Frees a snapshot; takes void * so that it can be a shared object's
+ * destructor.
+ */
 void
 owners_free(void *arg)
 {
@@ -19,7 +21,8 @@
 	free(o);
 }
 
-/* The range that a key lies in, or NULL where nothing is known of it. */
+/* Returns the range that contains a key, or NULL if the service or key is not
+ * in the snapshot. */
 const struct owner_range *
 owners_find(const struct owners *o, const char *service, uint32_t key)
 {
@@ -45,17 +48,17 @@
 	return (&s->ranges[low]);
 }
 
-/* Moments of being served again that differ by less are the same. */
+/* Availability times closer together than this count as equal. */
 #define BACK_SAME MS(200)
 
-/* The name of a range's owner, or "". */
+/* Returns the name of a range's owner, or "" if it has none. */
 static const char *
 owner_name(const struct owners *o, const struct owner_range *r)
 {
 	return (r->target < 0 ? "" : o->targets[r->target]);
 }
 
-/* A service by name, or NULL. */
+/* Finds a service by name; NULL if absent. */
 static const struct owner_service *
 service_of(const struct owners *o, const char *name)
 {
@@ -68,7 +71,8 @@
 	return (NULL);
 }
 
-/* Room for so many services and targets; NULL without memory. */
+/* Allocates an empty snapshot for up to the given numbers of services and
+ * targets; NULL if out of memory. */
 static struct owners *
 owners_new(int services, int targets)
 {
@@ -85,8 +89,8 @@
 	return (NULL);
 }
 
-/* The index of a name among the targets, added where it is new; there is room
- * for it. */
+/* Returns the index of a target name, adding it if it is new; -1 for an empty
+ * name.  The caller has allocated space for it. */
 static int
 name_index(struct owners *o, const char *name)
 {
@@ -102,7 +106,8 @@
 	return (o->ntargets++);
 }
 
-/* True where a range stands the same in an earlier snapshot. */
+/* True if an earlier snapshot has the same range with the same owner and
+ * state. */
 static int
 stands(const struct owners *was, const struct owner_service *ws,
     const struct owners *now, const struct owner_range *r)
@@ -121,9 +126,10 @@
 }
 
 /*
- * What is new in a snapshot: its ranges that an earlier one does not have, and
- * the names of their owners; NULL without memory.  Told whole, a controller of
- * a hundred hosts would send 3.8 MB a second while keys move.
+ * Returns the difference between two snapshots: the ranges that are new or have
+ * changed, and the names of their owners; NULL if out of memory.  While keys
+ * move, sending full snapshots to a hundred hosts would cost the controller
+ * 3.8 MB a second.
  */
 struct owners *
 owners_diff(const struct owners *was, const struct owners *now)
@@ -155,7 +161,7 @@
 	return (d);
 }
 
-/* Adds a part of a range to a service. */
+/* Appends the keys from..to of a range to a service. */
 static void
 add_part(struct owner_service *s, const struct owner_range *r, uint32_t from,
     uint32_t to, int target)
@@ -168,7 +174,7 @@
 	n->target = target;
 }
 
-/* Lays the ranges of a difference over those of a service. */
+/* Merges the ranges of a difference into those of a service's base. */
 static void
 overlay(struct owners *o, struct owner_service *to, const struct owners *base,
     const struct owner_service *b, const struct owners *diff,
@@ -191,7 +197,7 @@
 			if (d->ranges[i].from > at)
 				add_part(
 				    to, r, at, d->ranges[i].from - 1, target);
-			/* The difference's own range begins here. */
+			/* Add each range of the difference only once. */
 			if (d->ranges[i].from >= r->from)
 				add_part(to, &d->ranges[i], d->ranges[i].from,
 				    d->ranges[i].to,
@@ -205,7 +211,8 @@
 		    name_index(o, owner_name(diff, &d->ranges[k])));
 }
 
-/* A snapshot with a difference laid over it; NULL without memory. */
+/* Applies a difference to a snapshot and returns the result; NULL if out of
+ * memory. */
 struct owners *
 owners_overlay(const struct owners *base, const struct owners *diff)
 {
--- a/decide/owners.h
+++ b/decide/owners.h
@@ -1,4 +1,7 @@
-/* Which target owns which keys, as hosts that send requests need it. */
+/*
+ * Snapshot of which target owns which keys, as used by hosts to route requests.
+ * The caller frees snapshots with owners_free.
+ */
 #ifndef OWNERS_H
 #define OWNERS_H
 
@@ -7,26 +10,27 @@
 #include "clock.h"
 #include "str.h"
 
+/* Key numbers run from 0 to KEYS - 1. */
 #define KEYS 65536
 
 struct owner_range {
 	uint32_t from;
 	uint32_t to;  /* inclusive */
-	int target;   /* index into the names; -1 is nobody */
-	int moving;   /* on its way: requests for it may wait */
-	usec back_at; /* when it is served again; 0 is not known */
+	int target;   /* index into owners.targets; -1 if unowned */
+	int moving;   /* between owners; requests may wait */
+	usec back_at; /* when it is served again; 0 if unknown */
 };
 
 struct owner_service {
 	char name[NAME_MAX_GS];
-	struct owner_range *ranges; /* in order, covering all keys */
+	struct owner_range *ranges; /* sorted; together they cover all keys */
 	int nranges;
 };
 
 struct owners {
-	uint64_t number; /* rises with each change */
-	int hosts;	 /* that send to the targets */
-	int rank;	 /* among them of the host that has this snapshot */
+	uint64_t number; /* version; increases with each change */
+	int hosts;	 /* number of hosts that send to the targets */
+	int rank;	 /* of this host among them */
 	char (*targets)[NAME_MAX_GS];
 	int ntargets;
 	struct owner_service *services;
--- a/decide/place.c
+++ b/decide/place.c
@@ -1,20 +1,22 @@
 #include "place.h"
 
-/* What holding an idle shard counts for, in busy slots: a tie-breaker. */
+/* Load of an idle shard, in busy slots; breaks ties between idle targets. */
 #define IDLE_SHARD 0.0005
-/* A target less full than this needs no relief, whatever the others are. */
+/* Targets with a lower utilisation are not relieved, however uneven the load.
+ */
 #define WORTH_MOVING 0.1
-/* The part of the mean that a target holds at least in an idle fleet. */
+/* In an idle fleet a target with less than this fraction of the mean number of
+ * shards per slot is given more. */
 #define ENOUGH 0.5
 
-/* How full a target is: busy time over its slots. */
+/* Returns a target's utilisation: busy slots over all its slots. */
 double
 place_cost(const struct place_target *t)
 {
 	return ((t->load + IDLE_SHARD * t->shards) / t->slots);
 }
 
-/* The usable target that is least full, or -1. */
+/* Returns the usable target with the lowest utilisation, or -1. */
 int
 place_pick(const struct place_target *t, int n)
 {
@@ -29,7 +31,8 @@
 	return (best);
 }
 
-/* The fullest usable target, or -1. */
+/* Returns the usable target with the highest utilisation that has shards, or
+ * -1. */
 static int
 fullest(const struct place_target *t, int n)
 {
@@ -43,7 +46,8 @@
 	return (most);
 }
 
-/* Largest over mean fullness of the usable targets; 1 is even. */
+/* Returns the highest over the mean utilisation of the usable targets; 1 is
+ * balanced. */
 double
 place_imbalance(const struct place_target *t, int n)
 {
@@ -61,7 +65,7 @@
 	return (sum > 0 ? most * k / sum : 1);
 }
 
-/* Shards for each slot. */
+/* Returns the number of shards per slot. */
 static double
 held(const struct place_target *t)
 {
@@ -69,11 +73,12 @@
 }
 
 /*
- * A pair of targets by what they hold, for an idle fleet: the one that holds
- * least of its part, if that is less than ENOUGH of the mean, and the one that
- * holds most.  Without this a target that came back after a freeze would get
- * one shard and then stand by, and a surge would meet the others alone.
- * Counts have no noise: once it holds enough nothing moves.
+ * Picks a source and a destination by shards per slot, for an idle fleet whose
+ * loads say nothing: from the target with the most to the one with the fewest,
+ * if that has less than ENOUGH of the mean.  Returns true if there is such a
+ * pair.  Without this a target that recovers from a freeze would get one shard
+ * and stay nearly empty, and a surge would hit only the others.  Shard counts
+ * carry no noise: once the target has enough, nothing moves.
  */
 static int
 pair_by_count(const struct place_target *t, int n, int *from, int *to)
@@ -98,7 +103,8 @@
 	    t[*to].shards + 1 <= ENOUGH * t[*to].slots * shards / slots);
 }
 
-/* How full the fuller of a pair is once a shard has moved between them. */
+/* Returns the higher utilisation of two targets after a shard of the given load
+ * has moved between them. */
 static double
 worst_after(
     const struct place_target *from, const struct place_target *to, double load)
@@ -113,7 +119,7 @@
 	    place_cost(&a) > place_cost(&b) ? place_cost(&a) : place_cost(&b));
 }
 
-/* True where a shard is among the moves. */
+/* True if a shard is already among the moves. */
 static int
 chosen(const struct place_move *m, int n, uint32_t shard)
 {
@@ -127,11 +133,12 @@
 }
 
 /*
- * Chooses up to max moves, each the shard of the fullest target that leaves
- * the fuller of the pair least full.  Stops where the imbalance is within the
- * tolerance (1.2 is one fifth over the mean), so that noise moves nothing.
- * `fixed` marks shards not to touch.  Returns how many moves are in out; the
- * targets' loads are left as they will be after them.
+ * Chooses up to max moves, each of the shard on the most utilised target whose
+ * move leaves the higher utilisation of source and destination lowest.  Stops
+ * once the imbalance is within the tolerance (1.2 allows a fifth above the
+ * mean), so that noise causes no moves.  `fixed` marks shards that must not
+ * move.  Returns the number of moves written to out; the loads and shard counts
+ * in t are updated as if the moves were done.
  */
 int
 place_balance(struct place_target *t, int n, const int *owner,
--- a/decide/place.h
+++ b/decide/place.h
@@ -1,19 +1,19 @@
-/* Where shards go: filling gaps and balancing. */
+/* Shard placement: picks targets for unowned shards and balances load. */
 #ifndef PLACE_H
 #define PLACE_H
 
 #include <stdint.h>
 
 struct place_target {
-	int usable;
-	int slots;
+	int usable;  /* may be given shards */
+	int slots;   /* requests that it serves at the same time */
 	double load; /* busy time, in slots */
 	int shards;
 };
 
 struct place_move {
 	uint32_t shard;
-	int from;
+	int from; /* index of a target */
 	int to;
 };
 
--- a/decide/site.c
+++ b/decide/site.c
@@ -4,7 +4,8 @@
 
 #include "site.h"
 
-/* An empty configuration with room for max_rules rules; NULL without memory. */
+/* Allocates an empty configuration for up to max_rules rules; NULL if out of
+ * memory. */
 struct site *
 site_new(int max_rules)
 {
@@ -20,7 +21,8 @@
 	return (NULL);
 }
 
-/* Frees a configuration; void * so that shared snapshots can. */
+/* Frees a configuration; takes void * so that it can be a shared object's
+ * destructor. */
 void
 site_free(void *arg)
 {
@@ -37,14 +39,14 @@
 	free(t);
 }
 
-/* The next rule, to be filled in; the caller keeps within max_rules. */
+/* Returns the next rule, to be filled in; the caller keeps within max_rules. */
 struct rule *
 site_add(struct site *t)
 {
 	return (&t->rules[t->nrules++]);
 }
 
-/* Orders hosts as site_find looks for them, without regard to case. */
+/* Compares hosts in the order of rules, ignoring case. */
 static int
 host_cmp(const struct str *a, const struct str *b)
 {
@@ -57,7 +59,7 @@
 	return (a->n < b->n ? -1 : a->n > b->n);
 }
 
-/* Orders rules by host, then longest prefix first; 0 where both are for the
+/* Compares rules by host, then by prefix, longest first; 0 if both match the
  * same requests. */
 int
 rule_cmp(const struct rule *a, const struct rule *b)
@@ -74,14 +76,14 @@
 		: memcmp(a->prefix.p, b->prefix.p, a->prefix.n));
 }
 
-/* The same, as the library's sort wants it. */
+/* Wraps rule_cmp for qsort. */
 static int
 sort_cmp(const void *a, const void *b)
 {
 	return (rule_cmp(a, b));
 }
 
-/* Copies a rule, with strings of its own; 0, or -1 without memory. */
+/* Copies a rule and its strings; 0, or -1 if out of memory. */
 int
 rule_copy(struct rule *to, const struct rule *from)
 {
@@ -93,7 +95,8 @@
 	return (str_set(&to->prefix, from->prefix.p, from->prefix.n));
 }
 
-/* Makes the configuration ready for site_find; call it after the last rule. */
+/* Sums weights and sorts the rules; call it after the last rule and before
+ * site_find. */
 void
 site_seal(struct site *t)
 {
@@ -109,7 +112,7 @@
 	qsort(t->rules, (size_t)t->nrules, sizeof(*t->rules), sort_cmp);
 }
 
-/* The index of a service, or -1. */
+/* Returns the index of a service, or -1. */
 int
 site_service(const struct site *t, const char *name)
 {
@@ -122,7 +125,8 @@
 	return (-1);
 }
 
-/* The first rule of a host, or nrules where it has none. */
+/* Returns the index of a host's first rule or, if it has none, of where that
+ * would be. */
 static int
 first_of(const struct site *t, const struct str *host)
 {
@@ -138,7 +142,8 @@
 	return (low);
 }
 
-/* The rule of a host whose prefix is the longest that begins the path. */
+/* Returns the rule of a host with the longest prefix that matches the path, or
+ * NULL. */
 const struct rule *
 site_find(const struct site *t, const struct str *host, const struct str *path)
 {
@@ -157,9 +162,10 @@
 }
 
 /*
- * The service for the n-th request of a rule, by weight.  Multiples of the
- * golden ratio spread evenly over [0, 1), so the shares hold in each short run
- * of requests: with random draws, sums of 200 stray by up to a tenth.
+ * Returns the index of the service for the n-th request of a rule, by weight;
+ * -1 if all weights are 0.  Multiples of the golden ratio spread evenly over
+ * [0, 1), so each short run of requests is split by the weights: with random
+ * draws, the shares in 200 requests would be off by up to a tenth.
  */
 int
 rule_part(const struct rule *r, uint64_t n)
--- a/decide/site.h
+++ b/decide/site.h
@@ -1,6 +1,6 @@
 /*
- * A configuration: which requests may go to which services.  Built
- * once a version, then only read, by all threads.
+ * Site configuration: which requests are routed to which services, and how.
+ * Built once for each version, then shared read-only by all threads.
  */
 #ifndef SITE_H
 #define SITE_H
@@ -13,48 +13,48 @@
 #define SITE_SERVICES 64
 #define RULE_PARTS 8
 
-/* A service that a rule sends to, and its share of the rule's requests. */
+/* A service that a rule routes to, and its share of the rule's requests. */
 struct rule_part {
 	int service; /* index into the site's services */
 	uint32_t weight;
 };
 
-/* What becomes of requests to one host and path. */
+/* How requests to one host and path prefix are routed. */
 struct rule {
 	struct str host;
 	struct str prefix;
 	int idempotent;
-	usec timeout; /* longest time to the final answer */
-	usec aim;     /* an answer within this is worth most */
-	int attempts; /* targets that one request may be sent to */
-	int priority; /* 0 is the most urgent */
+	usec timeout; /* of the request, all attempts included */
+	usec aim;     /* target latency */
+	int attempts; /* at most; counts those that may have run */
+	int priority; /* 0 is the highest */
 	struct rule_part parts[RULE_PARTS];
 	int nparts;
 	uint32_t weights; /* sum over the parts */
-	int gone;	  /* in a change: there is no such rule any more */
+	int gone;	  /* in a difference: the rule was removed */
 };
 
 struct site_service {
 	char name[NAME_MAX_GS];
 	int keyed;	  /* each key is owned by one target */
-	int max_conns;	  /* that a target takes from all hosts together */
-	usec warmup;	  /* for which keys are slow without a hand-over */
-	usec cold_start;  /* targets are cold for so long after a start */
-	double cold_rate; /* requests a second that a cold one takes from all
-			     hosts; 0 is any number */
+	int max_conns;	  /* of a target, from all hosts together */
+	usec warmup;	  /* keys moved without a handover are slow so long */
+	usec cold_start;  /* targets are cold this long after their start */
+	double cold_rate; /* requests a second to a cold target from all hosts;
+			     0 is unlimited */
 };
 
 struct site {
 	uint64_t version;
-	uint64_t since;	    /* of a change: the version that it is of; else 0 */
-	struct rule *rules; /* by host, then longest prefix first */
+	uint64_t since;	    /* in a difference: the base version; else 0 */
+	struct rule *rules; /* sorted by rule_cmp */
 	int nrules;
 	struct site_service services[SITE_SERVICES];
 	int nservices;
-	size_t head_max;
-	size_t body_max;
-	usec head_time;
-	usec idle_time;
+	size_t head_max; /* longest request header, bytes */
+	size_t body_max; /* longest request body, bytes */
+	usec head_time;	 /* within which a request header must be complete */
+	usec idle_time;	 /* after which idle connections are closed */
 };
 
 struct site *site_new(int max_rules);
--- a/decide/site_change.c
+++ b/decide/site_change.c
@@ -3,7 +3,8 @@
 
 #include "site_change.h"
 
-/* A copy without rules, with room for so many; NULL without memory. */
+/* Copies a configuration without its rules, for up to max_rules rules; NULL if
+ * out of memory. */
 static struct site *
 copy_frame(const struct site *from, int max_rules)
 {
@@ -20,8 +21,8 @@
 	return (t);
 }
 
-/* Adds a copy of a rule of another configuration, whose services may stand at
- * other places; 0, or -1 where one of them is not here. */
+/* Adds a copy of another configuration's rule.  Services may have other indexes
+ * there.  0, or -1 if a service does not exist here or memory runs out. */
 static int
 add_copy(struct site *t, const struct site *from, const struct rule *r)
 {
@@ -39,7 +40,7 @@
 	return (0);
 }
 
-/* True where two rules send the same requests to the same services alike. */
+/* True if two rules for the same requests route them in the same way. */
 static int
 same(const struct site *was, const struct rule *a, const struct site *now,
     const struct rule *b)
@@ -62,14 +63,14 @@
 	return (1);
 }
 
-/* Rules of one configuration that are for the same requests. */
+/* Consecutive rules of a configuration that match the same requests. */
 struct group {
 	const struct site *site;
 	int from;
-	int end; /* the first that is not of the group */
+	int end; /* index after the last */
 };
 
-/* The group that begins with a rule. */
+/* Returns the group that begins with a rule. */
 static struct group
 group_at(const struct site *t, int from)
 {
@@ -81,7 +82,7 @@
 	return (g);
 }
 
-/* True where two groups have the same rules. */
+/* True if two groups have the same rules. */
 static int
 same_group(const struct group *a, const struct group *b)
 {
@@ -97,7 +98,7 @@
 	return (1);
 }
 
-/* Adds all rules of a group to a change; 0, or -1. */
+/* Adds all rules of a group to a difference; 0, or -1. */
 static int
 add_group(struct site *c, const struct group *g)
 {
@@ -110,7 +111,8 @@
 	return (0);
 }
 
-/* Adds to a change that there are no such rules any more; 0, or -1. */
+/* Adds to a difference that all rules for the same requests were removed; 0, or
+ * -1. */
 static int
 add_gone(struct site *c, const struct rule *r)
 {
@@ -123,7 +125,8 @@
 	return (0);
 }
 
-/* Adds all rules that differ, both in order; 0, or -1 without memory. */
+/* Adds all rules that differ to a difference, walking the sorted rules of both
+ * configurations; 0, or -1 if out of memory. */
 static int
 add_changed(struct site *c, const struct site *was, const struct site *now)
 {
@@ -157,7 +160,8 @@
 	return (0);
 }
 
-/* What makes one configuration of another; NULL without memory. */
+/* Returns the difference that turns one configuration into another, to be freed
+ * with site_free; NULL if out of memory. */
 struct site *
 site_change(const struct site *was, const struct site *now)
 {
@@ -172,7 +176,8 @@
 	return (NULL);
 }
 
-/* Adds the rules of a configuration that a change does not name; 0, or -1. */
+/* Adds the rules of a configuration that a difference leaves as they are; 0, or
+ * -1. */
 static int
 add_kept(struct site *t, const struct site *was, const struct site *change)
 {
@@ -191,9 +196,10 @@
 }
 
 /*
- * The configuration that a change makes of the one that it is of; NULL where it
- * is of another, or a rule that stays has lost its service: what would come of
- * it is none that the operator wrote.
+ * Applies a difference to its base and returns the new configuration, to be
+ * freed with site_free.  NULL if the base is another version, a rule that stays
+ * refers to a service that is gone, or memory runs out: the result would not be
+ * a configuration that the operator has written.
  */
 struct site *
 site_apply(const struct site *was, const struct site *change)
--- a/decide/site_change.h
+++ b/decide/site_change.h
@@ -1,7 +1,7 @@
 /*
- * What changed between two configurations.  A change is a configuration itself,
- * with the version that it is of: all services and bounds, and of the rules
- * those that are new, differ, or are gone.
+ * Differences between two site configurations.  A difference is a configuration
+ * itself, with the version of its base: it has all services and bounds, but
+ * only the rules that were added, changed or removed.
  */
 #ifndef SITE_CHANGE_H
 #define SITE_CHANGE_H
--- a/decide/view.c
+++ b/decide/view.c
@@ -3,14 +3,14 @@
 
 #include "view.h"
 
-/* The number that orders views of one cell. */
+/* Returns a number that orders the views of one cell: term, then sequence. */
 uint64_t
 view_number(const Gspar__View *v)
 {
 	return (v->term << 32 | v->seq);
 }
 
-/* A service's part of a view, or NULL. */
+/* Finds a service in a view; NULL if absent. */
 const Gspar__ServiceView *
 view_service(const Gspar__View *v, const char *service)
 {
@@ -23,7 +23,7 @@
 	return (NULL);
 }
 
-/* The target that owns the nth shard of a service's part, or NULL; the part
+/* Returns the target that owns a service's nth shard in the cell, or NULL; sv
  * may be NULL. */
 const char *
 view_owner(const Gspar__ServiceView *sv, uint32_t n)
@@ -34,7 +34,7 @@
 	return (sv->targets[sv->owner[n] - 1]);
 }
 
-/* The host that dispatches for a target, or NULL. */
+/* Returns the host that dispatches for a target, or NULL. */
 const char *
 view_dispatcher(const Gspar__View *v, const char *target)
 {
@@ -47,7 +47,8 @@
 	return (NULL);
 }
 
-/* A copy, to be freed with gspar__view__free_unpacked; NULL without memory. */
+/* Copies a view, to be freed with gspar__view__free_unpacked; NULL if out of
+ * memory. */
 Gspar__View *
 view_copy(const Gspar__View *v)
 {
--- a/decide/view.h
+++ b/decide/view.h
@@ -1,4 +1,7 @@
-/* Reading views: who owns a shard, and which host dispatches for a target. */
+/*
+ * Lookups in views, the controller's assignment of a cell: which target owns a
+ * shard, and which host dispatches for a target.
+ */
 #ifndef VIEW_H
 #define VIEW_H
 
--- a/decide/viewdelta.c
+++ b/decide/viewdelta.c
@@ -4,8 +4,8 @@
 #include "view.h"
 #include "viewdelta.h"
 
-/* How many shards of a whole view differ from its base; -1 where they cannot
- * be compared. */
+/* Counts the shards of a full view that differ from its base; -1 if the two
+ * cannot be compared. */
 static long
 differences(const Gspar__View *base, const Gspar__View *v)
 {
@@ -26,7 +26,7 @@
 	return (k);
 }
 
-/* True where both views name the same dispatchers. */
+/* True if both views have the same dispatchers. */
 static int
 same_dispatch(const Gspar__View *a, const Gspar__View *b)
 {
@@ -44,7 +44,7 @@
 	return (1);
 }
 
-/* True where both list the same targets in the same order. */
+/* True if both list the same targets in the same order. */
 static int
 same_targets(const Gspar__ServiceView *a, const Gspar__ServiceView *b)
 {
@@ -59,7 +59,8 @@
 	return (1);
 }
 
-/* Lists a service's changes from `at` on; gives where the next may go. */
+/* Writes a service's difference to out, with its changes from index `at` on;
+ * returns the next free index. */
 static size_t
 list_changes(struct viewdelta *d, size_t at, const Gspar__ServiceView *a,
     const Gspar__ServiceView *b, Gspar__ServiceView *out)
@@ -93,9 +94,10 @@
 }
 
 /*
- * Makes the difference between a whole view and the one spread before it; 0,
- * or -1 where the whole is to be sent: no base, another term, or as much
- * changed as not.  It points into v, which must live as long.
+ * Makes the difference between a full view and its base, the view sent before.
+ * 0, or -1 if the full view is to be sent: there is no base, it is of another
+ * term, more than half of the shards changed, or memory ran out.  The
+ * difference points into v, which must outlive it; viewdelta_free frees it.
  */
 int
 viewdelta_make(
@@ -138,7 +140,7 @@
 	return (0);
 }
 
-/* Frees what viewdelta_make made. */
+/* Frees a difference. */
 void
 viewdelta_free(struct viewdelta *d)
 {
@@ -192,7 +194,8 @@
 	return (0);
 }
 
-/* Fills in a service's owners and fences from the base; 0, or -1. */
+/* Expands a service's difference: takes owners and fences from the base and
+ * applies the changes; 0, or -1. */
 static int
 fill(Gspar__ServiceView *sv, const Gspar__ServiceView *base)
 {
@@ -225,9 +228,10 @@
 }
 
 /*
- * The whole view that a difference to `base` stands for, to be freed with
- * gspar__view__free_unpacked; NULL where it is not to that base or malformed.
- * A difference put upon another view would name owners that never were.
+ * Applies a difference to its base and returns the full view, to be freed with
+ * gspar__view__free_unpacked; NULL if it has another base, is malformed, or
+ * memory runs out.  Applied to another view, a difference would give owners
+ * that never existed.
  */
 Gspar__View *
 viewdelta_apply(const Gspar__View *base, const Gspar__View *delta)
--- a/decide/viewdelta.h
+++ b/decide/viewdelta.h
@@ -1,4 +1,4 @@
-/* Views sent as what changed since an earlier one. */
+/* Views encoded as the difference to an earlier view. */
 #ifndef VIEWDELTA_H
 #define VIEWDELTA_H
 
@@ -7,7 +7,7 @@
 #include "gspar.pb-c.h"
 
 struct viewdelta {
-	Gspar__View view; /* to be sent */
+	Gspar__View view; /* to be sent; points to the arrays below */
 	Gspar__ServiceView *services;
 	Gspar__ServiceView **service_list;
 	Gspar__ShardChange *changes;
--- a/regress/unit/t_entry.c
+++ b/regress/unit/t_entry.c
@@ -1,4 +1,4 @@
-/* Catalogue entries: checked whole, with the place of the fault. */
+/* Parsing of catalogue entries, and the faults that it reports. */
 #include <stdio.h>
 #include <string.h>
 
@@ -21,7 +21,7 @@
 	return (entry_parse(s, strlen(s), why, sizeof(why)));
 }
 
-/* GOOD with one piece of text replaced. */
+/* Parses GOOD with one piece of its text replaced. */
 static struct entry *
 changed(const char *from, const char *to)
 {
@@ -47,7 +47,7 @@
 	entry_free(e);
 }
 
-/* Each fault names the field and what is allowed; nothing is used. */
+/* Each fault names the field, and no entry is returned. */
 static void
 faults(void)
 {
@@ -58,13 +58,13 @@
 	    {"\"slots\":4", "\"slot\":4", "slot: unknown field"},
 	    {"127.0.0.1:9", "db.example:9", "targets[0].address"},
 	    {"127.0.0.1:9", "127.0.0.1:0", "targets[0].address"},
-	    {"\"last\":7", "\"last\":6", "cells: cover shards up to 7"},
+	    {"\"last\":7", "\"last\":6", "cells: cover 7 shards"},
 	    {"\"first\":0", "\"first\":1", "cells[0].first"},
 	    {"\"lookup\"", "\"quick\"", "class: allowed"},
 	    {"\"dc\":\"a\"", "\"dc\":\"b\"", "targets[0].dc"},
 	    {"\"dcs\":[\"a\"]", "\"dcs\":[\"b\",\"a\"]", "dcs[1]"},
 	    {"\"dcs\":[\"a\"]", "\"dcs\":[]", "cells[0].dcs"},
-	    {TARGET, TARGET "," TARGET, "is there already"},
+	    {TARGET, TARGET "," TARGET, "duplicate target 't1'"},
 	    {"\"owner\":\"o\"", "\"owner\":\"\"", "entry.owner"},
 	    {"\"shards\":8", "\"shards\":99999999", "entry.shards"},
 	    {"\"name\":\"s\"", "\"name\":\"a b\"", "entry.name"},
@@ -79,7 +79,7 @@
 	}
 }
 
-/* A cell over two data centres is named by both. */
+/* The name of a cell that spans two data centres has both of theirs. */
 static void
 cell_names(void)
 {
--- a/regress/unit/t_evacuation.c
+++ b/regress/unit/t_evacuation.c
@@ -1,4 +1,4 @@
-/* Which data centres are evacuated, as the store and other hosts tell it. */
+/* Evacuations of data centres, as known from the store and from other hosts. */
 #include <stdio.h>
 #include <string.h>
 
@@ -17,7 +17,7 @@
 	memset(&other, 0, sizeof(other));
 }
 
-/* Targets are closed at once, those with keys a little later. */
+/* Targets are closed at once, or after the grace period if they own keys. */
 static void
 closed(void)
 {
@@ -28,7 +28,7 @@
 	CU_ASSERT(evacuations_closed_from(&e, "a", 0) == MS(1000));
 	CU_ASSERT(evacuations_closed_from(&e, "a", GRACE) == MS(3500));
 	CU_ASSERT(evacuations_closed_from(&e, "b", 0) == 0);
-	/* Heard of again, it is no later. */
+	/* Reported again, the evacuation keeps its start. */
 	evacuations_begin(&e, "a", MS(3000));
 	CU_ASSERT(evacuations_closed_from(&e, "a", GRACE) == MS(3500));
 	evacuations_end(&e, "a", MS(9000));
@@ -37,7 +37,7 @@
 	CU_ASSERT(evacuations_closed_from(&e, "a", GRACE) == MS(12000));
 }
 
-/* One that a list names may be long in force: there is no grace. */
+/* An evacuation from a list may have started long ago: there is no grace. */
 static void
 not_known_since(void)
 {
@@ -49,7 +49,7 @@
 	CU_ASSERT(evacuations_closed_from(&e, "a", GRACE) != 0);
 }
 
-/* A list that another read overtook changes nothing. */
+/* A list of an earlier revision than the present set changes nothing. */
 static void
 older_list(void)
 {
@@ -69,7 +69,8 @@
 	CU_ASSERT(evacuations_listed(&e, &other, MS(3000)) == 0);
 }
 
-/* A controller that has seen less never brings back what is over. */
+/* A controller with an older revision does not restart an evacuation that has
+ * ended. */
 static void
 told_by_one_behind(void)
 {
@@ -85,14 +86,15 @@
 	other.as_of = 31;
 	CU_ASSERT(evacuations_told(&e, &other) == 1);
 	CU_ASSERT(evacuations_active(&e, "a"));
-	/* One that knows nothing, having just started, changes nothing. */
+	/* Nor does a controller that has just started and read nothing yet. */
 	other.n = 0;
 	other.as_of = 0;
 	CU_ASSERT(evacuations_told(&e, &other) == 0);
 	CU_ASSERT(evacuations_active(&e, "a"));
 }
 
-/* A new controller that only read a list leaves known times as they are. */
+/* A new controller that has only read a list does not change known start times.
+ */
 static void
 told_without_time(void)
 {
@@ -107,7 +109,7 @@
 	CU_ASSERT(evacuations_closed_from(&e, "b", GRACE) == 1);
 }
 
-/* Targets of one that has ended are cold for their time, whatever they say. */
+/* After an evacuation has ended, targets are cold for the cold start time. */
 static void
 cold_after(void)
 {
@@ -123,7 +125,7 @@
 	CU_ASSERT(e.n == 0);
 }
 
-/* However many the operator names, none that is in force is forgotten. */
+/* If the table is full, no active evacuation is dropped. */
 static void
 table_full(void)
 {
@@ -141,12 +143,12 @@
 	CU_ASSERT(evacuations_begin(&e, "more", MS(7000)) == 0);
 	CU_ASSERT(evacuations_active(&e, "more"));
 	CU_ASSERT(evacuations_active(&e, "dc-8"));
-	/* The one that ended first made room. */
+	/* The one that ended first was replaced. */
 	CU_ASSERT(evacuations_cold_until(&e, "dc-9", 1) == 0);
 	CU_ASSERT(evacuations_cold_until(&e, "dc-7", 1) != 0);
 }
 
-/* Hosts that know the same have the same digest, in any order. */
+/* Hosts that know the same evacuations have the same digest, in any order. */
 static void
 digest(void)
 {
@@ -163,7 +165,7 @@
 	CU_ASSERT(evacuations_digest(&e) == 0);
 }
 
-/* A list of targets that is told has what is evacuated with it. */
+/* A fleet received from the controller includes its evacuations. */
 static void
 with_the_fleet(void)
 {
--- a/regress/unit/t_incarnation.c
+++ b/regress/unit/t_incarnation.c
@@ -1,9 +1,9 @@
-/* Names of the lives of targets. */
+/* Names of incarnations of targets. */
 #include "incarnation.h"
 #include "str.h"
 #include "unit.h"
 
-/* A name tells the target, and which of two lives is the later. */
+/* A name gives the target, and which of two incarnations is later. */
 static void
 names(void)
 {
@@ -17,13 +17,13 @@
 	CU_ASSERT(incarnation_same_target(a, b));
 	CU_ASSERT(incarnation_follows(b, a) && !incarnation_follows(a, b));
 	CU_ASSERT(!incarnation_follows(a, a));
-	/* One that tells no start may be any. */
+	/* A name without a start time is earlier than any other. */
 	CU_ASSERT(incarnation_is_of(plain, "i-7"));
 	CU_ASSERT(incarnation_follows(a, plain));
 	CU_ASSERT(!incarnation_follows(b, "i-8#1"));
 }
 
-/* A name that does not fit is not cut: it would be another target's. */
+/* A name that does not fit is not truncated: it would be another target's. */
 static void
 too_long(void)
 {
@@ -31,7 +31,7 @@
 
 	CU_ASSERT_EQUAL(incarnation_name(small, 8, "i-7", 999), 0);
 	CU_ASSERT_EQUAL(incarnation_name(small, 8, "i-7", 10000), -1);
-	/* Nor is an id that looks like a life's name. */
+	/* An id that looks like an incarnation's name is rejected. */
 	CU_ASSERT_EQUAL(incarnation_name(small, 8, "i#7", 0), -1);
 }
 
--- a/regress/unit/t_known.c
+++ b/regress/unit/t_known.c
@@ -1,4 +1,5 @@
-/* The list of targets: what leaves, what lapses, and what comes back. */
+/* Membership: targets that leave, entries that lapse, and targets that return.
+ */
 #include <stdio.h>
 #include <string.h>
 
@@ -7,6 +8,7 @@
 
 static struct known k;
 
+/* Adds a target. */
 static void
 put(const char *id, usec now)
 {
@@ -18,6 +20,7 @@
 	known_put(&k, &t, now);
 }
 
+/* Starts a test with n targets. */
 static void
 start(int n)
 {
@@ -32,7 +35,7 @@
 	}
 }
 
-/* How many targets may be sent new work. */
+/* Returns how many targets may get new requests. */
 static int
 usable(usec now)
 {
@@ -54,16 +57,16 @@
 	known_gone(&k, "t3", MS(100));
 	CU_ASSERT_EQUAL(usable(MS(100)), 5);
 	CU_ASSERT_EQUAL(k.n, 6);
-	/* Long after, it is not even named. */
+	/* Later it is dropped from the list. */
 	CU_ASSERT_EQUAL(usable(MS(100) + GONE_KEPT + 1), 5);
 	CU_ASSERT_EQUAL(k.n, 5);
 }
 
 /*
- * The store is away for four seconds and lets all entries lapse.  When it is
- * back a list names none of them: callers would be refused by every host.  The
- * targets write again within two seconds, and nobody notices; one that does
- * not is gone then.
+ * The store is unavailable for four seconds, all entries lapse, and the first
+ * list after that is empty.  If the targets were taken for gone, every host
+ * would refuse all requests.  Targets that write their entry again within two
+ * seconds stay usable all the time; the others are gone then.
  */
 static void
 lapsed(void)
@@ -81,7 +84,7 @@
 	CU_ASSERT_EQUAL(usable(MS(7001)), 2);
 }
 
-/* A short outage lets nothing lapse: what is missing has left. */
+/* Entries do not lapse in a short outage: a target without one is gone. */
 static void
 short_outage(void)
 {
@@ -92,7 +95,8 @@
 	CU_ASSERT_EQUAL(usable(MS(1500)), 5);
 }
 
-/* One that said that it leaves is believed, whatever the store's state. */
+/* A target that has announced that it leaves is gone once its entry is, also
+ * after an outage. */
 static void
 leaving_in_outage(void)
 {
@@ -105,8 +109,8 @@
 }
 
 /*
- * Half of all entries go in one answer though this host saw no outage: its
- * watch had waited through it.
+ * Most entries are removed in one answer, though this host noticed no outage:
+ * its watch call was waiting all through it.  They may have lapsed.
  */
 static void
 many_at_once(void)
@@ -124,7 +128,8 @@
 	CU_ASSERT_EQUAL(usable(MS(1000) + LAPSE_BACK + 1), 2);
 }
 
-/* Two of eight leave without a word: planned work, acted on at once. */
+/* Two of eight entries are removed: this is planned work, and the targets are
+ * gone at once. */
 static void
 two_at_once(void)
 {
@@ -136,9 +141,10 @@
 }
 
 /*
- * The controller follows the store and tells.  Its word counts at once: what
- * it says is gone gets no new work, though this host saw an outage just now
- * and would doubt it; what it does not name in a whole list is gone too.
+ * The controller follows the store and sends hosts what it knows.  A target
+ * that it reports as gone gets no new requests, though this host has just seen
+ * an outage and would doubt that.  Targets that are missing from a complete
+ * list are gone, too.
  */
 static void
 told(void)
@@ -154,12 +160,12 @@
 	t[0].gone = 1;
 	known_told(&k, &f, MS(5100));
 	CU_ASSERT_EQUAL(usable(MS(5100)), 5);
-	/* One that is new. */
+	/* A new target. */
 	t[0].gone = 0;
 	name_copy(t[0].id, sizeof(t[0].id), "new");
 	known_told(&k, &f, MS(5200));
 	CU_ASSERT_EQUAL(usable(MS(5200)), 6);
-	/* All there are. */
+	/* A complete list. */
 	f.whole = 1;
 	f.ntargets = 2;
 	name_copy(t[1].id, sizeof(t[1].id), "t2");
@@ -168,8 +174,8 @@
 }
 
 /*
- * A target said that it leaves.  A controller that was cut off meanwhile is
- * back and tells what it knew before: the target gets no work by that.
+ * A target announces that it leaves.  A controller that was cut off meanwhile
+ * then sends its outdated list: the target must not get requests again.
  */
 static void
 never_back(void)
@@ -188,7 +194,7 @@
 	CU_ASSERT_EQUAL(usable(MS(9000)), 2);
 }
 
-/* How many targets of a name may be sent new work. */
+/* Returns how many targets with an id may get new requests. */
 static int
 usable_of(const char *id, usec now)
 {
@@ -205,10 +211,10 @@
 }
 
 /*
- * A target that said it leaves has ended and starts again under its id, before
- * its entry was ever removed.  Believed to leave for ever, it would get no work
- * as long as it lives.  Its earlier life is over, and what is heard of that
- * late changes nothing; when the entry goes, so does the later life.
+ * A target that announced that it leaves ends and restarts under its id before
+ * its entry is removed.  If it were still taken for leaving, it would get no
+ * requests as long as it runs.  The earlier incarnation is gone, and outdated
+ * news of it change nothing; when the entry is removed, so is the later one.
  */
 static void
 started_again(void)
@@ -233,8 +239,8 @@
 }
 
 /*
- * Twice within a heartbeat: the second life was never heard of, or is heard of
- * after the third.
+ * A target restarts twice within a heartbeat, so that its second incarnation is
+ * heard of only after the third, if at all.
  */
 static void
 started_twice(void)
@@ -248,9 +254,9 @@
 }
 
 /*
- * Another writer spoils the entry of a target, just after an outage in which
- * entries lapsed.  It names nobody now, and that is no lapse to be doubted; the
- * target's own next heartbeat brings it back.
+ * Another writer overwrites the entry of a target with invalid data, just after
+ * an outage in which entries lapsed.  That is no lapse: the target is gone at
+ * once, until its next heartbeat writes a valid entry.
  */
 static void
 spoilt(void)
@@ -264,7 +270,7 @@
 	CU_ASSERT_EQUAL(usable(MS(5900)), 6);
 }
 
-/* Hosts that know the same have the same digest, in whatever order. */
+/* Hosts that know the same targets have the same digest, in any order. */
 static void
 digest(void)
 {
--- a/regress/unit/t_known_size.c
+++ b/regress/unit/t_known_size.c
@@ -1,14 +1,15 @@
-/* How the cost of reading the list of targets grows with their number. */
+/* The time to read a list of targets must not grow quadratically. */
 #include <stdio.h>
 #include <string.h>
 
 #include "known.h"
 #include "unit.h"
 
-/* The best of so many tries counts: others use the machine too. */
+/* The fastest of several tries counts, as other programs may be running. */
 #define TRIES 5
 
-/* Reads a list of n targets, of which half are known already. */
+/* Returns the time to read two lists: one of n / 2 targets, then one of n with
+ * the same targets among them. */
 static usec
 read_list(int n)
 {
@@ -36,7 +37,7 @@
 	return (from);
 }
 
-/* The least time of some tries. */
+/* Returns the least time of several tries. */
 static usec
 least(int n)
 {
@@ -51,7 +52,7 @@
 	return (best);
 }
 
-/* Reading the list of all targets does not cost by their square. */
+/* With four times the targets, quadratic growth would take 16 times as long. */
 static void
 grows_with_targets(void)
 {
--- a/regress/unit/t_owners.c
+++ b/regress/unit/t_owners.c
@@ -1,4 +1,5 @@
-/* Who owns a key, as hosts look it up, and the sample of keys asked for. */
+/* Lookup of key owners, differences of snapshots, and the sample of requested
+ * keys. */
 #include <stdlib.h>
 #include <string.h>
 
@@ -6,6 +7,7 @@
 #include "owners.h"
 #include "unit.h"
 
+/* A snapshot with three ranges of one service. */
 static struct owners *
 three(void)
 {
@@ -40,8 +42,8 @@
 }
 
 /*
- * Far more requests than a report holds, a third of them for one key.  The
- * sample shows that key with about a third still.
+ * With far more requests than a report holds, a third of them for one key,
+ * about a third of the sample is that key.
  */
 static void
 heat(void)
@@ -60,7 +62,7 @@
 	CU_ASSERT_EQUAL(h.n + (int)h.seen, 0);
 }
 
-/* A snapshot with ranges at random borders and owners at random. */
+/* A snapshot with random boundaries and owners of ranges. */
 static struct owners *
 random_owners(uint64_t number, unsigned *seed)
 {
@@ -92,7 +94,7 @@
 	return (o);
 }
 
-/* Moves a border or an owner of some ranges, and leaves the others. */
+/* Changes the owner, and where possible a boundary, of some ranges. */
 static void
 change_some(struct owners *o, unsigned *seed)
 {
@@ -111,7 +113,7 @@
 	o->number++;
 }
 
-/* True where both name the same owner and state for each key. */
+/* True if both give the same owner and state for each key. */
 static int
 same_owners(const struct owners *a, const struct owners *b)
 {
@@ -130,9 +132,9 @@
 }
 
 /*
- * A host is told only what changed since what it has.  Laid over that, it
- * names the same owner for each key as the controller, over many changes, and
- * what is told stays small.
+ * A host receives only differences to the snapshot that it has.  Over many
+ * changes, applying them gives the same owner for each key as the controller
+ * has, and the differences stay small.
  */
 static void
 differences(void)
@@ -161,7 +163,7 @@
 		change_some(was, &before);
 		owners_free(d);
 	}
-	/* Whatever stood before: all borders new. */
+	/* A difference in which all boundaries are new. */
 	next = random_owners(1000, &seed);
 	d = owners_diff(host, next);
 	owners_free(now);
--- a/regress/unit/t_place.c
+++ b/regress/unit/t_place.c
@@ -1,4 +1,5 @@
-/* Placing shards: least full first, few moves, none for noise. */
+/* Shard placement: the least utilised target first, few moves, none for noise.
+ */
 #include <string.h>
 
 #include "place.h"
@@ -13,7 +14,7 @@
 static uint8_t fixed[SHARDS];
 static struct place_move moves[64];
 
-/* All shards spread evenly, each with the load. */
+/* Spreads all shards evenly, each with the given load. */
 static void
 even(double each)
 {
@@ -49,7 +50,7 @@
 	CU_ASSERT_EQUAL(place_pick(t, N), -1);
 }
 
-/* Even load moves nothing; neither does what lies within the tolerance. */
+/* Even load causes no moves, nor does an imbalance within the tolerance. */
 static void
 noise_moves_nothing(void)
 {
@@ -60,7 +61,7 @@
 	CU_ASSERT_EQUAL(balance(1.2, 8), 0);
 }
 
-/* A hot target sheds to the least full, and the imbalance falls. */
+/* Shards move from an overloaded target to others, and the imbalance falls. */
 static void
 hot_target_sheds(void)
 {
@@ -82,7 +83,7 @@
 	CU_ASSERT(place_imbalance(t, N) < before / 1.5);
 }
 
-/* One shard is all the load: moving it would only move the heat. */
+/* One shard has all the load: moving it would only overload another target. */
 static void
 one_hot_shard_stays(void)
 {
@@ -96,7 +97,7 @@
 	CU_ASSERT_EQUAL(balance(1.2, 8), 0);
 }
 
-/* Shards under way are not touched. */
+/* Shards that are already moving stay. */
 static void
 fixed_stay(void)
 {
@@ -110,9 +111,9 @@
 }
 
 /*
- * A target is back after a freeze, with next to no shards, while the fleet is
- * idle: it is filled up to half its part, or it would stand by while a surge
- * meets the others.  Then no more moves, whatever the noise.
+ * A target recovers from a freeze with almost no shards while the fleet is
+ * idle.  It gets up to half of its share; otherwise it would stay nearly empty
+ * while a surge hits the others.  After that nothing moves, whatever the noise.
  */
 static void
 idle_fleet_fills_the_empty(void)
@@ -138,7 +139,7 @@
 }
 
 static const struct unit_test tests[] = {
-    {"picks least full", picks_least_full},
+    {"picks least utilised", picks_least_full},
     {"noise moves nothing", noise_moves_nothing},
     {"hot target sheds", hot_target_sheds},
     {"one hot shard stays", one_hot_shard_stays},
--- a/regress/unit/t_site.c
+++ b/regress/unit/t_site.c
@@ -1,9 +1,11 @@
-/* Routes: which rule a request falls under, and which service it goes to. */
+/* Site configurations: which rule matches a request, and which service it is
+ * routed to. */
 #include <string.h>
 
 #include "site.h"
 #include "unit.h"
 
+/* Adds a rule. */
 static struct rule *
 add(struct site *t, const char *host, const char *prefix)
 {
@@ -14,6 +16,7 @@
 	return (r);
 }
 
+/* Finds the rule for a request. */
 static const struct rule *
 find(const struct site *t, const char *host, const char *path)
 {
@@ -23,6 +26,7 @@
 	return (site_find(t, &h, &p));
 }
 
+/* Makes a configuration with rules for two hosts. */
 static struct site *
 three(void)
 {
@@ -60,9 +64,8 @@
 }
 
 /*
- * A rule sends a tenth of its requests to a second service.  In any two
- * hundred in a row the share is right to within one in a hundred, wherever
- * the count begins.
+ * A rule sends a tenth of its requests to a second service.  In any 200
+ * consecutive requests its share is 9 to 11 %.
  */
 static void
 split(void)
@@ -83,6 +86,7 @@
 	}
 }
 
+/* A service of weight 0 gets no requests. */
 static void
 split_none(void)
 {
@@ -103,6 +107,6 @@
     {"longest prefix", longest_prefix},
     {"no rule", no_rule},
     {"split", split},
-    {"split with a part of none", split_none},
+    {"split with weight 0", split_none},
 };
 UNIT_MAIN("site", tests)
--- a/regress/unit/t_site_change.c
+++ b/regress/unit/t_site_change.c
@@ -1,5 +1,5 @@
-/* What changed between configurations: a change and the one that it is of make
- * the new one, and a change of one rule is one rule. */
+/* Differences between site configurations: applied to its base, a difference
+ * gives the new configuration, and it has only the rules that changed. */
 #include <stdio.h>
 #include <stdlib.h>
 #include <string.h>
@@ -10,7 +10,7 @@
 #define RULES 40
 #define SERVICES 4
 
-/* A configuration of so many services, without rules. */
+/* Makes a configuration with services, but without rules. */
 static struct site *
 empty(uint64_t version, int nservices)
 {
@@ -25,7 +25,7 @@
 	return (t);
 }
 
-/* Adds a rule with one part. */
+/* Adds a rule with one service. */
 static struct rule *
 add(struct site *t, const char *host, int prefix, int service)
 {
@@ -41,7 +41,7 @@
 	return (r);
 }
 
-/* True where both have the same rules, in their order, and the same bounds. */
+/* True if both have the same rules in the same order, and the same bounds. */
 static int
 equal(const struct site *a, const struct site *b)
 {
@@ -68,8 +68,8 @@
 	return (1);
 }
 
-/* Makes the change and applies it; the rules that it has, or -1 where what
- * comes of it is not the new one. */
+/* Makes the difference between two configurations and applies it.  Returns the
+ * number of its rules, or -1 if the result is not the new configuration. */
 static int
 there(const struct site *was, const struct site *now)
 {
@@ -85,7 +85,7 @@
 	return (n);
 }
 
-/* One rule moves to another service, one comes, one goes. */
+/* One rule is changed, one is added, one is removed. */
 static void
 one_rule(void)
 {
@@ -106,8 +106,8 @@
 	site_free(now);
 }
 
-/* Services stand at other places, and a rule that stays has lost its own: the
- * change cannot be applied to what is not its base either. */
+/* Services may change their indexes.  A difference is refused if a rule that
+ * stays has lost its service, or if the configuration is not its base. */
 static void
 services_move(void)
 {
@@ -133,8 +133,8 @@
 	site_free(other);
 }
 
-/* A configuration drawn from a seed: hosts in either case, rules for the same
- * requests twice, parts with weights. */
+/* Makes a random configuration: hosts in upper and lower case, several rules
+ * for the same requests, one or two services for each. */
 static struct site *
 drawn(uint64_t version, unsigned *seed)
 {
@@ -157,6 +157,7 @@
 	return (t);
 }
 
+/* Differences between random configurations. */
 static void
 any(void)
 {
@@ -176,6 +177,6 @@
 static const struct unit_test tests[] = {
     {"one rule", one_rule},
     {"services move", services_move},
-    {"any", any},
+    {"random", any},
 };
 UNIT_MAIN("site_change", tests)
--- a/regress/unit/t_viewdelta.c
+++ b/regress/unit/t_viewdelta.c
@@ -1,4 +1,5 @@
-/* Views as differences: what is put together again is what was spread. */
+/* Views as differences: applied to its base, a difference gives the full view.
+ */
 #include <stdlib.h>
 #include <string.h>
 
@@ -17,7 +18,7 @@
 static Gspar__DispatchView *dispatches[1] = {&dispatch};
 static char *names[] = {(char *)"t1", (char *)"t2", (char *)"t3"};
 
-/* A view and its successor, alike but for their numbers. */
+/* Sets up a view and its successor, equal but for their sequence numbers. */
 static void
 start(void)
 {
@@ -51,7 +52,7 @@
 	}
 }
 
-/* Sent over and put together, a difference gives the whole view. */
+/* A difference is small, and applied to its base it gives the full view. */
 static void
 whole_again(void)
 {
@@ -81,7 +82,8 @@
 	gspar__view__free_unpacked(v, NULL);
 }
 
-/* Names and dispatchers are left out where they are the same, and come back. */
+/* Names of targets and dispatchers are left out of the difference if they are
+ * the same, and restored from the base. */
 static void
 names_too(void)
 {
@@ -110,7 +112,8 @@
 	}
 }
 
-/* Upon any other view it is refused: owners would come out that never were. */
+/* Applying a difference to another view than its base, or one with a shard out
+ * of range, is refused: the result would have owners that never existed. */
 static void
 only_upon_its_base(void)
 {
@@ -131,7 +134,8 @@
 	viewdelta_free(&d);
 }
 
-/* The whole is sent where there is no base, or too much changed. */
+/* The full view is sent if there is no base of the same term and size, or if
+ * too much changed. */
 static void
 whole_where_better(void)
 {
@@ -152,9 +156,9 @@
 }
 
 static const struct unit_test tests[] = {
-    {"whole again", whole_again},
-    {"names too", names_too},
-    {"only upon its base", only_upon_its_base},
-    {"whole where better", whole_where_better},
+    {"restores full view", whole_again},
+    {"restores names", names_too},
+    {"refuses other base", only_upon_its_base},
+    {"full view if needed", whole_where_better},
 };
 UNIT_MAIN("viewdelta", tests)
