--- a/decide/entry.c
+++ b/decide/entry.c
@@ -18,18 +18,18 @@
 struct check {
 	char *why;
 	size_t size;
-	int bad;
+	int failed;
 };
 
 /* Records a fault: where it is and what is allowed.  Only the first is kept. */
 static void __attribute__((format(printf, 2, 3)))
-bad(struct check *c, const char *fmt, ...)
+reject(struct check *c, const char *fmt, ...)
 {
 	va_list ap;
 
-	if (c->bad)
+	if (c->failed)
 		return;
-	c->bad = 1;
+	c->failed = 1;
 	va_start(ap, fmt);
 	vsnprintf(c->why, c->size, fmt, ap);
 	va_end(ap);
@@ -37,14 +37,15 @@
 
 /* Rejects keys that are not in the NULL-terminated list, to catch typos. */
 static void
-only(struct check *c, json_t *o, const char *at, const char *const *allowed)
+check_keys(
+    struct check *c, json_t *o, const char *path, const char *const *allowed)
 {
 	const char *key;
 	json_t *v;
 	int i;
 
 	if (!json_is_object(o)) {
-		bad(c, "%s: allowed: an object", at);
+		reject(c, "%s: allowed: an object", path);
 		return;
 	}
 	json_object_foreach(o, key, v)
@@ -54,24 +55,24 @@
 				break;
 		}
 		if (allowed[i] == NULL)
-			bad(c, "%s.%s: unknown field", at, key);
+			reject(c, "%s.%s: unknown field", path, key);
 	}
 }
 
 /* Reads an integer; returns `other` if it is absent.  The field is mandatory if
  * `other` is below low. */
 static int
-number(struct check *c, json_t *o, const char *at, const char *key, int low,
-    int high, int other)
+read_number(struct check *c, json_t *o, const char *path, const char *key,
+    int low, int high, int fallback)
 {
 	json_t *v = json_object_get(o, key);
 	json_int_t n;
 
-	if (v == NULL && other >= low)
-		return (other);
+	if (v == NULL && fallback >= low)
+		return (fallback);
 	n = json_integer_value(v);
 	if (!json_is_integer(v) || n < low || n > high) {
-		bad(c, "%s.%s: %s; allowed: %d to %d", at, key,
+		reject(c, "%s.%s: %s; allowed: %d to %d", path, key,
 		    v == NULL ? "missing" : "not in range", low, high);
 		return (low);
 	}
@@ -80,16 +81,17 @@
 
 /* Reads a name into dst, of NAME_MAX_GS bytes. */
 static void
-name(struct check *c, json_t *o, const char *at, const char *key, char *dst)
+read_name(
+    struct check *c, json_t *o, const char *path, const char *key, char *dst)
 {
 	json_t *v = json_object_get(o, key);
 
 	if (!json_is_string(v) ||
 	    !name_ok(json_string_value(v), json_string_length(v))) {
-		bad(c,
+		reject(c,
 		    "%s.%s: allowed: 1 to 63 letters, digits, '.', '-', '_', "
 		    "'+'",
-		    at, key);
+		    path, key);
 		return;
 	}
 	name_copy(dst, NAME_MAX_GS, json_string_value(v));
@@ -97,14 +99,14 @@
 
 /* Reads text of 1 to size - 1 bytes into dst. */
 static void
-text(struct check *c, json_t *o, const char *at, const char *key, char *dst,
-    size_t size)
+read_text(struct check *c, json_t *o, const char *path, const char *key,
+    char *dst, size_t size)
 {
 	json_t *v = json_object_get(o, key);
 
 	if (!json_is_string(v) || json_string_length(v) == 0 ||
 	    json_string_length(v) >= size) {
-		bad(c, "%s.%s: allowed: text of 1 to %zu bytes", at, key,
+		reject(c, "%s.%s: allowed: text of 1 to %zu bytes", path, key,
 		    size - 1);
 		return;
 	}
@@ -113,18 +115,18 @@
 
 /* Reads a boolean; false if absent. */
 static int
-flag(struct check *c, json_t *o, const char *at, const char *key)
+read_flag(struct check *c, json_t *o, const char *path, const char *key)
 {
 	json_t *v = json_object_get(o, key);
 
 	if (v != NULL && !json_is_boolean(v))
-		bad(c, "%s.%s: allowed: true or false", at, key);
+		reject(c, "%s.%s: allowed: true or false", path, key);
 	return (json_is_true(v));
 }
 
 /* Reads one target. */
 static void
-target(struct check *c, json_t *o, const char *at, struct target_conf *t)
+read_target(struct check *c, json_t *o, const char *path, struct target_conf *t)
 {
 	static const char *const keys[] = {
 	    "name", "dc", "address", "slots", "leaving", "checks", NULL};
@@ -132,30 +134,30 @@
 	char ip[64];
 	int port;
 
-	only(c, o, at, keys);
-	name(c, o, at, "name", t->name);
-	name(c, o, at, "dc", t->dc);
+	check_keys(c, o, path, keys);
+	read_name(c, o, path, "name", t->name);
+	read_name(c, o, path, "dc", t->dc);
 	v = json_object_get(o, "address");
 	if (!json_is_string(v) || json_string_length(v) >= sizeof(t->addr) ||
 	    addr_split(json_string_value(v), ip, sizeof(ip), &port) != 0)
-		bad(c, "%s.address: allowed: IP number, ':' and port", at);
+		reject(c, "%s.address: allowed: IP number, ':' and port", path);
 	else
 		name_copy(t->addr, sizeof(t->addr), json_string_value(v));
-	t->slots = number(c, o, at, "slots", 1, 1024, -1);
-	t->leaving = flag(c, o, at, "leaving");
-	t->checks = flag(c, o, at, "checks");
+	t->slots = read_number(c, o, path, "slots", 1, 1024, -1);
+	t->leaving = read_flag(c, o, path, "leaving");
+	t->checks = read_flag(c, o, path, "checks");
 }
 
 /* Reads the data centres of a cell; the cell's name is their names joined by
  * '+'. */
 static void
-dcs(struct check *c, json_t *a, const char *at, struct cell_conf *cell)
+read_dcs(struct check *c, json_t *a, const char *path, struct cell_conf *cell)
 {
 	json_t *v;
 	size_t i;
 
-	if (json_array_size(a) < 1 || json_array_size(a) > CELL_DCS) {
-		bad(c, "%s.dcs: allowed: 1 to %d names", at, CELL_DCS);
+	if (json_array_size(a) < 1 || json_array_size(a) > CELL_DCS_MAX) {
+		reject(c, "%s.dcs: allowed: 1 to %d names", path, CELL_DCS_MAX);
 		return;
 	}
 	json_array_foreach(a, i, v)
@@ -163,14 +165,14 @@
 		if (!json_is_string(v) ||
 		    !name_ok(json_string_value(v), json_string_length(v)) ||
 		    strchr(json_string_value(v), '+') != NULL) {
-			bad(c, "%s.dcs[%zu]: allowed: a name without '+'", at,
-			    i);
+			reject(c, "%s.dcs[%zu]: allowed: a name without '+'",
+			    path, i);
 			return;
 		}
 		name_copy(cell->dcs[i], NAME_MAX_GS, json_string_value(v));
 		if (i > 0 && strcmp(cell->dcs[i - 1], cell->dcs[i]) >= 0)
-			bad(c, "%s.dcs[%zu]: allowed: names in order, once", at,
-			    i);
+			reject(c, "%s.dcs[%zu]: allowed: names in order, once",
+			    path, i);
 		if (i > 0)
 			strncat(cell->name, "+",
 			    sizeof(cell->name) - strlen(cell->name) - 1);
@@ -195,39 +197,42 @@
 
 /* Reads one cell. */
 static void
-cell_of(struct check *c, json_t *o, const char *at, struct cell_conf *cell)
+read_cell(struct check *c, json_t *o, const char *path, struct cell_conf *cell)
 {
 	static const char *const keys[] = {
 	    "dcs", "first", "last", "targets", NULL};
 	json_t *a, *v;
-	char where[80];
+	char target_path[80];
 	size_t i;
 
-	only(c, o, at, keys);
-	dcs(c, json_object_get(o, "dcs"), at, cell);
+	check_keys(c, o, path, keys);
+	read_dcs(c, json_object_get(o, "dcs"), path, cell);
 	cell->first =
-	    (uint32_t)number(c, o, at, "first", 0, SHARDS_MAX - 1, -1);
-	cell->last = (uint32_t)number(c, o, at, "last", 0, SHARDS_MAX - 1, -1);
+	    (uint32_t)read_number(c, o, path, "first", 0, SHARDS_MAX - 1, -1);
+	cell->last =
+	    (uint32_t)read_number(c, o, path, "last", 0, SHARDS_MAX - 1, -1);
 	a = json_object_get(o, "targets");
-	if (json_array_size(a) < 1 || json_array_size(a) > ENTRY_TARGETS) {
-		bad(c, "%s.targets: allowed: 1 to %d targets", at,
-		    ENTRY_TARGETS);
+	if (json_array_size(a) < 1 || json_array_size(a) > ENTRY_TARGETS_MAX) {
+		reject(c, "%s.targets: allowed: 1 to %d targets", path,
+		    ENTRY_TARGETS_MAX);
 		return;
 	}
 	cell->targets = calloc(json_array_size(a), sizeof(*cell->targets));
 	if (cell->targets == NULL) {
-		bad(c, "%s.targets: out of memory", at);
+		reject(c, "%s.targets: out of memory", path);
 		return;
 	}
 	json_array_foreach(a, i, v)
 	{
-		snprintf(where, sizeof(where), "%s.targets[%zu]", at, i);
-		target(c, v, where, &cell->targets[i]);
-		if (!c->bad && !has_dc(cell, cell->targets[i].dc))
-			bad(c, "%s.dc: allowed: one of the cell's dcs", where);
-		if (!c->bad &&
+		snprintf(target_path, sizeof(target_path), "%s.targets[%zu]",
+		    path, i);
+		read_target(c, v, target_path, &cell->targets[i]);
+		if (!c->failed && !has_dc(cell, cell->targets[i].dc))
+			reject(c, "%s.dc: allowed: one of the cell's dcs",
+			    target_path);
+		if (!c->failed &&
 		    cell_conf_target(cell, cell->targets[i].name) != NULL)
-			bad(c, "%s.name: duplicate target '%s'", where,
+			reject(c, "%s.name: duplicate target '%s'", target_path,
 			    cell->targets[i].name);
 		cell->ntargets++;
 	}
@@ -235,54 +240,56 @@
 
 /* Reads the cells, which must cover each shard exactly once, in order. */
 static void
-cells(struct check *c, json_t *a, struct entry *e)
+read_cells(struct check *c, json_t *a, struct entry *e)
 {
 	json_t *v;
-	char at[32];
+	char path[32];
 	size_t i;
 	uint32_t next = 0;
 
-	if (json_array_size(a) < 1 || json_array_size(a) > ENTRY_CELLS) {
-		bad(c, "cells: allowed: 1 to %d cells", ENTRY_CELLS);
+	if (json_array_size(a) < 1 || json_array_size(a) > ENTRY_CELLS_MAX) {
+		reject(c, "cells: allowed: 1 to %d cells", ENTRY_CELLS_MAX);
 		return;
 	}
 	json_array_foreach(a, i, v)
 	{
-		snprintf(at, sizeof(at), "cells[%zu]", i);
+		snprintf(path, sizeof(path), "cells[%zu]", i);
 		e->ncells++;
-		cell_of(c, v, at, &e->cells[i]);
-		if (c->bad)
+		read_cell(c, v, path, &e->cells[i]);
+		if (c->failed)
 			return;
 		if (e->cells[i].first != next ||
 		    e->cells[i].last < e->cells[i].first)
-			bad(c, "%s.first: allowed: %u, and last not below it",
-			    at, next);
+			reject(c,
+			    "%s.first: allowed: %u, and last not below it",
+			    path, next);
 		next = e->cells[i].last + 1;
 	}
 	if (next != e->shards)
-		bad(c, "cells: cover %u shards; allowed: all shards, %u", next,
-		    e->shards);
+		reject(c, "cells: cover %u shards; allowed: all shards, %u",
+		    next, e->shards);
 }
 
 /* Reads the limits; all of them are optional. */
 static void
-limits(struct check *c, json_t *o, struct entry *e)
+read_limits(struct check *c, json_t *o, struct entry *e)
 {
 	static const char *const keys[] = {
 	    "queue", "deadline_ms", "body", "answer", "rate", NULL};
 
 	if (o != NULL)
-		only(c, o, "limits", keys);
-	e->queue = number(c, o, "limits", "queue", 1, 100000, 64);
-	e->deadline_ms = number(c, o, "limits", "deadline_ms", 1, 600000, 2000);
-	e->body = number(c, o, "limits", "body", 0, 1 << 24, 1 << 16);
-	e->answer = number(c, o, "limits", "answer", 1, 1 << 24, 1 << 22);
-	e->rate = number(c, o, "limits", "rate", 0, 10000000, 0);
+		check_keys(c, o, "limits", keys);
+	e->queue = read_number(c, o, "limits", "queue", 1, 100000, 64);
+	e->deadline_ms =
+	    read_number(c, o, "limits", "deadline_ms", 1, 600000, 2000);
+	e->body = read_number(c, o, "limits", "body", 0, 1 << 24, 1 << 16);
+	e->answer = read_number(c, o, "limits", "answer", 1, 1 << 24, 1 << 22);
+	e->rate = read_number(c, o, "limits", "rate", 0, 10000000, 0);
 }
 
 /* Reads the class and the balance policy. */
 static void
-class_of(struct check *c, json_t *o, struct entry *e)
+read_class(struct check *c, json_t *o, struct entry *e)
 {
 	const char *s = json_string_value(json_object_get(o, "class"));
 	size_t i;
@@ -292,14 +299,14 @@
 			e->class = &classes[i];
 	}
 	if (e->class == NULL)
-		bad(c, "class: allowed: lookup, reserve, export");
+		reject(c, "class: allowed: lookup, reserve, export");
 	s = json_string_value(json_object_get(o, "weigh"));
 	if (s == NULL || strcmp(s, "imbalance") == 0)
 		e->weigh = WEIGH_IMBALANCE;
 	else if (strcmp(s, "unavailable") == 0)
 		e->weigh = WEIGH_UNAVAILABLE;
 	else
-		bad(c, "weigh: allowed: imbalance, unavailable");
+		reject(c, "weigh: allowed: imbalance, unavailable");
 }
 
 /*
@@ -327,18 +334,18 @@
 		snprintf(why, size, "out of memory");
 		goto out;
 	}
-	only(&c, o, "entry", keys);
-	name(&c, o, "entry", "name", e->name);
-	text(&c, o, "entry", "owner", e->owner, sizeof(e->owner));
+	check_keys(&c, o, "entry", keys);
+	read_name(&c, o, "entry", "name", e->name);
+	read_text(&c, o, "entry", "owner", e->owner, sizeof(e->owner));
 	if (json_object_get(o, "edit") != NULL)
-		text(&c, o, "entry", "edit", e->edit, sizeof(e->edit));
-	class_of(&c, o, e);
+		read_text(&c, o, "entry", "edit", e->edit, sizeof(e->edit));
+	read_class(&c, o, e);
 	e->shards =
-	    (uint32_t)number(&c, o, "entry", "shards", 1, SHARDS_MAX, -1);
-	limits(&c, json_object_get(o, "limits"), e);
-	if (!c.bad)
-		cells(&c, json_object_get(o, "cells"), e);
-	if (c.bad) {
+	    (uint32_t)read_number(&c, o, "entry", "shards", 1, SHARDS_MAX, -1);
+	read_limits(&c, json_object_get(o, "limits"), e);
+	if (!c.failed)
+		read_cells(&c, json_object_get(o, "cells"), e);
+	if (c.failed) {
 		entry_free(e);
 		e = NULL;
 	}
--- a/decide/entry.h
+++ b/decide/entry.h
@@ -8,9 +8,9 @@
 
 #include "str.h"
 
-#define ENTRY_CELLS 16
-#define ENTRY_TARGETS 128
-#define CELL_DCS 8
+#define ENTRY_CELLS_MAX 16
+#define ENTRY_TARGETS_MAX 128
+#define CELL_DCS_MAX 8
 #define SHARDS_MAX 65536
 /* Size of a cell's name: its data centres joined by '+'. */
 #define CELL_NAME 256
@@ -35,7 +35,7 @@
  * them. */
 struct cell_conf {
 	char name[CELL_NAME];
-	char dcs[CELL_DCS][NAME_MAX_GS];
+	char dcs[CELL_DCS_MAX][NAME_MAX_GS];
 	int ndcs;
 	uint32_t first;
 	uint32_t last;
@@ -60,7 +60,7 @@
 	int answer; /* longest answer, bytes */
 	int rate;   /* requests a second; 0 is unlimited */
 	enum weigh weigh;
-	struct cell_conf cells[ENTRY_CELLS];
+	struct cell_conf cells[ENTRY_CELLS_MAX];
 	int ncells;
 };
 
--- a/decide/evacuation.c
+++ b/decide/evacuation.c
@@ -5,7 +5,7 @@
 #include "evacuation.h"
 
 /* Ended evacuations are kept this long, until the targets are warm again. */
-#define ENDED_KEPT MS(30000)
+#define ENDED_RETENTION MS(30000)
 
 /* Returns the index of a data centre, or -1. */
 static int
@@ -23,7 +23,7 @@
 /* Allocates a slot: a new one, or that of the evacuation that ended first; NULL
  * if all are active. */
 static struct evacuation *
-spare(struct evacuations *e)
+alloc_slot(struct evacuations *e)
 {
 	struct evacuation *oldest = NULL;
 	int i;
@@ -50,7 +50,7 @@
 
 	if (v != NULL && !v->ended)
 		return (0);
-	if (v == NULL && (v = spare(e)) == NULL)
+	if (v == NULL && (v = alloc_slot(e)) == NULL)
 		return (-1);
 	memset(v, 0, sizeof(*v));
 	name_copy(v->dc, sizeof(v->dc), dc);
@@ -78,7 +78,7 @@
 evacuations_listed(
     struct evacuations *e, const struct evacuations *listed, usec now)
 {
-	uint64_t was = evacuations_digest(e);
+	uint64_t before = evacuations_digest(e);
 	int i;
 
 	if (listed->as_of < e->as_of)
@@ -90,7 +90,7 @@
 	}
 	for (i = 0; i < listed->n; i++)
 		evacuations_begin(e, listed->list[i].dc, listed->list[i].since);
-	return (evacuations_digest(e) != was);
+	return (evacuations_digest(e) != before);
 }
 
 /*
@@ -99,20 +99,20 @@
  * them.
  */
 int
-evacuations_told(struct evacuations *e, const struct evacuations *told)
+evacuations_adopt(struct evacuations *e, const struct evacuations *received)
 {
-	struct evacuations all = *told;
+	struct evacuations adopted = *received;
 	int i, own;
 
-	if (told->as_of <= e->as_of)
+	if (received->as_of <= e->as_of)
 		return (0);
-	for (i = 0; i < all.n; i++) {
-		own = find(e, all.list[i].dc);
-		if (own >= 0 && all.list[i].since == 0 &&
-		    e->list[own].ended == all.list[i].ended)
-			all.list[i].since = e->list[own].since;
+	for (i = 0; i < adopted.n; i++) {
+		own = find(e, adopted.list[i].dc);
+		if (own >= 0 && adopted.list[i].since == 0 &&
+		    e->list[own].ended == adopted.list[i].ended)
+			adopted.list[i].since = e->list[own].since;
 	}
-	*e = all;
+	*e = adopted;
 	return (1);
 }
 
@@ -123,7 +123,8 @@
 	int i;
 
 	for (i = 0; i < e->n; i++) {
-		if (e->list[i].ended && now - e->list[i].since > ENDED_KEPT)
+		if (e->list[i].ended &&
+		    now - e->list[i].since > ENDED_RETENTION)
 			e->list[i--] = e->list[--e->n];
 	}
 }
--- a/decide/evacuation.h
+++ b/decide/evacuation.h
@@ -28,7 +28,7 @@
 void evacuations_end(struct evacuations *, const char *dc, usec now);
 int evacuations_listed(
     struct evacuations *, const struct evacuations *listed, usec now);
-int evacuations_told(struct evacuations *, const struct evacuations *told);
+int evacuations_adopt(struct evacuations *, const struct evacuations *received);
 void evacuations_expire(struct evacuations *, usec now);
 int evacuations_active(const struct evacuations *, const char *dc);
 usec evacuations_closed_from(
--- a/decide/incarnation.c
+++ b/decide/incarnation.c
@@ -8,22 +8,23 @@
 #include "incarnation.h"
 
 /* Separates the target's id from its start time, in Unix milliseconds. */
-#define BORN_AFTER '#'
+#define START_SEPARATOR '#'
 
 /* Formats the name of an incarnation; born is 0 if the target gives no start
  * time.  0, or -1 if the name does not fit or the id contains the separator. */
 int
-incarnation_name(char *name, size_t size, const char *target, uint64_t born)
+incarnation_name(
+    char *name, size_t size, const char *target, uint64_t started_at)
 {
 	int n;
 
-	if (strchr(target, BORN_AFTER) != NULL)
+	if (strchr(target, START_SEPARATOR) != NULL)
 		return (-1);
-	if (born == 0)
+	if (started_at == 0)
 		n = snprintf(name, size, "%s", target);
 	else
-		n = snprintf(
-		    name, size, "%s%c%" PRIu64, target, BORN_AFTER, born);
+		n = snprintf(name, size, "%s%c%" PRIu64, target,
+		    START_SEPARATOR, started_at);
 	return (n < 0 || (size_t)n >= size ? -1 : 0);
 }
 
@@ -31,16 +32,16 @@
 size_t
 incarnation_target(const char *name)
 {
-	const char *at = strchr(name, BORN_AFTER);
+	const char *at = strchr(name, START_SEPARATOR);
 
 	return (at == NULL ? strlen(name) : (size_t)(at - name));
 }
 
 /* Returns the start time of an incarnation; 0 if it has none. */
 static uint64_t
-born(const char *name)
+started_at(const char *name)
 {
-	const char *at = strchr(name, BORN_AFTER);
+	const char *at = strchr(name, START_SEPARATOR);
 
 	return (at == NULL ? 0 : strtoull(at + 1, NULL, 10));
 }
@@ -58,7 +59,7 @@
 static int
 id_ends(char c)
 {
-	return (c == '\0' || c == BORN_AFTER);
+	return (c == '\0' || c == START_SEPARATOR);
 }
 
 /* True if both name incarnations of one target, or the same one.  Runs for many
@@ -80,7 +81,7 @@
 incarnation_follows(const char *later, const char *earlier)
 {
 	return (incarnation_same_target(later, earlier) &&
-	    born(later) > born(earlier));
+	    started_at(later) > started_at(earlier));
 }
 
 /* Returns a digest of an incarnation's name; never 0. */
--- a/decide/incarnation.h
+++ b/decide/incarnation.h
@@ -11,7 +11,7 @@
 #include <stdint.h>
 
 int incarnation_name(
-    char *name, size_t size, const char *target, uint64_t born);
+    char *name, size_t size, const char *target, uint64_t started_at);
 size_t incarnation_target(const char *name);
 int incarnation_is_of(const char *name, const char *target);
 int incarnation_same_target(const char *a, const char *b);
--- a/decide/keys_plan.c
+++ b/decide/keys_plan.c
@@ -37,7 +37,7 @@
 #define BY_CHANCE 2.0f
 /* A key that alone is more than its target's part moves where that target
  * would have this much less. */
-#define WORTH_MOVING 0.85
+#define UTILISATION_MIN 0.85
 
 /* Requests that a second's rate of one counts for, as they halve. */
 #define HEAT_OF_RATE (HEAT_HALF / M_LN2)
@@ -513,7 +513,7 @@
 	to = least(k, NULL, p.heat, now);
 	there = p.heat / key_target_weight(&k->targets[to], now);
 	if (to == from ||
-	    there > WORTH_MOVING * p.heat /
+	    there > UTILISATION_MIN * p.heat /
 		    key_target_weight(&k->targets[from], now))
 		return (0);
 	move_piece(k, &p, from, to, now);
--- a/decide/known.c
+++ b/decide/known.c
@@ -8,84 +8,84 @@
 #include "known.h"
 
 /* Entries do not lapse in outages shorter than this many heartbeats. */
-#define LAPSE_BEATS 2
+#define LAPSE_HEARTBEATS 2
 /* Fewer entries removed at once are planned work, not a lapse. */
-#define MASS_MIN 4
+#define MASS_REMOVAL_MIN 4
 
 /* Number of targets to allocate space for at first. */
-#define ROOM_FIRST 16
+#define INITIAL_CAPACITY 16
 
 /* Frees the list and resets all of it. */
 void
 known_free(struct known *k)
 {
 	free(k->list);
-	free(k->heads);
+	free(k->buckets);
 	memset(k, 0, sizeof(*k));
 }
 
 /* Returns the bucket of a target; all its incarnations are in it. */
 static int *
-head_of(const struct known *k, const char *id)
+bucket_of(const struct known *k, const char *id)
 {
 	uint64_t h = XXH3_64bits(id, incarnation_target(id));
 
-	return (&k->heads[h & (uint64_t)(k->nheads - 1)]);
+	return (&k->buckets[h & (uint64_t)(k->nbuckets - 1)]);
 }
 
 /* Returns the first in the bucket of a target: 1 + index, 0 if empty.  Lists of
  * all targets are read entry by entry: scanning all targets for each would take
  * quadratic time. */
 static int
-first_of(const struct known *k, const char *id)
+bucket_first(const struct known *k, const char *id)
 {
-	return (k->nheads == 0 ? 0 : *head_of(k, id));
+	return (k->nbuckets == 0 ? 0 : *bucket_of(k, id));
 }
 
 /* Adds a target to its bucket. */
 static void
-chain(struct known *k, int i)
+bucket_add(struct known *k, int i)
 {
-	int *head = head_of(k, k->list[i].t.id);
+	int *bucket = bucket_of(k, k->list[i].t.id);
 
-	k->list[i].next = *head;
-	*head = i + 1;
+	k->list[i].next = *bucket;
+	*bucket = i + 1;
 }
 
 /* Rebuilds the hash table. */
 static void
-chain_all(struct known *k)
+rehash(struct known *k)
 {
 	int i;
 
-	memset(k->heads, 0, sizeof(*k->heads) * (size_t)k->nheads);
+	memset(k->buckets, 0, sizeof(*k->buckets) * (size_t)k->nbuckets);
 	for (i = 0; i < k->n; i++)
-		chain(k, i);
+		bucket_add(k, i);
 }
 
 /* Grows the list, if needed, to hold one more target; 0, or -1 if out of
  * memory. */
 static int
-make_room(struct known *k)
+grow(struct known *k)
 {
-	int room = k->room == 0 ? ROOM_FIRST : k->room * 2;
+	int capacity = k->capacity == 0 ? INITIAL_CAPACITY : k->capacity * 2;
 	struct known_target *list;
-	int *heads;
+	int *buckets;
 
-	if (k->n < k->room)
+	if (k->n < k->capacity)
 		return (0);
-	heads = malloc(sizeof(*heads) * (size_t)room);
-	list = realloc(k->list, sizeof(*list) * (size_t)room);
+	buckets = malloc(sizeof(*buckets) * (size_t)capacity);
+	list = realloc(k->list, sizeof(*list) * (size_t)capacity);
 	if (list != NULL)
 		k->list = list;
-	if (heads == NULL || list == NULL) {
-		free(heads);
+	if (buckets == NULL || list == NULL) {
+		free(buckets);
 		return (-1);
 	}
-	free(k->heads);
-	k->heads = heads;
-	k->nheads = k->room = room;
-	chain_all(k);
+	free(k->buckets);
+	k->buckets = buckets;
+	k->nbuckets = k->capacity = capacity;
+	rehash(k);
 	return (0);
 }
 
@@ -95,7 +95,7 @@
 {
 	int i;
 
-	for (i = first_of(k, id); i != 0; i = k->list[i - 1].next) {
+	for (i = bucket_first(k, id); i != 0; i = k->list[i - 1].next) {
 		if (strcmp(k->list[i - 1].t.id, id) == 0)
 			return (&k->list[i - 1]);
 	}
@@ -119,19 +119,19 @@
 known_store_answered(struct known *k, usec now)
 {
 	if (k->failing_since != 0 &&
-	    now - k->failing_since >= LAPSE_BEATS * k->heartbeat)
-		k->doubt_until = now + LAPSE_BACK;
+	    now - k->failing_since >= LAPSE_HEARTBEATS * k->heartbeat)
+		k->doubt_until = now + LAPSE_GRACE;
 	k->failing_since = 0;
 }
 
 /* True if a later incarnation of the target is known, so that news of this one
  * is outdated. */
 static int
-is_past(const struct known *k, const char *id)
+is_superseded(const struct known *k, const char *id)
 {
 	int i;
 
-	for (i = first_of(k, id); i != 0; i = k->list[i - 1].next) {
+	for (i = bucket_first(k, id); i != 0; i = k->list[i - 1].next) {
 		if (incarnation_follows(k->list[i - 1].t.id, id))
 			return (1);
 	}
@@ -159,7 +159,7 @@
 {
 	int i;
 
-	for (i = first_of(k, id); i != 0; i = k->list[i - 1].next) {
+	for (i = bucket_first(k, id); i != 0; i = k->list[i - 1].next) {
 		if (incarnation_follows(id, k->list[i - 1].t.id))
 			mark_gone(k, &k->list[i - 1], now);
 	}
@@ -172,21 +172,21 @@
 	struct known_target *e = find(k, t->id);
 	usec cold = t->cold_until;
 
-	if (is_past(k, t->id))
+	if (is_superseded(k, t->id))
 		return;
 	end_earlier(k, t->id, now);
 	if (e == NULL) {
-		if (make_room(k) != 0)
+		if (grow(k) != 0)
 			return;
 		e = &k->list[k->n++];
 		memset(e, 0, sizeof(*e));
 		name_copy(e->t.id, sizeof(e->t.id), t->id);
-		chain(k, k->n - 1);
+		bucket_add(k, k->n - 1);
 	}
 	e->t = *t;
 	/* An outdated entry that arrives late must not undo that. */
-	e->said_so |= t->leaving && !t->gone;
-	e->t.leaving |= e->said_so;
+	e->leave_announced |= t->leaving && !t->gone;
+	e->t.leaving |= e->leave_announced;
 	e->t.cold_until = cold > 0 ? now + cold : 0;
 	e->missing_since = 0;
 	e->gone_since = 0;
@@ -196,7 +196,7 @@
 
 /* Handles the removal of a target's entry. */
 static void
-lost(struct known *k, struct known_target *e, usec now)
+entry_removed(struct known *k, struct known_target *e, usec now)
 {
 	if (e->gone_since != 0 || e->missing_since != 0)
 		return;
@@ -210,12 +210,12 @@
 
 /* Calls a function for each incarnation of a target. */
 static void
-each_life(struct known *k, const char *target, usec now,
+each_incarnation(struct known *k, const char *target, usec now,
     void (*fn)(struct known *, struct known_target *, usec))
 {
 	int i;
 
-	for (i = first_of(k, target); i != 0; i = k->list[i - 1].next) {
+	for (i = bucket_first(k, target); i != 0; i = k->list[i - 1].next) {
 		if (incarnation_is_of(k->list[i - 1].t.id, target))
 			fn(k, &k->list[i - 1], now);
 	}
@@ -225,7 +225,7 @@
 void
 known_gone(struct known *k, const char *target, usec now)
 {
-	each_life(k, target, now, lost);
+	each_incarnation(k, target, now, entry_removed);
 }
 
 /*
@@ -237,7 +237,7 @@
 void
 known_unusable(struct known *k, const char *target, usec now)
 {
-	each_life(k, target, now, mark_gone);
+	each_incarnation(k, target, now, mark_gone);
 }
 
 /*
@@ -267,7 +267,7 @@
 		if (!k->list[i].seen)
 			mark_gone(k, &k->list[i], now);
 	}
-	k->changed |= evacuations_told(&k->evacuations, &f->evacuations);
+	k->changed |= evacuations_adopt(&k->evacuations, &f->evacuations);
 }
 
 /* Starts reading a complete list of the entries. */
@@ -291,7 +291,7 @@
 	known_batch(k, missing, now);
 	for (i = 0; i < k->n; i++) {
 		if (!k->list[i].seen)
-			lost(k, &k->list[i], now);
+			entry_removed(k, &k->list[i], now);
 	}
 }
 
@@ -301,15 +301,15 @@
  * not notice.
  */
 void
-known_batch(struct known *k, int gone, usec now)
+known_batch(struct known *k, int removed, usec now)
 {
 	int i, live = 0;
 
 	for (i = 0; i < k->n; i++)
 		live += k->list[i].gone_since == 0;
-	if (gone >= MASS_MIN && gone * 2 >= live &&
-	    k->doubt_until < now + LAPSE_BACK)
-		k->doubt_until = now + LAPSE_BACK;
+	if (removed >= MASS_REMOVAL_MIN && removed * 2 >= live &&
+	    k->doubt_until < now + LAPSE_GRACE)
+		k->doubt_until = now + LAPSE_GRACE;
 }
 
 /* Marks targets as gone whose entries have not come back in time, and drops
@@ -318,23 +318,24 @@
 known_tick(struct known *k, usec now)
 {
 	struct known_target *e;
-	int i, was = k->n;
+	int i, before = k->n;
 
 	evacuations_expire(&k->evacuations, now);
 	for (i = 0; i < k->n; i++) {
 		e = &k->list[i];
 		if (e->missing_since != 0 && now >= k->doubt_until) {
 			e->missing_since = 0;
-			lost(k, e, now);
+			entry_removed(k, e, now);
 		}
-		if (e->gone_since != 0 && now - e->gone_since > GONE_KEPT) {
+		if (e->gone_since != 0 &&
+		    now - e->gone_since > GONE_RETENTION) {
 			*e = k->list[--k->n];
 			i--;
 			k->changed = 1;
 		}
 	}
-	if (k->n != was)
-		chain_all(k);
+	if (k->n != before)
+		rehash(k);
 }
 
 /* Returns a digest of one target and its state; sums of these do not depend on
--- a/decide/known.h
+++ b/decide/known.h
@@ -11,26 +11,27 @@
 
 /* Entries that lapsed in a store outage are back this long after its end: the
  * platform's operators give about two seconds. */
-#define LAPSE_BACK MS(2000)
+#define LAPSE_GRACE MS(2000)
 /* How long a target that is gone stays in the list, so that its keys can be
  * moved. */
-#define GONE_KEPT MS(20000)
+#define GONE_RETENTION MS(20000)
 
 struct known_target {
 	struct fleet_target t;
-	usec missing_since; /* entry removed while in doubt; else 0 */
-	usec gone_since;    /* 0 if not gone */
-	int said_so; /* the target announced that it leaves, which is final */
-	int seen;    /* in the list that is being read */
-	int next;    /* in its bucket: 1 + index, 0 at the end */
+	usec missing_since;  /* entry removed while in doubt; else 0 */
+	usec gone_since;     /* 0 if not gone */
+	int leave_announced; /* the target announced that it leaves, which is
+				final */
+	int seen;	     /* in the list that is being read */
+	int next;	     /* in its bucket: 1 + index, 0 at the end */
 };
 
 struct known {
 	struct known_target *list;
 	int n;
-	int room;
-	int *heads; /* hash table by target id: 1 + index, 0 if empty */
-	int nheads; /* a power of two */
+	int capacity;
+	int *buckets; /* hash table by target id: 1 + index, 0 if empty */
+	int nbuckets; /* a power of two */
 	struct evacuations evacuations;
 	usec heartbeat;	    /* interval at which targets renew their entries */
 	usec failing_since; /* the store; 0 while it answers */
@@ -46,7 +47,7 @@
 void known_unusable(struct known *, const char *target, usec now);
 void known_list_begin(struct known *);
 void known_list_end(struct known *, usec now);
-void known_batch(struct known *, int gone, usec now);
+void known_batch(struct known *, int removed, usec now);
 void known_tick(struct known *, usec now);
 void known_told(struct known *, const struct fleet *, usec now);
 struct fleet *known_fleet(struct known *);
--- a/decide/owners.c
+++ b/decide/owners.c
@@ -49,7 +49,7 @@
 }
 
 /* Availability times closer together than this count as equal. */
-#define BACK_SAME MS(200)
+#define SERVED_AT_TOLERANCE MS(200)
 
 /* Returns the name of a range's owner, or "" if it has none. */
 static const char *
@@ -60,7 +60,7 @@
 
 /* Finds a service by name; NULL if absent. */
 static const struct owner_service *
-service_of(const struct owners *o, const char *name)
+find_service(const struct owners *o, const char *name)
 {
 	int i;
 
@@ -92,7 +92,7 @@
 /* Returns the index of a target name, adding it if it is new; -1 for an empty
  * name.  The caller has allocated space for it. */
 static int
-name_index(struct owners *o, const char *name)
+intern_target(struct owners *o, const char *name)
 {
 	int i;
 
@@ -109,20 +109,22 @@
 /* True if an earlier snapshot has the same range with the same owner and
  * state. */
 static int
-stands(const struct owners *was, const struct owner_service *ws,
-    const struct owners *now, const struct owner_range *r)
+is_unchanged(const struct owners *old, const struct owner_service *old_service,
+    const struct owners *new, const struct owner_range *r)
 {
-	const struct owner_range *w =
-	    ws == NULL ? NULL : owners_find(was, ws->name, r->from);
-	usec apart;
-
-	if (w == NULL || w->from != r->from || w->to != r->to ||
-	    w->moving != r->moving ||
-	    strcmp(owner_name(was, w), owner_name(now, r)) != 0)
+	const struct owner_range *earlier = old_service == NULL
+	    ? NULL
+	    : owners_find(old, old_service->name, r->from);
+	usec difference;
+
+	if (earlier == NULL || earlier->from != r->from ||
+	    earlier->to != r->to || earlier->moving != r->moving ||
+	    strcmp(owner_name(old, earlier), owner_name(new, r)) != 0)
 		return (0);
-	apart = w->back_at > r->back_at ? w->back_at - r->back_at
-					: r->back_at - w->back_at;
-	return (apart < BACK_SAME);
+	difference = earlier->back_at > r->back_at
+	    ? earlier->back_at - r->back_at
+	    : r->back_at - earlier->back_at;
+	return (difference < SERVED_AT_TOLERANCE);
 }
 
 /*
@@ -132,30 +134,30 @@
  * 3.8 MB a second.
  */
 struct owners *
-owners_diff(const struct owners *was, const struct owners *now)
+owners_diff(const struct owners *old, const struct owners *new)
 {
-	const struct owner_service *s, *ws;
+	const struct owner_service *s, *old_service;
 	struct owner_service *to;
-	struct owners *d = owners_new(now->nservices, now->ntargets);
+	struct owners *d = owners_new(new->nservices, new->ntargets);
 	int i, k;
 
 	if (d == NULL)
 		return (NULL);
-	d->number = now->number;
-	d->hosts = now->hosts;
-	for (i = 0; i < now->nservices; i++) {
-		s = &now->services[i];
-		ws = service_of(was, s->name);
+	d->number = new->number;
+	d->hosts = new->hosts;
+	for (i = 0; i < new->nservices; i++) {
+		s = &new->services[i];
+		old_service = find_service(old, s->name);
 		to = &d->services[d->nservices++];
 		name_copy(to->name, sizeof(to->name), s->name);
 		to->ranges =
 		    calloc((size_t)s->nranges + 1, sizeof(*to->ranges));
 		for (k = 0; to->ranges != NULL && k < s->nranges; k++) {
-			if (stands(was, ws, now, &s->ranges[k]))
+			if (is_unchanged(old, old_service, new, &s->ranges[k]))
 				continue;
 			to->ranges[to->nranges] = s->ranges[k];
 			to->ranges[to->nranges++].target =
-			    name_index(d, owner_name(now, &s->ranges[k]));
+			    intern_target(d, owner_name(new, &s->ranges[k]));
 		}
 	}
 	return (d);
@@ -163,7 +165,7 @@
 
 /* Appends the keys from..to of a range to a service. */
 static void
-add_part(struct owner_service *s, const struct owner_range *r, uint32_t from,
+add_keys(struct owner_service *s, const struct owner_range *r, uint32_t from,
     uint32_t to, int target)
 {
 	struct owner_range *n = &s->ranges[s->nranges++];
@@ -176,9 +178,9 @@
 
 /* Merges the ranges of a difference into those of a service's base. */
 static void
-overlay(struct owners *o, struct owner_service *to, const struct owners *base,
-    const struct owner_service *b, const struct owners *diff,
-    const struct owner_service *d)
+apply_service(struct owners *o, struct owner_service *to,
+    const struct owners *base, const struct owner_service *b,
+    const struct owners *diff, const struct owner_service *d)
 {
 	const struct owner_range *r;
 	int i = 0, k, target;
@@ -186,29 +188,29 @@
 
 	for (k = 0; b != NULL && k < b->nranges; k++) {
 		r = &b->ranges[k];
-		target = name_index(o, owner_name(base, r));
+		target = intern_target(o, owner_name(base, r));
 		for (at = r->from; at <= r->to;) {
 			while (i < d->nranges && d->ranges[i].to < at)
 				i++;
 			if (i == d->nranges || d->ranges[i].from > r->to) {
-				add_part(to, r, at, r->to, target);
+				add_keys(to, r, at, r->to, target);
 				break;
 			}
 			if (d->ranges[i].from > at)
-				add_part(
+				add_keys(
 				    to, r, at, d->ranges[i].from - 1, target);
 			/* Add each range of the difference only once. */
 			if (d->ranges[i].from >= r->from)
-				add_part(to, &d->ranges[i], d->ranges[i].from,
+				add_keys(to, &d->ranges[i], d->ranges[i].from,
 				    d->ranges[i].to,
-				    name_index(
+				    intern_target(
 					o, owner_name(diff, &d->ranges[i])));
 			at = d->ranges[i].to + 1;
 		}
 	}
 	for (k = 0; b == NULL && k < d->nranges; k++)
-		add_part(to, &d->ranges[k], d->ranges[k].from, d->ranges[k].to,
-		    name_index(o, owner_name(diff, &d->ranges[k])));
+		add_keys(to, &d->ranges[k], d->ranges[k].from, d->ranges[k].to,
+		    intern_target(o, owner_name(diff, &d->ranges[k])));
 }
 
 /* Applies a difference to a snapshot and returns the result; NULL if out of
@@ -228,14 +230,14 @@
 	o->hosts = diff->hosts;
 	for (i = 0; i < diff->nservices; i++) {
 		d = &diff->services[i];
-		b = service_of(base, d->name);
+		b = find_service(base, d->name);
 		to = &o->services[o->nservices++];
 		name_copy(to->name, sizeof(to->name), d->name);
 		to->ranges = calloc((size_t)(b == NULL ? 0 : b->nranges) * 2 +
 			(size_t)d->nranges * 2 + 1,
 		    sizeof(*to->ranges));
 		if (to->ranges != NULL)
-			overlay(o, to, base, b, diff, d);
+			apply_service(o, to, base, b, diff, d);
 	}
 	return (o);
 }
--- a/decide/owners.h
+++ b/decide/owners.h
@@ -37,7 +37,7 @@
 	int nservices;
 };
 
-struct owners *owners_diff(const struct owners *was, const struct owners *now);
+struct owners *owners_diff(const struct owners *old, const struct owners *new);
 struct owners *owners_overlay(
     const struct owners *base, const struct owners *diff);
 void owners_free(void *);
--- a/decide/place.c
+++ b/decide/place.c
@@ -1,19 +1,19 @@
 #include "place.h"
 
 /* Load of an idle shard, in busy slots; breaks ties between idle targets. */
-#define IDLE_SHARD 0.0005
+#define IDLE_SHARD_LOAD 0.0005
 /* Targets with a lower utilisation are not relieved, however uneven the load.
  */
-#define WORTH_MOVING 0.1
+#define UTILISATION_MIN 0.1
 /* In an idle fleet a target with less than this fraction of the mean number of
  * shards per slot is given more. */
-#define ENOUGH 0.5
+#define SHARE_MIN 0.5
 
 /* Returns a target's utilisation: busy slots over all its slots. */
 double
-place_cost(const struct place_target *t)
+place_utilisation(const struct place_target *t)
 {
-	return ((t->load + IDLE_SHARD * t->shards) / t->slots);
+	return ((t->load + IDLE_SHARD_LOAD * t->shards) / t->slots);
 }
 
 /* Returns the usable target with the lowest utilisation, or -1. */
@@ -25,7 +25,8 @@
 	for (i = 0; i < n; i++) {
 		if (!t[i].usable)
 			continue;
-		if (best < 0 || place_cost(&t[i]) < place_cost(&t[best]))
+		if (best < 0 ||
+		    place_utilisation(&t[i]) < place_utilisation(&t[best]))
 			best = i;
 	}
 	return (best);
@@ -34,13 +35,14 @@
 /* Returns the usable target with the highest utilisation that has shards, or
  * -1. */
 static int
-fullest(const struct place_target *t, int n)
+most_utilised(const struct place_target *t, int n)
 {
 	int i, most = -1;
 
 	for (i = 0; i < n; i++) {
 		if (t[i].usable && t[i].shards > 0 &&
-		    (most < 0 || place_cost(&t[i]) > place_cost(&t[most])))
+		    (most < 0 ||
+			place_utilisation(&t[i]) > place_utilisation(&t[most])))
 			most = i;
 	}
 	return (most);
@@ -57,9 +59,9 @@
 	for (i = 0; i < n; i++) {
 		if (!t[i].usable)
 			continue;
-		sum += place_cost(&t[i]);
-		if (place_cost(&t[i]) > most)
-			most = place_cost(&t[i]);
+		sum += place_utilisation(&t[i]);
+		if (place_utilisation(&t[i]) > most)
+			most = place_utilisation(&t[i]);
 		k++;
 	}
 	return (sum > 0 ? most * k / sum : 1);
@@ -67,7 +69,7 @@
 
 /* Returns the number of shards per slot. */
 static double
-held(const struct place_target *t)
+shards_per_slot(const struct place_target *t)
 {
 	return ((double)t->shards / t->slots);
 }
@@ -75,7 +77,7 @@
 /*
  * Picks a source and a destination by shards per slot, for an idle fleet whose
  * loads say nothing: from the target with the most to the one with the fewest,
- * if that has less than ENOUGH of the mean.  Returns true if there is such a
+ * if that has less than SHARE_MIN of the mean.  Returns true if there is such a
  * pair.  Without this a target that recovers from a freeze would get one shard
  * and stay nearly empty, and a surge would hit only the others.  Shard counts
  * carry no noise: once the target has enough, nothing moves.
@@ -92,21 +94,23 @@
 			continue;
 		shards += t[i].shards;
 		slots += t[i].slots;
-		if (*from < 0 || held(&t[i]) > held(&t[*from]))
+		if (*from < 0 ||
+		    shards_per_slot(&t[i]) > shards_per_slot(&t[*from]))
 			*from = i;
-		if (*to < 0 || held(&t[i]) < held(&t[*to]))
+		if (*to < 0 ||
+		    shards_per_slot(&t[i]) < shards_per_slot(&t[*to]))
 			*to = i;
 	}
 	if (*to < 0 || *from == *to || t[*from].shards < 2)
 		return (0);
 	return (t[*to].shards == 0 ||
-	    t[*to].shards + 1 <= ENOUGH * t[*to].slots * shards / slots);
+	    t[*to].shards + 1 <= SHARE_MIN * t[*to].slots * shards / slots);
 }
 
 /* Returns the higher utilisation of two targets after a shard of the given load
  * has moved between them. */
 static double
-worst_after(
+max_utilisation_after(
     const struct place_target *from, const struct place_target *to, double load)
 {
 	struct place_target a = *from, b = *to;
@@ -115,13 +119,14 @@
 	a.shards--;
 	b.load += load;
 	b.shards++;
-	return (
-	    place_cost(&a) > place_cost(&b) ? place_cost(&a) : place_cost(&b));
+	return (place_utilisation(&a) > place_utilisation(&b)
+		? place_utilisation(&a)
+		: place_utilisation(&b));
 }
 
 /* True if a shard is already among the moves. */
 static int
-chosen(const struct place_move *m, int n, uint32_t shard)
+is_chosen(const struct place_move *m, int n, uint32_t shard)
 {
 	int i;
 
@@ -150,14 +155,14 @@
 	int from, to, k;
 
 	for (k = 0; k < max; k++) {
-		from = fullest(t, n);
+		from = most_utilised(t, n);
 		if (from < 0)
 			break;
-		best = place_cost(&t[from]);
-		if (best < WORTH_MOVING) {
+		best = place_utilisation(&t[from]);
+		if (best < UTILISATION_MIN) {
 			if (!pair_by_count(t, n, &from, &to))
 				break;
-			best = WORTH_MOVING;
+			best = UTILISATION_MIN;
 		} else {
 			to = place_pick(t, n);
 			if (from == to || place_imbalance(t, n) <= tolerance)
@@ -165,9 +170,11 @@
 		}
 		pick = shards;
 		for (s = 0; s < shards; s++) {
-			if (owner[s] != from || fixed[s] || chosen(out, k, s))
+			if (owner[s] != from || fixed[s] ||
+			    is_chosen(out, k, s))
 				continue;
-			after = worst_after(&t[from], &t[to], load[s]);
+			after =
+			    max_utilisation_after(&t[from], &t[to], load[s]);
 			if (after < best - 1e-9) {
 				best = after;
 				pick = s;
--- a/decide/place.h
+++ b/decide/place.h
@@ -17,7 +17,7 @@
 	int to;
 };
 
-double place_cost(const struct place_target *);
+double place_utilisation(const struct place_target *);
 int place_pick(const struct place_target *, int n);
 double place_imbalance(const struct place_target *, int n);
 int place_balance(struct place_target *, int n, const int *owner,
--- a/decide/site.c
+++ b/decide/site.c
@@ -128,7 +128,7 @@
 /* Returns the index of a host's first rule or, if it has none, of where that
  * would be. */
 static int
-first_of(const struct site *t, const struct str *host)
+first_rule(const struct site *t, const struct str *host)
 {
 	int low = 0, high = t->nrules, mid;
 
@@ -150,7 +150,7 @@
 	const struct rule *r;
 	int i;
 
-	for (i = first_of(t, host); i < t->nrules; i++) {
+	for (i = first_rule(t, host); i < t->nrules; i++) {
 		r = &t->rules[i];
 		if (host_cmp(&r->host, host) != 0)
 			break;
--- a/decide/site_change.c
+++ b/decide/site_change.c
@@ -6,7 +6,7 @@
 /* Copies a configuration without its rules, for up to max_rules rules; NULL if
  * out of memory. */
 static struct site *
-copy_frame(const struct site *from, int max_rules)
+copy_without_rules(const struct site *from, int max_rules)
 {
 	struct site *t = site_new(max_rules);
 	struct rule *rules;
@@ -42,8 +42,8 @@
 
 /* True if two rules for the same requests route them in the same way. */
 static int
-same(const struct site *was, const struct rule *a, const struct site *now,
-    const struct rule *b)
+same_routing(const struct site *old, const struct rule *a,
+    const struct site *new, const struct rule *b)
 {
 	const struct rule_part *pa, *pb;
 	int i;
@@ -56,8 +56,8 @@
 		pa = &a->parts[i];
 		pb = &b->parts[i];
 		if (pa->weight != pb->weight ||
-		    strcmp(was->services[pa->service].name,
-			now->services[pb->service].name) != 0)
+		    strcmp(old->services[pa->service].name,
+			new->services[pb->service].name) != 0)
 			return (0);
 	}
 	return (1);
@@ -91,8 +91,8 @@
 	if (n != b->end - b->from)
 		return (0);
 	for (i = 0; i < n; i++) {
-		if (!same(a->site, &a->site->rules[a->from + i], b->site,
-			&b->site->rules[b->from + i]))
+		if (!same_routing(a->site, &a->site->rules[a->from + i],
+			b->site, &b->site->rules[b->from + i]))
 			return (0);
 	}
 	return (1);
@@ -114,7 +114,7 @@
 /* Adds to a difference that all rules for the same requests were removed; 0, or
  * -1. */
 static int
-add_gone(struct site *c, const struct rule *r)
+add_removed(struct site *c, const struct rule *r)
 {
 	struct rule *to = site_add(c);
 
@@ -128,26 +128,26 @@
 /* Adds all rules that differ to a difference, walking the sorted rules of both
  * configurations; 0, or -1 if out of memory. */
 static int
-add_changed(struct site *c, const struct site *was, const struct site *now)
+add_changed(struct site *c, const struct site *old, const struct site *new)
 {
-	struct group a = {was, 0, 0}, b = {now, 0, 0};
+	struct group a = {old, 0, 0}, b = {new, 0, 0};
 	int order, st;
 
-	while (a.from < was->nrules || b.from < now->nrules) {
-		if (a.from < was->nrules)
-			a = group_at(was, a.from);
-		if (b.from < now->nrules)
-			b = group_at(now, b.from);
-		if (a.from == was->nrules)
+	while (a.from < old->nrules || b.from < new->nrules) {
+		if (a.from < old->nrules)
+			a = group_at(old, a.from);
+		if (b.from < new->nrules)
+			b = group_at(new, b.from);
+		if (a.from == old->nrules)
 			order = 1;
-		else if (b.from == now->nrules)
+		else if (b.from == new->nrules)
 			order = -1;
 		else
 			order =
-			    rule_cmp(&was->rules[a.from], &now->rules[b.from]);
+			    rule_cmp(&old->rules[a.from], &new->rules[b.from]);
 		st = 0;
 		if (order < 0)
-			st = add_gone(c, &was->rules[a.from]);
+			st = add_removed(c, &old->rules[a.from]);
 		else if (order > 0 || !same_group(&a, &b))
 			st = add_group(c, &b);
 		if (st != 0)
@@ -163,14 +163,14 @@
 /* Returns the difference that turns one configuration into another, to be freed
  * with site_free; NULL if out of memory. */
 struct site *
-site_change(const struct site *was, const struct site *now)
+site_change(const struct site *old, const struct site *new)
 {
-	struct site *c = copy_frame(now, was->nrules + now->nrules);
+	struct site *c = copy_without_rules(new, old->nrules + new->nrules);
 
 	if (c == NULL)
 		return (NULL);
-	c->since = was->version;
-	if (add_changed(c, was, now) == 0)
+	c->since = old->version;
+	if (add_changed(c, old, new) == 0)
 		return (c);
 	site_free(c);
 	return (NULL);
@@ -179,17 +179,17 @@
 /* Adds the rules of a configuration that a difference leaves as they are; 0, or
  * -1. */
 static int
-add_kept(struct site *t, const struct site *was, const struct site *change)
+add_unchanged(struct site *t, const struct site *old, const struct site *diff)
 {
 	int i, k = 0, order = 1;
 
-	for (i = 0; i < was->nrules; i++) {
-		while (k < change->nrules &&
-		    (order = rule_cmp(&change->rules[k], &was->rules[i])) < 0)
+	for (i = 0; i < old->nrules; i++) {
+		while (k < diff->nrules &&
+		    (order = rule_cmp(&diff->rules[k], &old->rules[i])) < 0)
 			k++;
-		if (k < change->nrules && order == 0)
+		if (k < diff->nrules && order == 0)
 			continue;
-		if (add_copy(t, was, &was->rules[i]) != 0)
+		if (add_copy(t, old, &old->rules[i]) != 0)
 			return (-1);
 	}
 	return (0);
@@ -202,22 +202,22 @@
  * a configuration that the operator has written.
  */
 struct site *
-site_apply(const struct site *was, const struct site *change)
+site_apply(const struct site *old, const struct site *diff)
 {
 	struct site *t;
-	int i, bad;
+	int i, failed;
 
-	if (was->version != change->since)
+	if (old->version != diff->since)
 		return (NULL);
-	t = copy_frame(change, was->nrules + change->nrules);
+	t = copy_without_rules(diff, old->nrules + diff->nrules);
 	if (t == NULL)
 		return (NULL);
-	bad = add_kept(t, was, change) != 0;
-	for (i = 0; i < change->nrules && !bad; i++) {
-		if (!change->rules[i].gone)
-			bad = add_copy(t, change, &change->rules[i]) != 0;
+	failed = add_unchanged(t, old, diff) != 0;
+	for (i = 0; i < diff->nrules && !failed; i++) {
+		if (!diff->rules[i].gone)
+			failed = add_copy(t, diff, &diff->rules[i]) != 0;
 	}
-	if (bad) {
+	if (failed) {
 		site_free(t);
 		return (NULL);
 	}
--- a/decide/viewdelta.c
+++ b/decide/viewdelta.c
@@ -7,7 +7,7 @@
 /* Counts the shards of a full view that differ from its base; -1 if the two
  * cannot be compared. */
 static long
-differences(const Gspar__View *base, const Gspar__View *v)
+count_changes(const Gspar__View *base, const Gspar__View *v)
 {
 	const Gspar__ServiceView *a, *b;
 	size_t i, n;
@@ -111,7 +111,7 @@
 		return (-1);
 	for (i = 0; i < v->n_services; i++)
 		shards += v->services[i]->n_owner;
-	k = differences(base, v);
+	k = count_changes(base, v);
 	if (k < 0 || (size_t)k * 2 > shards)
 		return (-1);
 	d->services = calloc(v->n_services + 1, sizeof(*d->services));
@@ -197,7 +197,7 @@
 /* Expands a service's difference: takes owners and fences from the base and
  * applies the changes; 0, or -1. */
 static int
-fill(Gspar__ServiceView *sv, const Gspar__ServiceView *base)
+expand_service(Gspar__ServiceView *sv, const Gspar__ServiceView *base)
 {
 	const Gspar__ShardChange *c;
 	size_t i;
@@ -247,7 +247,7 @@
 	if (v == NULL)
 		return (NULL);
 	for (i = 0; i < v->n_services && res == 0; i++)
-		res = fill(v->services[i],
+		res = expand_service(v->services[i],
 		    view_service(base, v->services[i]->service));
 	if (res == 0 && v->same_dispatch)
 		res = copy_dispatch(v, base);
--- a/regress/unit/t_evacuation.c
+++ b/regress/unit/t_evacuation.c
@@ -11,7 +11,7 @@
 static struct evacuations e, other;
 
 static void
-start(void)
+set_up(void)
 {
 	memset(&e, 0, sizeof(e));
 	memset(&other, 0, sizeof(other));
@@ -19,9 +19,9 @@
 
 /* Targets are closed at once, or after the grace period if they own keys. */
 static void
-closed(void)
+closed_from(void)
 {
-	start();
+	set_up();
 	CU_ASSERT(evacuations_closed_from(&e, "a", GRACE) == 0);
 	CU_ASSERT(evacuations_begin(&e, "a", MS(1000)) == 0);
 	CU_ASSERT(evacuations_active(&e, "a") && !evacuations_active(&e, "b"));
@@ -39,9 +39,9 @@
 
 /* An evacuation from a list may have started long ago: there is no grace. */
 static void
-not_known_since(void)
+unknown_start(void)
 {
-	start();
+	set_up();
 	other.as_of = 7;
 	evacuations_begin(&other, "a", 0);
 	CU_ASSERT(evacuations_listed(&e, &other, MS(1000)) == 1);
@@ -53,7 +53,7 @@
 static void
 older_list(void)
 {
-	start();
+	set_up();
 	other.as_of = 9;
 	evacuations_begin(&other, "a", 0);
 	evacuations_begin(&other, "b", 0);
@@ -72,39 +72,39 @@
 /* A controller with an older revision does not restart an evacuation that has
  * ended. */
 static void
-told_by_one_behind(void)
+older_controller(void)
 {
-	start();
+	set_up();
 	evacuations_begin(&e, "a", MS(1000));
 	e.as_of = 20;
 	evacuations_end(&e, "a", MS(5000));
 	e.as_of = 30;
 	other.as_of = 25;
 	evacuations_begin(&other, "a", MS(1000));
-	CU_ASSERT(evacuations_told(&e, &other) == 0);
+	CU_ASSERT(evacuations_adopt(&e, &other) == 0);
 	CU_ASSERT(!evacuations_active(&e, "a"));
 	other.as_of = 31;
-	CU_ASSERT(evacuations_told(&e, &other) == 1);
+	CU_ASSERT(evacuations_adopt(&e, &other) == 1);
 	CU_ASSERT(evacuations_active(&e, "a"));
 	/* Nor does a controller that has just started and read nothing yet. */
 	other.n = 0;
 	other.as_of = 0;
-	CU_ASSERT(evacuations_told(&e, &other) == 0);
+	CU_ASSERT(evacuations_adopt(&e, &other) == 0);
 	CU_ASSERT(evacuations_active(&e, "a"));
 }
 
 /* A new controller that has only read a list does not change known start times.
  */
 static void
-told_without_time(void)
+controller_without_start_times(void)
 {
-	start();
+	set_up();
 	evacuations_begin(&e, "a", MS(1000));
 	e.as_of = 20;
 	evacuations_begin(&other, "a", 0);
 	evacuations_begin(&other, "b", 0);
 	other.as_of = 21;
-	CU_ASSERT(evacuations_told(&e, &other) == 1);
+	CU_ASSERT(evacuations_adopt(&e, &other) == 1);
 	CU_ASSERT(evacuations_closed_from(&e, "a", GRACE) == MS(3500));
 	CU_ASSERT(evacuations_closed_from(&e, "b", GRACE) == 1);
 }
@@ -113,7 +113,7 @@
 static void
 cold_after(void)
 {
-	start();
+	set_up();
 	evacuations_begin(&e, "a", MS(1000));
 	CU_ASSERT(evacuations_cold_until(&e, "a", MS(3000)) == 0);
 	evacuations_end(&e, "a", MS(8000));
@@ -132,7 +132,7 @@
 	char dc[16];
 	int i;
 
-	start();
+	set_up();
 	for (i = 0; i < EVACUATIONS_MAX; i++) {
 		snprintf(dc, sizeof(dc), "dc-%d", i);
 		CU_ASSERT(evacuations_begin(&e, dc, MS(1000 + i)) == 0);
@@ -152,7 +152,7 @@
 static void
 digest(void)
 {
-	start();
+	set_up();
 	CU_ASSERT(evacuations_digest(&e) == 0);
 	evacuations_begin(&e, "a", MS(1));
 	evacuations_begin(&e, "b", MS(1));
@@ -167,33 +167,33 @@
 
 /* A fleet received from the controller includes its evacuations. */
 static void
-with_the_fleet(void)
+in_fleet(void)
 {
 	static struct known k;
-	struct fleet told = {.ntargets = 0}, *f;
+	struct fleet received = {.ntargets = 0}, *f;
 
-	start();
-	evacuations_begin(&told.evacuations, "a", MS(1000));
-	told.evacuations.as_of = 5;
-	known_told(&k, &told, MS(1500));
+	set_up();
+	evacuations_begin(&received.evacuations, "a", MS(1000));
+	received.evacuations.as_of = 5;
+	known_told(&k, &received, MS(1500));
 	CU_ASSERT(k.changed);
 	f = known_fleet(&k);
 	CU_ASSERT_FATAL(f != NULL);
 	CU_ASSERT(evacuations_active(&f->evacuations, "a"));
-	CU_ASSERT(f->digest == evacuations_digest(&told.evacuations));
+	CU_ASSERT(f->digest == evacuations_digest(&received.evacuations));
 	fleet_free(f);
 	known_free(&k);
 }
 
 static const struct unit_test tests[] = {
-    {"closed", closed},
-    {"not known since", not_known_since},
+    {"closed from", closed_from},
+    {"unknown start", unknown_start},
     {"older list", older_list},
-    {"told by one behind", told_by_one_behind},
-    {"told without time", told_without_time},
+    {"older controller", older_controller},
+    {"controller without start times", controller_without_start_times},
     {"cold after", cold_after},
     {"table full", table_full},
     {"digest", digest},
-    {"with the fleet", with_the_fleet},
+    {"in a fleet", in_fleet},
 };
 UNIT_MAIN("evacuation", tests)
--- a/regress/unit/t_known.c
+++ b/regress/unit/t_known.c
@@ -22,7 +22,7 @@
 
 /* Starts a test with n targets. */
 static void
-start(int n)
+set_up(int n)
 {
 	char id[8];
 	int i;
@@ -53,12 +53,12 @@
 static void
 removed(void)
 {
-	start(6);
+	set_up(6);
 	known_gone(&k, "t3", MS(100));
 	CU_ASSERT_EQUAL(usable(MS(100)), 5);
 	CU_ASSERT_EQUAL(k.n, 6);
 	/* Later it is dropped from the list. */
-	CU_ASSERT_EQUAL(usable(MS(100) + GONE_KEPT + 1), 5);
+	CU_ASSERT_EQUAL(usable(MS(100) + GONE_RETENTION + 1), 5);
 	CU_ASSERT_EQUAL(k.n, 5);
 }
 
@@ -69,9 +69,9 @@
  * seconds stay usable all the time; the others are gone then.
  */
 static void
-lapsed(void)
+lapsed_in_outage(void)
 {
-	start(6);
+	set_up(6);
 	known_store_failed(&k, MS(1000));
 	known_store_failed(&k, MS(3000));
 	known_store_answered(&k, MS(5000));
@@ -88,7 +88,7 @@
 static void
 short_outage(void)
 {
-	start(6);
+	set_up(6);
 	known_store_failed(&k, MS(1000));
 	known_store_answered(&k, MS(1500));
 	known_gone(&k, "t1", MS(1500));
@@ -100,7 +100,7 @@
 static void
 leaving_in_outage(void)
 {
-	start(6);
+	set_up(6);
 	k.list[2].t.leaving = 1;
 	known_store_failed(&k, MS(1000));
 	known_store_answered(&k, MS(5000));
@@ -118,14 +118,14 @@
 	int i;
 	char id[8];
 
-	start(8);
+	set_up(8);
 	known_batch(&k, 6, MS(1000));
 	for (i = 0; i < 6; i++) {
 		snprintf(id, sizeof(id), "t%d", i);
 		known_gone(&k, id, MS(1000));
 	}
 	CU_ASSERT_EQUAL(usable(MS(1000)), 8);
-	CU_ASSERT_EQUAL(usable(MS(1000) + LAPSE_BACK + 1), 2);
+	CU_ASSERT_EQUAL(usable(MS(1000) + LAPSE_GRACE + 1), 2);
 }
 
 /* Two of eight entries are removed: this is planned work, and the targets are
@@ -133,7 +133,7 @@
 static void
 two_at_once(void)
 {
-	start(8);
+	set_up(8);
 	known_batch(&k, 2, MS(1000));
 	known_gone(&k, "t0", MS(1000));
 	known_gone(&k, "t1", MS(1000));
@@ -147,12 +147,12 @@
  * list are gone, too.
  */
 static void
-told(void)
+from_controller(void)
 {
 	struct fleet_target t[2];
 	struct fleet f = {.targets = t, .ntargets = 1};
 
-	start(6);
+	set_up(6);
 	known_store_failed(&k, MS(1000));
 	known_store_answered(&k, MS(5000));
 	memset(t, 0, sizeof(t));
@@ -178,12 +178,12 @@
  * then sends its outdated list: the target must not get requests again.
  */
 static void
-never_back(void)
+leaving_is_final(void)
 {
 	struct fleet_target t;
 	struct fleet f = {.targets = &t, .ntargets = 1};
 
-	start(3);
+	set_up(3);
 	memset(&t, 0, sizeof(t));
 	name_copy(t.id, sizeof(t.id), "t1");
 	t.leaving = 1;
@@ -217,11 +217,11 @@
  * news of it change nothing; when the entry is removed, so is the later one.
  */
 static void
-started_again(void)
+restarted(void)
 {
 	struct fleet_target t;
 
-	start(2);
+	set_up(2);
 	memset(&t, 0, sizeof(t));
 	name_copy(t.id, sizeof(t.id), "t7#1000");
 	t.leaving = 1;
@@ -243,9 +243,9 @@
  * heard of only after the third, if at all.
  */
 static void
-started_twice(void)
+restarted_twice(void)
 {
-	start(0);
+	set_up(0);
 	put("t7#1000", MS(100));
 	put("t7#3000", MS(200));
 	put("t7#2000", MS(300));
@@ -259,9 +259,9 @@
  * once, until its next heartbeat writes a valid entry.
  */
 static void
-spoilt(void)
+invalid_entry(void)
 {
-	start(6);
+	set_up(6);
 	known_store_failed(&k, MS(1000));
 	known_store_answered(&k, MS(5000));
 	known_unusable(&k, "t3", MS(5100));
@@ -276,7 +276,7 @@
 {
 	struct fleet *a, *b;
 
-	start(3);
+	set_up(3);
 	a = known_fleet(&k);
 	known_free(&k);
 	k.heartbeat = MS(900);
@@ -295,16 +295,16 @@
 
 static const struct unit_test tests[] = {
     {"removed", removed},
-    {"lapsed", lapsed},
+    {"lapsed in an outage", lapsed_in_outage},
     {"short outage", short_outage},
     {"leaving in an outage", leaving_in_outage},
     {"many at once", many_at_once},
     {"two at once", two_at_once},
-    {"told", told},
-    {"never back", never_back},
-    {"started again", started_again},
-    {"started twice", started_twice},
-    {"spoilt", spoilt},
+    {"from the controller", from_controller},
+    {"leaving is final", leaving_is_final},
+    {"restarted", restarted},
+    {"restarted twice", restarted_twice},
+    {"invalid entry", invalid_entry},
     {"digest", digest},
 };
 UNIT_MAIN("known", tests)
--- a/regress/unit/t_known_size.c
+++ b/regress/unit/t_known_size.c
@@ -39,7 +39,7 @@
 
 /* Returns the least time of several tries. */
 static usec
-least(int n)
+fastest(int n)
 {
 	usec took, best = 0;
 	int i;
@@ -54,15 +54,14 @@
 
 /* With four times the targets, quadratic growth would take 16 times as long. */
 static void
-grows_with_targets(void)
+linear_time(void)
 {
-	usec few = least(1000), many = least(4000);
+	usec few = fastest(1000), many = fastest(4000);
 
 	printf("1000 targets %lld us, 4000 targets %lld us\n", (long long)few,
 	    (long long)many);
 	CU_ASSERT(many <= 8 * few);
 }
 
-static const struct unit_test tests[] = {
-    {"grows with targets", grows_with_targets}};
+static const struct unit_test tests[] = {{"linear time", linear_time}};
 UNIT_MAIN("known_size", tests)
--- a/regress/unit/t_owners.c
+++ b/regress/unit/t_owners.c
@@ -9,7 +9,7 @@
 
 /* A snapshot with three ranges of one service. */
 static struct owners *
-three(void)
+three_ranges(void)
 {
 	struct owners *o = calloc(1, sizeof(*o));
 	struct owner_service *s;
@@ -29,7 +29,7 @@
 static void
 find(void)
 {
-	struct owners *o = three();
+	struct owners *o = three_ranges();
 
 	CU_ASSERT_EQUAL(owners_find(o, "s", 0)->target, 1);
 	CU_ASSERT_EQUAL(owners_find(o, "s", 99)->to, 99);
@@ -139,41 +139,41 @@
 static void
 differences(void)
 {
-	struct owners *now, *host, *was, *d, *next;
+	struct owners *current, *host, *old, *d, *next;
 	unsigned seed = 7;
 	int i;
 
-	was = random_owners(1, &seed);
+	old = random_owners(1, &seed);
 	seed = 7;
 	host = random_owners(1, &seed);
 	seed = 7;
-	now = random_owners(1, &seed);
+	current = random_owners(1, &seed);
 	seed = 99;
 	for (i = 0; i < 200; i++) {
 		unsigned before = seed;
 
-		change_some(now, &seed);
-		d = owners_diff(was, now);
+		change_some(current, &seed);
+		d = owners_diff(old, current);
 		CU_ASSERT(d->services[0].nranges <= 8);
 		next = owners_overlay(host, d);
 		owners_free(host);
 		host = next;
-		CU_ASSERT_EQUAL(host->number, now->number);
-		CU_ASSERT_FATAL(same_owners(host, now));
-		change_some(was, &before);
+		CU_ASSERT_EQUAL(host->number, current->number);
+		CU_ASSERT_FATAL(same_owners(host, current));
+		change_some(old, &before);
 		owners_free(d);
 	}
 	/* A difference in which all boundaries are new. */
 	next = random_owners(1000, &seed);
 	d = owners_diff(host, next);
-	owners_free(now);
-	now = owners_overlay(host, d);
-	CU_ASSERT(same_owners(now, next));
+	owners_free(current);
+	current = owners_overlay(host, d);
+	CU_ASSERT(same_owners(current, next));
 	owners_free(d);
 	owners_free(next);
-	owners_free(now);
+	owners_free(current);
 	owners_free(host);
-	owners_free(was);
+	owners_free(old);
 }
 
 static const struct unit_test tests[] = {
--- a/regress/unit/t_place.c
+++ b/regress/unit/t_place.c
@@ -16,7 +16,7 @@
 
 /* Spreads all shards evenly, each with the given load. */
 static void
-even(double each)
+spread_evenly(double each)
 {
 	int i;
 
@@ -39,9 +39,9 @@
 }
 
 static void
-picks_least_full(void)
+picks_least_utilised(void)
 {
-	even(0.1);
+	spread_evenly(0.1);
 	t[2].load = 0;
 	CU_ASSERT_EQUAL(place_pick(t, N), 2);
 	t[2].usable = 0;
@@ -52,9 +52,9 @@
 
 /* Even load causes no moves, nor does an imbalance within the tolerance. */
 static void
-noise_moves_nothing(void)
+noise_is_ignored(void)
 {
-	even(0.1);
+	spread_evenly(0.1);
 	CU_ASSERT_EQUAL(balance(1.2, 8), 0);
 	load[0] += 0.1;
 	t[0].load += 0.1;
@@ -63,12 +63,12 @@
 
 /* Shards move from an overloaded target to others, and the imbalance falls. */
 static void
-hot_target_sheds(void)
+hot_target_is_relieved(void)
 {
 	double before;
 	int i, n;
 
-	even(0.05);
+	spread_evenly(0.05);
 	for (i = 0; i < SHARDS; i += N) {
 		load[i] = 0.3;
 		t[0].load += 0.25;
@@ -87,7 +87,7 @@
 static void
 one_hot_shard_stays(void)
 {
-	even(0.0);
+	spread_evenly(0.0);
 	load[0] = 3;
 	t[0].load = 3;
 	owner[4] = 1;
@@ -99,9 +99,9 @@
 
 /* Shards that are already moving stay. */
 static void
-fixed_stay(void)
+moving_shards_stay(void)
 {
-	even(0.05);
+	spread_evenly(0.05);
 	for (int i = 0; i < SHARDS; i += N) {
 		load[i] = 0.3;
 		t[0].load += 0.25;
@@ -116,11 +116,11 @@
  * while a surge hits the others.  After that nothing moves, whatever the noise.
  */
 static void
-idle_fleet_fills_the_empty(void)
+idle_fleet_fills_empty_target(void)
 {
 	int n;
 
-	even(0.001);
+	spread_evenly(0.001);
 	for (int i = 2; i < SHARDS; i += N)
 		owner[i] = 3;
 	owner[2] = 2;
@@ -139,11 +139,11 @@
 }
 
 static const struct unit_test tests[] = {
-    {"picks least utilised", picks_least_full},
-    {"noise moves nothing", noise_moves_nothing},
-    {"hot target sheds", hot_target_sheds},
+    {"picks least utilised", picks_least_utilised},
+    {"noise is ignored", noise_is_ignored},
+    {"hot target is relieved", hot_target_is_relieved},
     {"one hot shard stays", one_hot_shard_stays},
-    {"fixed stay", fixed_stay},
-    {"idle fleet fills the empty", idle_fleet_fills_the_empty},
+    {"moving shards stay", moving_shards_stay},
+    {"idle fleet fills an empty target", idle_fleet_fills_empty_target},
 };
 UNIT_MAIN("place", tests)
--- a/regress/unit/t_site.c
+++ b/regress/unit/t_site.c
@@ -28,7 +28,7 @@
 
 /* Makes a configuration with rules for two hosts. */
 static struct site *
-three(void)
+make_site(void)
 {
 	struct site *t = site_new(4);
 
@@ -43,7 +43,7 @@
 static void
 longest_prefix(void)
 {
-	struct site *t = three();
+	struct site *t = make_site();
 
 	CU_ASSERT_EQUAL(find(t, "a.example", "/x/y/z")->priority, 3);
 	CU_ASSERT_EQUAL(find(t, "a.example", "/x/yy")->priority, 4);
@@ -55,7 +55,7 @@
 static void
 no_rule(void)
 {
-	struct site *t = three();
+	struct site *t = make_site();
 
 	CU_ASSERT_PTR_NULL(find(t, "b.example", "/y/"));
 	CU_ASSERT_PTR_NULL(find(t, "c.example", "/"));
@@ -88,7 +88,7 @@
 
 /* A service of weight 0 gets no requests. */
 static void
-split_none(void)
+weight_zero(void)
 {
 	struct rule r = {.nparts = 2, .weights = 10};
 	uint64_t n;
@@ -107,6 +107,6 @@
     {"longest prefix", longest_prefix},
     {"no rule", no_rule},
     {"split", split},
-    {"split with weight 0", split_none},
+    {"split with weight 0", weight_zero},
 };
 UNIT_MAIN("site", tests)
--- a/regress/unit/t_site_change.c
+++ b/regress/unit/t_site_change.c
@@ -71,17 +71,17 @@
 /* Makes the difference between two configurations and applies it.  Returns the
  * number of its rules, or -1 if the result is not the new configuration. */
 static int
-there(const struct site *was, const struct site *now)
+round_trip(const struct site *old, const struct site *new)
 {
-	struct site *c = site_change(was, now), *made;
+	struct site *c = site_change(old, new), *result;
 	int n;
 
 	CU_ASSERT_PTR_NOT_NULL_FATAL(c);
-	CU_ASSERT_EQUAL(c->since, was->version);
-	made = site_apply(was, c);
-	n = made != NULL && equal(made, now) ? c->nrules : -1;
+	CU_ASSERT_EQUAL(c->since, old->version);
+	result = site_apply(old, c);
+	n = result != NULL && equal(result, new) ? c->nrules : -1;
 	site_free(c);
-	site_free(made);
+	site_free(result);
 	return (n);
 }
 
@@ -89,46 +89,46 @@
 static void
 one_rule(void)
 {
-	struct site *was = empty(3, 2), *now = empty(7, 2);
+	struct site *old = empty(3, 2), *new = empty(7, 2);
 	int i;
 
 	for (i = 0; i < RULES; i++) {
-		add(was, "a.example", i, 0);
+		add(old, "a.example", i, 0);
 		if (i != 5)
-			add(now, "a.example", i, i == 9);
+			add(new, "a.example", i, i == 9);
 	}
-	add(now, "b.example", 1, 1);
-	site_seal(was);
-	site_seal(now);
-	CU_ASSERT_EQUAL(there(was, now), 3);
-	CU_ASSERT_EQUAL(there(was, was), 0);
-	site_free(was);
-	site_free(now);
+	add(new, "b.example", 1, 1);
+	site_seal(old);
+	site_seal(new);
+	CU_ASSERT_EQUAL(round_trip(old, new), 3);
+	CU_ASSERT_EQUAL(round_trip(old, old), 0);
+	site_free(old);
+	site_free(new);
 }
 
 /* Services may change their indexes.  A difference is refused if a rule that
  * stays has lost its service, or if the configuration is not its base. */
 static void
-services_move(void)
+services_reordered(void)
 {
-	struct site *was = empty(3, 3), *now = empty(7, 3), *c, *other;
-
-	add(was, "a.example", 1, 2);
-	add(now, "a.example", 1, 0);
-	strcpy(now->services[0].name, "s2");
-	strcpy(now->services[2].name, "s0");
-	site_seal(was);
-	site_seal(now);
-	CU_ASSERT_EQUAL(there(was, now), 0);
-	c = site_change(was, now);
+	struct site *old = empty(3, 3), *new = empty(7, 3), *c, *other;
+
+	add(old, "a.example", 1, 2);
+	add(new, "a.example", 1, 0);
+	strcpy(new->services[0].name, "s2");
+	strcpy(new->services[2].name, "s0");
+	site_seal(old);
+	site_seal(new);
+	CU_ASSERT_EQUAL(round_trip(old, new), 0);
+	c = site_change(old, new);
 	strcpy(c->services[0].name, "s9");
-	CU_ASSERT_PTR_NULL(site_apply(was, c));
+	CU_ASSERT_PTR_NULL(site_apply(old, c));
 	strcpy(c->services[0].name, "s2");
-	other = site_apply(was, c);
+	other = site_apply(old, c);
 	CU_ASSERT_PTR_NOT_NULL_FATAL(other);
 	CU_ASSERT_PTR_NULL(site_apply(other, c));
-	site_free(was);
-	site_free(now);
+	site_free(old);
+	site_free(new);
 	site_free(c);
 	site_free(other);
 }
@@ -136,7 +136,7 @@
 /* Makes a random configuration: hosts in upper and lower case, several rules
  * for the same requests, one or two services for each. */
 static struct site *
-drawn(uint64_t version, unsigned *seed)
+random_site(uint64_t version, unsigned *seed)
 {
 	static const char *const hosts[] = {"a.example", "B.example", "c"};
 	struct site *t = empty(version, 1 + rand_r(seed) % SERVICES);
@@ -159,24 +159,24 @@
 
 /* Differences between random configurations. */
 static void
-any(void)
+random_sites(void)
 {
-	struct site *was, *now;
+	struct site *old, *new;
 	unsigned seed = 41;
 	int i;
 
 	for (i = 0; i < 3000; i++) {
-		was = drawn(3, &seed);
-		now = drawn(7, &seed);
-		CU_ASSERT(there(was, now) >= 0);
-		site_free(was);
-		site_free(now);
+		old = random_site(3, &seed);
+		new = random_site(7, &seed);
+		CU_ASSERT(round_trip(old, new) >= 0);
+		site_free(old);
+		site_free(new);
 	}
 }
 
 static const struct unit_test tests[] = {
     {"one rule", one_rule},
-    {"services move", services_move},
-    {"random", any},
+    {"services reordered", services_reordered},
+    {"random", random_sites},
 };
 UNIT_MAIN("site_change", tests)
--- a/regress/unit/t_viewdelta.c
+++ b/regress/unit/t_viewdelta.c
@@ -20,7 +20,7 @@
 
 /* Sets up a view and its successor, equal but for their sequence numbers. */
 static void
-start(void)
+set_up(void)
 {
 	int i, n;
 
@@ -54,14 +54,14 @@
 
 /* A difference is small, and applied to its base it gives the full view. */
 static void
-whole_again(void)
+restores_full_view(void)
 {
 	struct viewdelta d;
 	Gspar__View *v;
 	uint8_t buf[500];
 	size_t n;
 
-	start();
+	set_up();
 	owner[1][3] = 1;
 	fence[1][3] = 99;
 	fence[1][0] = 0;
@@ -85,14 +85,14 @@
 /* Names of targets and dispatchers are left out of the difference if they are
  * the same, and restored from the base. */
 static void
-names_too(void)
+restores_names(void)
 {
 	struct viewdelta d;
 	Gspar__View *v;
 	size_t more;
 
 	for (more = 0; more < 2; more++) {
-		start();
+		set_up();
 		part[1].n_targets += more;
 		view[1].n_dispatch -= more;
 		CU_ASSERT_EQUAL_FATAL(
@@ -115,11 +115,11 @@
 /* Applying a difference to another view than its base, or one with a shard out
  * of range, is refused: the result would have owners that never existed. */
 static void
-only_upon_its_base(void)
+refuses_other_base(void)
 {
 	struct viewdelta d;
 
-	start();
+	set_up();
 	owner[1][3] = 1;
 	CU_ASSERT_EQUAL_FATAL(viewdelta_make(&d, &view[0], &view[1]), 0);
 	view[0].seq--;
@@ -137,28 +137,28 @@
 /* The full view is sent if there is no base of the same term and size, or if
  * too much changed. */
 static void
-whole_where_better(void)
+full_view_if_needed(void)
 {
 	struct viewdelta d;
 	int n;
 
-	start();
+	set_up();
 	CU_ASSERT_EQUAL(viewdelta_make(&d, NULL, &view[1]), -1);
 	for (n = 0; n < SHARDS; n++)
 		fence[1][n]++;
 	CU_ASSERT_EQUAL(viewdelta_make(&d, &view[0], &view[1]), -1);
-	start();
+	set_up();
 	view[0].term = 2;
 	CU_ASSERT_EQUAL(viewdelta_make(&d, &view[0], &view[1]), -1);
-	start();
+	set_up();
 	part[0].n_owner = part[0].n_fence = SHARDS - 1;
 	CU_ASSERT_EQUAL(viewdelta_make(&d, &view[0], &view[1]), -1);
 }
 
 static const struct unit_test tests[] = {
-    {"restores full view", whole_again},
-    {"restores names", names_too},
-    {"refuses other base", only_upon_its_base},
-    {"full view if needed", whole_where_better},
+    {"restores full view", restores_full_view},
+    {"restores names", restores_names},
+    {"refuses other base", refuses_other_base},
+    {"full view if needed", full_view_if_needed},
 };
 UNIT_MAIN("viewdelta", tests)
