--- a/decide/behind.c
+++ b/decide/behind.c
@@ -1,22 +1,29 @@
 #include "behind.h"
 
 /*
- * A host that is told a version on the connection on which it hears of it has
- * its bytes by then, and needs a moment to read them.  Later they were lost on
- * the way, or were a change of a version that it has not.
+ * A version that is pushed arrives on the connection that announces it, before
+ * the announcement, and takes a moment to be applied. After this time the push
+ * was lost, or was a change to a version that this host does not have.
  */
 #define TOLD_WITHIN MS(400)
-/* A read of the store that has not ended by then is not waited for alone. */
+/* A read of the store that is still pending after this time is repeated. */
 #define READ_AGAIN MS(2000)
-/* Between asking a host and asking again: a copy of 1 MB takes 0.8 s on a link
- * of 10 Mbit/s, and one that is on its way must not be asked for once more. */
+/*
+ * Interval between requests to other hosts: a copy of 1 MB takes 0.8 s on a
+ * link of 10 Mbit/s, and one under way must not be requested again.
+ */
 #define ASK_AGAIN MS(2000)
 
-/* Between two reads at least: one that had begun before the store took the
- * version gives what is here already. */
+/*
+ * Minimum interval between the starts of two reads: a read that began before
+ * the store took the version returns the version that this host has.
+ */
 #define READ_PAUSE MS(300)
 
-/* When the newest version should be here by what was told, or at once. */
+/*
+ * Returns when to read the newest version: at once, or after the time for a
+ * push.
+ */
 static usec
 due_at(const struct behind *b)
 {
@@ -24,9 +31,9 @@
 }
 
 /*
- * Another host has a version; told says that it has sent it here.  What is
- * waited for already is not put off: of a series of changes one may be lost,
- * and then none after it is of use here.
+ * Another host has announced a version; told says that it has also pushed it to
+ * this host. A read that is already due is not postponed: in a series of
+ * changes one may be lost, and then no later one can be applied.
  */
 void
 behind_heard(
@@ -45,14 +52,14 @@
 		b->read_at = due_at(b);
 }
 
-/* The store did not give what was read. */
+/* A read of the store has failed. */
 void
 behind_unread(struct behind *b)
 {
 	b->unread = 1;
 }
 
-/* A read has ended, and what it gave is in force. */
+/* A read has ended, and its result is in force. */
 void
 behind_read(struct behind *b, usec now)
 {
@@ -63,9 +70,9 @@
 }
 
 /*
- * What to do now.  Whoever has it never sends it unasked a second time: copies
- * sent on a timer pile up on a link that needs longer for one than the timer
- * runs, and then none gets through.
+ * Returns what to do now. Other hosts never push a copy again unasked: copies
+ * sent by a timer pile up on a link that needs longer for one than the timer's
+ * interval, and then none arrives.
  */
 enum behind_step
 behind_step(struct behind *b, uint64_t own, usec now)
@@ -77,7 +84,7 @@
 		b->reading = 0;
 		return (BEHIND_WAIT);
 	}
-	/* What was told before is here; the rest is on its way. */
+	/* An earlier push has arrived; the rest is under way. */
 	if (advanced && !b->reading)
 		b->read_at = due_at(b);
 	if (now >= b->read_at) {
--- a/decide/behind.h
+++ b/decide/behind.h
@@ -1,6 +1,6 @@
 /*
- * How a host that has an older configuration than another gets the newer one:
- * it waits for what it is told, reads the store, or asks whoever has it.
+ * How a host whose configuration is older than another host's gets the newer
+ * one: it waits for a push, reads the store, or asks a host that has it.
  */
 #ifndef BEHIND_H
 #define BEHIND_H
@@ -12,15 +12,15 @@
 enum behind_step { BEHIND_WAIT, BEHIND_READ, BEHIND_ASK };
 
 struct behind {
-	uint64_t wanted; /* newest version that was heard of; 0 is none */
-	usec heard_at;	 /* when, first */
-	int told;	 /* it was sent here as well */
-	uint64_t own;	 /* the host's own when it was looked at last */
-	usec read_at;	 /* when the store is to be read */
-	usec began_at;	 /* when it was read last */
-	int reading;	 /* that read has not ended */
-	int unread;	 /* the store did not give it */
-	usec ask_at;	 /* when another host may be asked */
+	uint64_t wanted; /* newest version announced; 0 if none */
+	usec heard_at;	 /* when it was first announced */
+	int told;	 /* it was pushed to this host as well */
+	uint64_t own;	 /* this host's version at the last step */
+	usec read_at;	 /* when the store is read next */
+	usec began_at;	 /* when the last read began */
+	int reading;	 /* that read is pending */
+	int unread;	 /* the store did not return it */
+	usec ask_at;	 /* when another host may be asked again */
 };
 
 void behind_heard(
--- a/decide/hearing.c
+++ b/decide/hearing.c
@@ -1,19 +1,21 @@
 #include "hearing.h"
 
-/* Hosts report every 200 ms; one not heard for so long may be cut off ... */
+/* Hosts report every 200 ms; one not heard for this long may be cut off. */
 #define HEARD_LATELY MS(900)
-/* ... and one not heard for so long has ended, or was cut off long ago, and is
- * no sign that something is wrong now. */
+/*
+ * A host not heard for this long has ended, or was cut off long ago, and does
+ * not count.
+ */
 #define HEARD_BEFORE MS(8000)
 
 /*
- * True where at least half of the hosts that were there a little while ago are
- * heard still; heard holds when each was heard last.
+ * True if at least half of the hosts heard within HEARD_BEFORE are still heard;
+ * heard holds when each host was heard last.
  *
- * A controller whose data centre is cut off from the others may reach the
- * store all the same.  It would keep control, and renew nothing beyond its own
- * data centre: all other keys would be without owner for as long as the cut
- * lasts.  Where it hears fewer than half, more than half can have another.
+ * A controller whose data centre is cut off from the others may still reach the
+ * store. It would keep control but renew leases only in its own data centre,
+ * and all other keys would have no owner as long as the cut lasts. If it hears
+ * fewer than half, more than half of the hosts can have another controller.
  */
 int
 hears_enough(const usec *heard, int n, usec now)
--- a/decide/hearing.h
+++ b/decide/hearing.h
@@ -1,4 +1,4 @@
-/* Whether a controller still hears the hosts that it controls for. */
+/* Whether a controller still hears enough of the hosts that it controls. */
 #ifndef HEARING_H
 #define HEARING_H
 
--- a/decide/hostlease.c
+++ b/decide/hostlease.c
@@ -3,7 +3,10 @@
 #include "hostlease.h"
 #include "lease.h"
 
-/* Notes that an ask goes out now; returns its number. */
+/*
+ * Records that a lease request is sent now, the next one after every; returns
+ * its sequence number.
+ */
 uint64_t
 hostlease_ask(struct hostlease *h, usec now, usec every)
 {
@@ -14,11 +17,12 @@
 }
 
 /*
- * Takes an answer; true where it renewed the lease.
+ * Takes a reply to a request; true if it was accepted.
  *
- * An answer under a lower term than one already followed is refused: its
- * controller may have been paused over its lease and wake as though nothing
- * had happened, while a later one already gives our targets to others.
+ * A reply of an earlier term than the one followed is refused: its controller
+ * may have been paused for longer than its lease and go on as though nothing
+ * had happened, while a later controller already gives this host's targets to
+ * others.
  */
 int
 hostlease_given(struct hostlease *h, usec now, const char *from, uint64_t term,
@@ -37,7 +41,10 @@
 	return (1);
 }
 
-/* Learns of a controller; true where it is of a later term than the known. */
+/*
+ * Takes the name of a controller; true if its term is later than the one
+ * followed.
+ */
 int
 hostlease_hint(struct hostlease *h, const char *controller, uint64_t term)
 {
--- a/decide/hostlease.h
+++ b/decide/hostlease.h
@@ -1,4 +1,4 @@
-/* A host's own lease from the controller of a cell. */
+/* The lease that a host holds from the controller of a cell. */
 #ifndef HOSTLEASE_H
 #define HOSTLEASE_H
 
--- a/decide/lease.c
+++ b/decide/lease.c
@@ -1,14 +1,14 @@
 #include "lease.h"
 
 /*
- * Clocks of two hosts may run apart by one part in this many.  Without the
- * margin a holder with a slow clock would go on after its granter, with a
- * fast one, had given the keys to another: two owners.
+ * Clocks of two hosts may drift apart by one part in this many. Without the
+ * margin a holder with a slow clock would go on after its granter, with a fast
+ * one, had given the keys to another: two owners.
  */
 #define DRIFT_PART 1000
 #define MARGIN_MIN MS(1)
 
-/* The allowance for both clocks over a span. */
+/* Returns the allowance for the drift of both clocks over a span. */
 static usec
 margin(usec span)
 {
@@ -16,9 +16,9 @@
 }
 
 /*
- * When the holder must stop.  It counts from the moment it sent the request
- * that was answered: the answer may have waited anywhere on its way, and a
- * count from its arrival would outlive the granter's.
+ * Returns when the holder must stop. It counts from when it sent the request
+ * that was answered: the answer may have been delayed, and a count from its
+ * arrival would outlive the granter's.
  */
 usec
 lease_holder_end(usec asked, usec length)
@@ -27,8 +27,8 @@
 }
 
 /*
- * When the granter may take the lease as lapsed.  It counts from the moment
- * it answered, which is never before the holder asked.
+ * Returns when the granter may count the lease as lapsed. It counts from its
+ * answer, which is never before the holder's request.
  */
 usec
 lease_granter_end(usec answered, usec length)
@@ -37,12 +37,15 @@
 }
 
 /*
- * A grant's absolute expiry in the receiver's clock.  clock_there is what the
- * receiver's clock read in an answer heard at `heard` here; end is when the
- * grant must end here.  A span "from receipt" would let a renewal that waited
- * in a frozen server's socket revive a lapsed grant on thawing; an absolute
- * moment is past by then.  The reading is older than `heard`, so the expiry
- * errs to the early side.  Returns 0 where nothing is left to grant.
+ * Returns a grant's absolute expiry by the receiver's clock, or 0 if it has
+ * expired. clock_there is the receiver's clock as of an answer that arrived at
+ * `heard` by the local clock; end is when the grant must end, by the local
+ * clock.
+ *
+ * A duration "from receipt" would let a renewal that waited in the socket of a
+ * frozen server revive a lapsed grant on thawing; an absolute time is past by
+ * then. The clock was read before `heard`, so the expiry errs to the early
+ * side.
  */
 usec
 grant_expiry(usec clock_there, usec heard, usec end)
--- a/decide/lease.h
+++ b/decide/lease.h
@@ -1,4 +1,7 @@
-/* Lease arithmetic: who may count from when, and with what margin. */
+/*
+ * Lease arithmetic: from when holder and granter count, and the margin for
+ * clock drift.
+ */
 #ifndef LEASE_H
 #define LEASE_H
 
--- a/decide/pace.c
+++ b/decide/pace.c
@@ -1,26 +1,32 @@
 #include "pace.h"
 
 /*
- * Telling all hosts may fill the teller's link for so long: signs of life wait
- * behind it, and hosts that hear none for 900 ms look for another controller.
+ * Maximum time that a push to all hosts may occupy the sender's link:
+ * heartbeats wait behind it, and hosts that hear none for 900 ms look for
+ * another controller.
  */
 #define TELL_SPAN_S 0.25
-/* Nor may what one host is told fill its own link, which is not known here: so
- * much takes 0.1 s of 10 Mbit/s. */
+/*
+ * Maximum bytes pushed to one host, whose link speed is not known here: 0.1 s
+ * at 10 Mbit/s.
+ */
 #define TELL_MOST 131072
-/* Of the link, for copies that single hosts ask for: the rest is callers'. */
+/*
+ * Share of the link for copies that single hosts ask for; the rest is for
+ * callers.
+ */
 #define COPIES_PART 0.25
-/* A link that the settings do not tell, in Mbit/s. */
+/* Assumed link speed where none is configured, in Mbit/s. */
 #define LINK_UNKNOWN 100.0
 
-/* Bytes that a link takes in a second. */
+/* Returns the bytes per second of a link. */
 static double
 link_bytes(double link_mbps)
 {
 	return ((link_mbps > 0 ? link_mbps : LINK_UNKNOWN) * 1e6 / 8);
 }
 
-/* True where so many bytes may be told to each of so many hosts at once. */
+/* True if this many bytes may be pushed to each of this many hosts at once. */
 int
 pace_fits(size_t bytes, int hosts, double link_mbps)
 {
@@ -28,14 +34,14 @@
 	    (double)bytes * hosts <= link_bytes(link_mbps) * TELL_SPAN_S);
 }
 
-/* True where one copy may be sent now. */
+/* True if a copy may be sent now. */
 int
 pace_free(const struct pace *p, usec now)
 {
 	return (now >= p->free_at);
 }
 
-/* One was sent. */
+/* Takes note that a copy of this many bytes was sent. */
 void
 pace_sent(struct pace *p, size_t bytes, double link_mbps, usec now)
 {
--- a/decide/pace.h
+++ b/decide/pace.h
@@ -1,6 +1,6 @@
 /*
- * How much a host may tell others of what is large, so that its link stays free
- * for signs of life and for callers.
+ * Limits on the bulk data that a host sends to others, so that its link stays
+ * free for heartbeats and callers.
  */
 #ifndef PACE_H
 #define PACE_H
@@ -10,7 +10,7 @@
 #include "clock.h"
 
 struct pace {
-	usec free_at; /* when what was told before has left */
+	usec free_at; /* when the previous copy has been sent */
 };
 
 int pace_fits(size_t bytes, int hosts, double link_mbps);
--- a/decide/silence.c
+++ b/decide/silence.c
@@ -1,10 +1,13 @@
 #include "silence.h"
 
-/* A request is overdue after so many times what is typical, and this long. */
+/*
+ * A request is overdue after this many times the typical duration, but not
+ * before PATIENCE_MIN.
+ */
 #define TIMES_TYPICAL 4
 #define PATIENCE_MIN MS(250)
 
-/* A short call to the target was not answered in time. */
+/* A probe of the target was not answered in time. */
 void
 silence_missed(struct silence *s)
 {
@@ -12,10 +15,10 @@
 }
 
 /*
- * A short call sent at `sent` was answered.  True where the one before it was
- * not: the target lives, so it was the connection that was silent, or the
- * target was frozen for a while.  Either way what was sent before waits in vain
- * or too long, and connections from before may be dead without a sign.
+ * Takes the answer to a probe sent at `sent`; true if the previous probe was
+ * not answered. The target is alive, so the connection was dead or the target
+ * was frozen for a while. In both cases requests sent earlier wait in vain or
+ * too long, and older connections may be dead without a sign.
  */
 int
 silence_heard(struct silence *s, usec sent)
@@ -29,9 +32,9 @@
 }
 
 /*
- * How many seconds old a connection may be that is used now; 0 is any age, and
- * CONN_FRESH none.  Whole seconds, rounded down, so that none from before
- * passes.
+ * Returns the maximum age in seconds of a connection that may be reused now; 0
+ * is any age, CONN_FRESH none. Rounded down to whole seconds, so that no
+ * connection from before the silence is reused.
  */
 long
 silence_conn_age(const struct silence *s, usec now)
@@ -46,7 +49,7 @@
 	return (age > 0 ? age : CONN_FRESH);
 }
 
-/* Something sent at `sent` was answered. */
+/* A request sent at `sent` was answered. */
 void
 silence_answered(struct silence *s, usec sent)
 {
@@ -55,10 +58,10 @@
 }
 
 /*
- * True where a request sent at `sent`, not answered yet, may be on a silent
- * connection: connections from then are suspected, or it takes far longer than
- * is typical while later ones are answered.  A target that is slow as a whole
- * answers nothing later, so it is not suspected.
+ * True if a request sent at `sent` and not answered yet may be on a dead
+ * connection: connections of that time are suspected, or the request takes far
+ * longer than is typical while later ones are answered. A target that is slow
+ * as a whole answers no later request, so it is not suspected.
  */
 int
 silence_suspects(const struct silence *s, usec now, usec sent, usec typical)
--- a/decide/silence.h
+++ b/decide/silence.h
@@ -1,4 +1,6 @@
-/* Connections to a target that went silent while the target lives. */
+/*
+ * Detection of connections to a target that are dead while the target is alive.
+ */
 #ifndef SILENCE_H
 #define SILENCE_H
 
@@ -7,9 +9,9 @@
 #define CONN_FRESH (-1)
 
 struct silence {
-	int missed;	 /* the last short call was not answered */
-	usec fresh_from; /* connections from before are not to be used */
-	usec answered;	 /* when the latest that was answered was sent */
+	int missed;	 /* the last probe was not answered */
+	usec fresh_from; /* older connections are not used */
+	usec answered;	 /* when the latest answered request was sent */
 };
 
 void silence_missed(struct silence *);
--- a/decide/standby.c
+++ b/decide/standby.c
@@ -4,18 +4,30 @@
 #include "feature.h"
 #include "standby.h"
 
-/* What a controller spends for each host of its fleet, with ten targets each:
- * cores, and Mbit/s of its link. */
+/*
+ * Load on the controller for each host of its fleet, with ten targets per host:
+ * cores, and Mbit/s of its link.
+ */
 #define CORES_EACH 0.0008
 #define MBPS_EACH 0.09
-/* The rest of a host is for callers' requests. */
+/*
+ * Share of a host's cores and link that control may use; the rest is for
+ * callers' requests.
+ */
 #define PART_FOR_CONTROL 0.5
-/* One that bears fewer hosts than this leaves larger ones time to take control
- * of a site that nobody controls: as long as first takers are spread over. */
+/*
+ * A host that could control fewer hosts than BEARS_MANY waits this long
+ * before it takes control of a site that has no controller, so that larger ones
+ * go first. It equals the range of delays for the first controller in term.c
+ * (FIRST_SPREAD).
+ */
 #define BEARS_MANY 150
 #define LEAVE_TO_LARGER MS(200)
 
-/* How many hosts one of this size could control. */
+/*
+ * Returns how many hosts a host of this size could control; 0 if its size is
+ * not known.
+ */
 int
 hosts_borne(double cores, double link_mbps)
 {
@@ -25,8 +37,10 @@
 	    fmin(cores / CORES_EACH, link_mbps / MBPS_EACH)));
 }
 
-/* How long a host waits for larger ones before it takes control of a site that
- * has had no controller. */
+/*
+ * Returns how long a host waits for larger ones before it takes control of a
+ * site that has had no controller; bears is hosts_borne().
+ */
 usec
 first_wait(int bears)
 {
@@ -36,11 +50,11 @@
 }
 
 /*
- * How much a host is wanted as standby: first in a data centre where the
- * others are not, so that one is left whatever data centre is lost; then large,
- * for on a host with a tenth of a core and 10 Mbit/s the signs of life of a
- * controller of 100 hosts come late, and it would be replaced over and over;
- * then one that stands by already.
+ * Rates a host as standby. First counts a data centre where neither the
+ * controller nor the other standby is, so that one remains whichever data
+ * centre is lost. Then size: on a host with a tenth of a core and 10 Mbit/s, a
+ * controller of 100 hosts sends its heartbeats late and would be replaced over
+ * and over. Last, whether it is a standby now.
  */
 static double
 worth(const struct candidate *c, const char *dc, const struct candidate *first)
@@ -54,7 +68,7 @@
 	return (apart * 1e9 + c->bears * 10.0 + c->is_one);
 }
 
-/* Picks the standbys of a controller in a data centre; how many. */
+/* Picks the standbys of a controller in data centre dc; returns how many. */
 int
 standbys_pick(const struct candidate *c, int n, const char *dc,
     struct member out[STANDBYS])
@@ -79,7 +93,7 @@
 	return (got);
 }
 
-/* True where a controller cannot bear its fleet. */
+/* True if a controller is too small for its fleet (bears 0 is not known). */
 int
 strained(int bears, int hosts)
 {
@@ -87,15 +101,15 @@
 }
 
 /*
- * True where a controller that cannot bear its fleet should give control to one
- * of its standbys.
+ * True if a controller that is too small for its fleet should release control
+ * to one of its standbys.
  *
  * A small host may have taken control while large ones were cut off from the
- * store.  With 81 hosts and 358 targets, and 21 targets leaving at once, its
- * link of 10 Mbit/s stood still for over 900 ms: all looked for another
- * controller, and some hosts used targets 2.7 s after they had begun to leave.
- * A standby takes over in milliseconds; it must bear the fleet, or more of it,
- * and reach the store, or control would go to and fro.
+ * store. Its link can then stall for longer than the hosts wait for heartbeats:
+ * all look for another controller, and some use targets seconds after these
+ * began to leave. A standby takes over in milliseconds. It must be able to
+ * control the fleet, or twice as many hosts as this one, and reach the store,
+ * or control would go back and forth.
  */
 int
 larger_stands_by(const struct candidate *c, int n, int bears, int hosts)
--- a/decide/standby.h
+++ b/decide/standby.h
@@ -1,16 +1,16 @@
-/* Which hosts stand by for the controller of a site, and which are fit to. */
+/* Choice of the standbys of a site's controller by size and data centre. */
 #ifndef STANDBY_H
 #define STANDBY_H
 
 #include "term.h"
 
-/* A host that could stand by. */
+/* A host that could be a standby. */
 struct candidate {
 	struct member who;
 	char dc[NAME_MAX_GS];
-	int bears;  /* hosts that it could control; 0 is not known */
-	int is_one; /* stands by already */
-	int store;  /* the store has answered it just now */
+	int bears;  /* hosts that it could control; 0 if not known */
+	int is_one; /* is a standby now */
+	int store;  /* the store has answered it recently */
 };
 
 int hosts_borne(double cores, double link_mbps);
--- a/decide/term.c
+++ b/decide/term.c
@@ -3,30 +3,39 @@
 #include "lease.h"
 #include "term.h"
 
-/* A host that is not listed leaves the listed standbys time to take over. */
+/*
+ * Additional delay of a host that is not a standby before it takes over a
+ * lapsed record, so that the standbys go first.
+ */
 #define UNLISTED_WAIT MS(2000)
-/* A standby stays with a holder that cannot write for this long. */
+/*
+ * A standby refuses promises once the record of a holder that cannot write has
+ * been unchanged for this long.
+ */
 #define STUCK_AFTER MS(3000)
-/* The same where the holder says itself that its lease has run out: the record
- * is read only then, and has stood for a lease already. */
+/*
+ * The same where the holder itself reports that its lease has expired: standbys
+ * read the record only then, when it has been unchanged for a control lease
+ * already.
+ */
 #define STUCK_TOLD MS(1200)
-/* Between reads of a host that is no standby. */
+/* Interval between reads of a host that is not a standby. */
 #define IDLE_READ MS(1000)
-/* A host that is not listed leaves listed ones so long to take what is free. */
+/* Delay of a host that is not a standby before it takes a vacant record. */
 #define FREE_WAIT MS(150)
-/* Spreads the first takers of a new cell. */
+/* Range of the delays before hosts create the record of a new cell. */
 #define FIRST_SPREAD MS(200)
-/* Between asks for promises while the platform answers in time. */
+/* Interval between promise requests while the platform answers in time. */
 #define ASK_RARELY MS(1000)
 
-/* True where both name the same process. */
+/* True if both are the same process. */
 static int
 same(const struct member *a, const struct member *b)
 {
 	return (a->boot == b->boot && strcmp(a->host, b->host) == 0);
 }
 
-/* True where the record lists the process as standby. */
+/* True if the record lists the process as standby. */
 static int
 lists(const struct record *r, const struct member *m)
 {
@@ -39,8 +48,10 @@
 	return (0);
 }
 
-/* True where a process that runs now proves that another has ended: both bind
- * the same address, which only one can at a time. */
+/*
+ * True if a running process proves that an earlier one has ended: both bind the
+ * same address, which only one can at a time.
+ */
 static int
 replaces(const struct member *now_runs, const struct member *was)
 {
@@ -49,7 +60,7 @@
 	    strcmp(now_runs->addr, was->addr) == 0);
 }
 
-/* Prepares the rules of one cell; seed is random and differs by process. */
+/* Initialises the state for one cell; seed is random and differs by process. */
 void
 term_init(struct term *t, const struct term_conf *conf,
     const struct term_out *out, void *arg, uint64_t seed)
@@ -62,7 +73,7 @@
 	t->eligible = 1;
 }
 
-/* A write id that no other write has. */
+/* Returns a write id that no other write has. */
 static uint64_t
 write_id(struct term *t)
 {
@@ -70,7 +81,9 @@
 	return (t->seed ^ t->conf.self.boot);
 }
 
-/* Sends a write; its outcome is unknown until term_put_ended says PUT_DONE. */
+/*
+ * Starts a write; its outcome is unknown until term_put_ended() gets PUT_DONE.
+ */
 static void
 put(struct term *t, usec now, const struct record *r)
 {
@@ -84,7 +97,10 @@
 	t->out->put(t->arg, t->put_base, &t->put_rec);
 }
 
-/* The promise of a standby, made if there is none yet. */
+/*
+ * Finds the promise of a standby, or adds one; drops the oldest where the table
+ * is full.
+ */
 static struct promise *
 promise_of(struct term *t, const struct member *m)
 {
@@ -104,7 +120,10 @@
 	return (&t->promises[t->npromises++]);
 }
 
-/* True where each standby of the record has promised beyond now. */
+/*
+ * True if every standby of the record, and at least one, has a promise beyond
+ * now.
+ */
 static int
 all_promised(const struct term *t, const struct record *r, usec now)
 {
@@ -125,12 +144,12 @@
 }
 
 /*
- * True while the holder may renew hosts' leases: its own lease in the
- * platform runs, or every listed standby has promised not to take over.
+ * True while the holder may renew hosts' leases: its own lease in the platform
+ * is valid, or every listed standby has promised not to take over.
  *
- * While a change of the list is open, the write may have taken effect unknown
- * to us, so the promises of both lists are needed: a standby of the list we
- * believe gone could otherwise take over while we still renew.
+ * A pending change of the standby list may have taken effect without this host
+ * knowing, so promises of both lists are needed: a standby of the list believed
+ * to be replaced could otherwise take over while this host still renews.
  */
 int
 term_may_renew(const struct term *t, usec now)
@@ -138,8 +157,9 @@
 	if (t->role != TERM_HOLDER)
 		return (0);
 	/*
-	 * Giving control back may have taken effect unknown to us, and a
-	 * standby then takes over at once, without waiting for a lapse.
+	 * A pending release of control may have taken effect without this host
+	 * knowing, and a standby then takes over at once, without waiting for
+	 * the lease to lapse.
 	 */
 	if (t->put_open && t->put_rec.holder.host[0] == '\0')
 		return (0);
@@ -151,9 +171,9 @@
 }
 
 /*
- * True once each host lease that an earlier controller gave has lapsed.  The
- * earlier one could renew until just before we took over, so this waits a
- * whole host lease from then.
+ * True once every host lease granted by an earlier controller has lapsed. The
+ * earlier controller could renew leases until just before the takeover, so this
+ * waits for a whole host lease from then.
  */
 int
 term_settled(const struct term *t, usec now)
@@ -163,11 +183,12 @@
 }
 
 /*
- * True once targets that no host has spoken of may be given a dispatcher.
- * Where standbys have not withdrawn, an old controller cut off with them may
- * still keep a dispatcher for a target: both would grant it the same shards,
- * for the assignments are claimed, so no key has two owners; and no ticket
- * runs twice, for each is known to one dispatcher's table only.
+ * True once targets that no host has reported may be given a dispatcher. Where
+ * no standby has withdrawn, an old controller that is cut off together with the
+ * standbys may still keep a dispatcher for such a target. That is safe: both
+ * controllers would grant that dispatcher the same shards, as assignments are
+ * claimed in the platform, so no key has two owners; and each ticket is known
+ * to one dispatcher's table only, so none runs twice.
  */
 int
 term_may_dispatch(const struct term *t, usec now)
@@ -175,7 +196,7 @@
 	return (t->role == TERM_HOLDER && now >= t->dispatch_at);
 }
 
-/* Stops being holder or taker. */
+/* Becomes a follower; why is the event's text. */
 static void
 follow(struct term *t, const char *why)
 {
@@ -186,7 +207,10 @@
 	t->put_lost = 0;
 }
 
-/* Becomes or remains holder: our write is known to have taken effect. */
+/*
+ * Becomes or remains holder once this host's write is known to have taken
+ * effect.
+ */
 static void
 hold(struct term *t, usec now, uint64_t version)
 {
@@ -198,11 +222,12 @@
 	if (was == TERM_TAKING) {
 		t->taken_from = t->rec;
 		/*
-		 * A listed taker withholds its own promise, which breaks the
-		 * unanimity the old holder needs.  An unlisted one cannot know
-		 * that: the old holder, cut off with its standbys, may still
-		 * renew, and two owners would follow from counting its leases
-		 * as lapsed.  So a listed standby must withdraw first.
+		 * A listed standby that takes over makes no promise itself, so
+		 * the old holder lacks the promise of one standby and cannot
+		 * renew. A host that is not listed cannot rely on that: the old
+		 * holder, cut off together with its standbys, may still renew
+		 * leases, and counting them as lapsed would give keys two
+		 * owners. So a listed standby must withdraw first.
 		 */
 		t->must_withdraw = !listed;
 		t->settle_at = lease_granter_end(now, t->conf.host_lease);
@@ -221,12 +246,13 @@
 	t->put_lost = 0;
 	if (was == TERM_TAKING)
 		t->out->event(t->arg,
-		    listed ? "control taken" : "control taken, not listed");
+		    listed ? "control taken"
+			   : "control taken by a host that is not a standby");
 	if (t->rec.holder.host[0] == '\0')
-		follow(t, "control given back");
+		follow(t, "control released");
 }
 
-/* The outcome of the open write. */
+/* Takes the outcome of the pending write. */
 void
 term_put_ended(struct term *t, usec now, enum put_result res, uint64_t version)
 {
@@ -239,8 +265,9 @@
 	case PUT_CONFLICT:
 	case PUT_LOST:
 		/*
-		 * Neither done nor not done: an earlier try of the same write
-		 * may be what stands in the way.  Only the record tells.
+		 * The outcome is unknown even after a conflict, which an
+		 * earlier attempt of the same write may have caused. Only
+		 * reading the record tells.
 		 */
 		t->put_lost = 1;
 		t->next_get = now;
@@ -248,7 +275,7 @@
 	}
 }
 
-/* How long this host sees no record before it makes the first. */
+/* How long this host waits without a record before it creates the first. */
 static usec
 first_need(const struct term *t)
 {
@@ -256,19 +283,25 @@
 	    (usec)(t->conf.self.boot % (uint64_t)FIRST_SPREAD));
 }
 
-/* Notes a read record and how long it has stood unchanged. */
+/*
+ * Stores the record just read and since when it has been unchanged; r is NULL
+ * where there is none.
+ */
 static void
 see(struct term *t, usec now, uint64_t version, const struct record *r)
 {
 	/*
-	 * Two looks far apart say nothing of the time between: after an outage
-	 * of the platform the record stands as it did before, and the holder,
-	 * which has not had a chance to write, would be taken for stuck.
+	 * Two reads far apart say nothing about the time between: after an
+	 * outage of the platform the record is unchanged, and the holder, which
+	 * has had no chance to write, would be taken for stuck.
 	 */
 	if (!t->known || t->version != version ||
 	    now - t->last_seen > 2 * t->conf.lease) {
 		t->first_seen = now;
-		/* Its holder said so earlier: it has stood since then. */
+		/*
+		 * The holder announced this version earlier: unchanged since
+		 * then.
+		 */
 		if (version != 0 && version == t->heard_version &&
 		    now - t->heard_at <= 2 * t->conf.lease)
 			t->first_seen = t->heard_at;
@@ -284,16 +317,16 @@
 	    t->next_get > now + t->conf.renew / 2)
 		t->next_get = now + t->conf.renew / 2;
 	/*
-	 * The next look at a new cell is when this host's time has come. Looked
-	 * at in step, all hosts of a fleet that starts find with the same look
-	 * that their time has come, and all write: 77 writes and 227 reads of
-	 * 76 hosts that start.
+	 * Reads a new cell again only when this host's delay has passed. With
+	 * reads at the same interval, all hosts of a fleet that starts would
+	 * find at the same read that their delay has passed, and all would
+	 * write.
 	 */
 	if (version == 0 && t->first_seen == now)
 		t->next_get = now + first_need(t);
 }
 
-/* A read of the record was answered; found is 0 where there is none. */
+/* Takes the result of a read; found is 0 where there is no record. */
 void
 term_got(struct term *t, usec now, int found, uint64_t version,
     const struct record *r)
@@ -307,7 +340,7 @@
 		see(t, now, version, found ? r : NULL);
 		if (t->role == TERM_HOLDER &&
 		    (!found || !same(&r->holder, &t->conf.self)))
-			follow(t, "control lost to another");
+			follow(t, "control lost to another host");
 		return;
 	}
 	if (found && r->write_id == t->put_rec.write_id) {
@@ -316,27 +349,30 @@
 	}
 	if (version == t->put_base) {
 		/*
-		 * Not there yet, but a write that was lost on its way may
-		 * still land.  The same write again, with the same id and
-		 * base: whichever lands first kills the other.
+		 * The write has not taken effect yet, but may still be
+		 * delivered. Sends it again with the same id and base version:
+		 * whichever is applied first makes the other fail.
 		 */
 		t->put_lost = 0;
 		t->out->put(t->arg, t->put_base, &t->put_rec);
 		return;
 	}
-	/* The version moved past our base: our write is dead for good. */
+	/*
+	 * The version is past the base of the write, which can no longer
+	 * succeed.
+	 */
 	see(t, now, version, found ? r : NULL);
-	follow(t, "control lost to another");
+	follow(t, "control lost to another host");
 }
 
-/* The holder asked, and said that it lives by promises alone. */
+/* Takes a promise request that says that the holder's lease has expired. */
 void
 term_asked_late(struct term *t, usec now)
 {
 	t->asked_late_at = now;
 }
 
-/* The holder told which version it wrote last. */
+/* Takes the version of the record that the holder wrote last. */
 void
 term_heard(struct term *t, usec now, uint64_t version)
 {
@@ -345,35 +381,39 @@
 }
 
 /*
- * Another was heard to control under a later term: its write took effect, so
- * this host's control is over, though its lease or its promises still run.  It
- * would go on for a lease by what it knew when it was cut off.
+ * Another host controls under a later term, so its write took effect. Control
+ * ends here at once, even while this host's lease or its standbys' promises
+ * last: it would otherwise go on for up to a lease with the state from when it
+ * was cut off.
  */
 void
 term_outdone(struct term *t, usec now, uint64_t term)
 {
 	if (t->role != TERM_HOLDER || term <= t->rec.term)
 		return;
-	follow(t, "control lost to another, by its word");
+	follow(t, "control lost: another host controls under a later term");
 	t->known = 0;
 	t->next_get = now;
 }
 
-/* True where the holder's own lease has run out, or is about to. */
+/*
+ * True if the holder's own lease has expired or is within a renewal interval of
+ * that.
+ */
 int
 term_late(const struct term *t, usec now)
 {
 	return (now > t->lease_until - t->conf.renew);
 }
 
-/* A read failed; nothing is learned from that. */
+/* A read failed; the state of the record stays as it was. */
 void
 term_get_failed(struct term *t, usec now)
 {
 	t->get_open = 0;
 }
 
-/* How long a promise of a kind lasts. */
+/* Returns the duration of a kind of promise. */
 static usec
 promise_span(const struct term *t, enum promise_kind kind)
 {
@@ -383,9 +423,9 @@
 }
 
 /*
- * A holder asks for this host's promise not to take over.  The promise is for
- * one process: one that restarted has another boot number, has forgotten what
- * it promised, and must not be counted.
+ * Answers a holder's request for the promise not to take over. A promise is of
+ * one process: after a restart the boot number differs, and as the new process
+ * does not know what was promised, its answer must not count.
  */
 enum promise_kind
 term_asked(struct term *t, usec now, uint64_t term, uint64_t boot)
@@ -393,27 +433,30 @@
 	if (term > t->top_term)
 		t->top_term = term;
 	t->asked_at = now;
-	/* Asked, so listed in a record newer than the one read last. */
+	/* The request means that a newer record lists this host. */
 	if (!lists(&t->rec, &t->conf.self))
 		t->next_get = now;
 	if (boot != t->conf.self.boot || t->put_open)
 		return (PROMISE_NONE);
-	/* Whoever answered a later term has withdrawn from the earlier. */
+	/*
+	 * Once a request of a later term was answered, earlier terms get none.
+	 */
 	if (t->role == TERM_HOLDER || term < t->rec.term || term < t->top_term)
 		return (PROMISE_NONE);
 	/*
-	 * It stops, and never takes control again: its promise can outlive it.
-	 * While the store is away no other standby can be named, and a holder
-	 * that lost this promise with the process would let all keys lapse.
+	 * This process never takes control again, so its promise can outlive
+	 * it. While the store is away no other standby can be named, and a
+	 * holder that lost this promise with the process would let all keys
+	 * lapse.
 	 */
 	if (t->left)
 		return (PROMISE_LEFT);
 	if (t->resigned)
 		return (PROMISE_NONE);
 	/*
-	 * This host reaches the platform and sees that the holder has long
-	 * been unable to write: staying with it would freeze the cell, for it
-	 * can renew but never change.
+	 * This host reaches the platform and sees that the holder has long been
+	 * unable to write. More promises would keep a controller that can renew
+	 * leases but change nothing.
 	 */
 	if (t->known && term == t->rec.term &&
 	    t->last_seen - t->first_seen >
@@ -423,8 +466,10 @@
 	return (PROMISE_LEASE);
 }
 
-/* When what the earlier holder gave has lapsed, where its last promise ends
- * within a span: a whole host lease after that. */
+/*
+ * Returns when all leases of the earlier holder have lapsed, given that its
+ * last promise ends within span: a whole host lease after that.
+ */
 static usec
 settled_after(const struct term *t, usec now, usec span)
 {
@@ -432,7 +477,7 @@
 	    lease_granter_end(now, span), t->conf.host_lease));
 }
 
-/* The earlier holder's last promise ends within a span. */
+/* Sets settle_at where the earlier holder's last promise ends within span. */
 static void
 settle_after(struct term *t, usec now, usec span)
 {
@@ -441,8 +486,8 @@
 }
 
 /*
- * A standby answered.  Its promise counts from when it was asked for: the
- * answer may have waited on its way, and the standby counts from answering.
+ * Takes a standby's reply. The promise counts from when the request was sent:
+ * the reply may have been delayed, and the standby counts from its reply.
  */
 void
 term_promised(struct term *t, usec now, const struct member *who, uint64_t term,
@@ -456,11 +501,12 @@
 		if (!lists(&t->taken_from, who))
 			return;
 		/*
-		 * Any answer under our term withdraws: the asked one gives the
-		 * old holder no more promises, and what it gave runs out
-		 * within a control lease; then a whole host lease.  A new
-		 * process of the same name is no proof that the old is gone.
-		 * One that stops may have given its last, longer one.
+		 * Any reply under this host's term withdraws: that standby
+		 * makes no more promises to the old holder. Its earlier promise
+		 * ends within a control lease, and host leases a whole host
+		 * lease after that. A standby that shuts down may have made its
+		 * final, longer promise. A reply from a new process of the same
+		 * host is no proof that the old process has ended.
 		 */
 		settle_after(t, now, promise_span(t, kind));
 		t->out->event(t->arg, "a standby withdrew");
@@ -476,10 +522,10 @@
 }
 
 /*
- * A process of the system was heard.  Where it has taken the place of the
- * holder that control was taken from, or of one of its standbys, that process
- * has ended, and no listed standby need withdraw.  Without this a fleet whose
- * hosts all restarted at once would wait for ever for processes that are gone.
+ * Takes note of a running process. If it replaces the holder that control was
+ * taken from, or one of its standbys, that earlier process has ended, and no
+ * listed standby need withdraw. Without this a fleet whose hosts all restarted
+ * at once would wait for ever for processes that are gone.
  */
 void
 term_process_seen(struct term *t, usec now, const struct member *m)
@@ -493,15 +539,18 @@
 		standby |= replaces(m, &t->taken_from.standby[i]);
 	if (!holder && !standby)
 		return;
-	/* The standby may have stopped in order, and left a longer promise. */
+	/*
+	 * A standby that was shut down may have made a longer, final promise.
+	 */
 	settle_after(t, now, holder ? 0 : promise_span(t, PROMISE_LEFT));
-	t->out->event(t->arg, "a process of the earlier controller has ended");
+	t->out->event(t->arg,
+	    "a process of the earlier controller or its standbys has ended");
 }
 
 /*
- * A process said which term it follows.  Where it is the holder that control
- * was taken from and the term is this host's, it gives nothing any more under
- * its own, and no promise that was left to it need run out.
+ * Takes the term that a process follows. If the process is the holder that
+ * control was taken from, and it follows this host's term, it grants nothing
+ * more under its own, so its remaining promises need not be waited for.
  */
 void
 term_yielded(struct term *t, usec now, const struct member *who, uint64_t term)
@@ -509,14 +558,17 @@
 	if (t->role != TERM_HOLDER || term < t->rec.term ||
 	    !same(&t->taken_from.holder, who))
 		return;
-	/* Said again, it puts nothing off. */
+	/* Repeated reports must not postpone settle_at. */
 	if (!t->must_withdraw && t->settle_at <= settled_after(t, now, 0))
 		return;
 	settle_after(t, now, 0);
-	t->out->event(t->arg, "the earlier controller has yielded");
+	t->out->event(t->arg, "the earlier controller follows this host");
 }
 
-/* Names the standbys the holder should have; written when they differ. */
+/*
+ * Sets the standbys that the holder should have; the record is written if they
+ * differ.
+ */
 void
 term_standbys(struct term *t, const struct member *m, int n)
 {
@@ -524,7 +576,10 @@
 	memcpy(t->want, m, sizeof(*m) * (size_t)t->nwant);
 }
 
-/* This host gives control back, promises nothing and takes nothing more. */
+/*
+ * Releases control; from now on this host makes no promises and does not take
+ * control.
+ */
 void
 term_resign(struct term *t, usec now)
 {
@@ -532,7 +587,7 @@
 	t->eligible = 0;
 }
 
-/* This host's process stops: the same, and for good. */
+/* The same for good, as this host's process shuts down. */
 void
 term_leave(struct term *t, usec now)
 {
@@ -540,7 +595,7 @@
 	t->left = 1;
 }
 
-/* This host may take control again after it gave it back. */
+/* Allows this host to take control again after term_resign(). */
 void
 term_return(struct term *t)
 {
@@ -548,7 +603,10 @@
 	t->eligible = 1;
 }
 
-/* True where the record has stood unchanged for a whole lease and more. */
+/*
+ * True if the record has been unchanged for so long that this host may take
+ * control.
+ */
 static int
 lapsed(const struct term *t, usec now)
 {
@@ -559,12 +617,12 @@
 	if (t->version == 0)
 		need = first_need(t);
 	else if (t->rec.holder.host[0] == '\0')
-		/* Where all hear of it at once, standbys go first. */
+		/* All hosts learn of it at the same time: standbys go first. */
 		need = t->conf.told && !lists(&t->rec, &t->conf.self)
 		    ? FREE_WAIT
 		    : 0;
 	else if (replaces(&t->conf.self, &t->rec.holder))
-		/* This process has the holder's place: the holder has ended. */
+		/* This process replaces the holder, which has ended. */
 		return (1);
 	else
 		need = lease_granter_end(0, t->conf.lease);
@@ -577,9 +635,9 @@
 }
 
 /*
- * True where this host has cause to read the record.  A host that a controller
- * renews has none: reads would grow with the hosts, and the platform's rate
- * does not.
+ * True if this host has to read the record. One that a controller renews does
+ * not: reads would grow with the number of hosts, while the platform's rate
+ * limit does not.
  */
 static int
 must_read(const struct term *t, usec now)
@@ -587,10 +645,10 @@
 	if (!t->known || t->version == 0 || t->lonely)
 		return (1);
 	/*
-	 * Two standbys that read at each renewal make most of the calls of a
-	 * calm fleet.  What the holder tells them is as good a witness of when
-	 * the version stood; they read once it falls silent, or says that it
-	 * lives by promises.
+	 * Reads of two standbys at each renewal interval would be most of the
+	 * calls of an idle fleet. The holder's announcements show as well until
+	 * when a version was current; standbys read once they stop, or once the
+	 * holder says that its lease has expired.
 	 */
 	if (t->conf.told)
 		return (t->asked_late_at != 0 &&
@@ -599,7 +657,7 @@
 	    now - t->asked_at < 2 * t->conf.lease);
 }
 
-/* What a follower does: watch the record, and take over a lapsed one. */
+/* Work of a follower: reads the record, and takes over once it has lapsed. */
 static void
 tick_follower(struct term *t, usec now)
 {
@@ -607,8 +665,10 @@
 	usec every;
 	int free_now;
 
-	/* A holder that gave control back, or has ended, needs no promise any
-	 * more. */
+	/*
+	 * A promise no longer binds once the holder has released control or
+	 * ended.
+	 */
 	free_now = t->version != 0 &&
 	    (t->rec.holder.host[0] == '\0' ||
 		replaces(&t->conf.self, &t->rec.holder));
@@ -632,7 +692,7 @@
 	t->out->get(t->arg);
 }
 
-/* True where the record's standbys are those wanted. */
+/* True if the record's standbys are the wanted ones. */
 static int
 standbys_fit(const struct term *t)
 {
@@ -648,9 +708,9 @@
 }
 
 /*
- * How soon to ask for promises again.  While the platform answers they are
- * not needed, only that standbys know that they are ones; once a renewal is
- * late there is still half a lease left to collect them.
+ * Returns the interval between promise requests. While the platform answers,
+ * promises are not needed, and requests only tell standbys that they are
+ * listed; when a renewal is late, half a lease is left to collect promises.
  */
 static usec
 ask_every(const struct term *t, usec now)
@@ -660,7 +720,7 @@
 	return (late || t->must_withdraw ? t->conf.renew : ASK_RARELY);
 }
 
-/* What a holder does: renew its lease and ask for promises. */
+/* Work of the holder: renews its lease and requests promises. */
 static void
 tick_holder(struct term *t, usec now)
 {
@@ -695,7 +755,7 @@
 	put(t, now, &next);
 }
 
-/* Does what is due; call it often, at least every renewal time. */
+/* Does what is due; call it at least once per renewal interval. */
 void
 term_tick(struct term *t, usec now)
 {
--- a/decide/term.h
+++ b/decide/term.h
@@ -1,6 +1,7 @@
 /*
- * Who controls a cell: the control lease in the platform, the standbys'
- * promises, and taking over.  docs/DESIGN.md, "Control", tells why.
+ * Election of the controller of a cell: the control lease, kept in a record of
+ * the platform, the promises of the standbys, and takeover. See docs/DESIGN.md,
+ * "Control".
  */
 #ifndef TERM_H
 #define TERM_H
@@ -12,14 +13,17 @@
 
 #define STANDBYS 2
 
-/* A host's process: a restarted one has forgotten and is another. */
+/*
+ * A host's process. A restarted one has another boot number and counts as
+ * another member, as it has lost its state.
+ */
 struct member {
 	char host[NAME_MAX_GS];
 	uint64_t boot;
-	char addr[64]; /* as other hosts reach it; may be "" */
+	char addr[64]; /* address for other hosts; may be empty */
 };
 
-/* The control record of a cell, as the platform holds it. */
+/* The control record of a cell, as stored in the platform. */
 struct record {
 	uint64_t term;
 	uint64_t write_id;
@@ -28,27 +32,36 @@
 	int nstandby;
 };
 
-/* What a standby promises: not to take control for a while, or, where it stops
- * for good, for longer than it will be there. */
+/*
+ * What a standby promises: not to take control for a control lease, or, if it
+ * is shutting down, for term_conf.left_promise.
+ */
 enum promise_kind { PROMISE_NONE, PROMISE_LEASE, PROMISE_LEFT };
 
 enum term_role { TERM_FOLLOWER, TERM_TAKING, TERM_HOLDER };
 
-/* What came of a write. */
+/* Outcome of a write; PUT_LOST is unknown, it may still take effect. */
 enum put_result { PUT_DONE, PUT_CONFLICT, PUT_LOST };
 
 struct term_conf {
 	struct member self;
 	usec lease;	 /* control lease */
-	usec host_lease; /* what a controller grants hosts */
-	usec renew;	 /* between renewals */
-	/* The holder tells others the record's version (term_heard): standbys
-	 * that hear it need not read the record. */
+	usec host_lease; /* leases that a controller grants to hosts */
+	usec renew;	 /* interval between renewals */
+	/*
+	 * The holder announces the record's version (term_heard), so that
+	 * standbys that hear it need not read the record.
+	 */
 	int told;
-	/* How long the promise of a standby that stops for good lasts; 0 is as
-	 * long as any other. */
+	/*
+	 * Duration of the promise of a standby that shuts down; 0 is a control
+	 * lease.
+	 */
 	usec left_promise;
-	/* Before this host takes control where nobody has had it. */
+	/*
+	 * Extra delay before this host takes control of a cell that has no
+	 * control record.
+	 */
 	usec first_wait;
 };
 
@@ -58,7 +71,7 @@
 	usec until;
 };
 
-/* What the rules ask of their surroundings. */
+/* Functions that term calls for I/O and events. */
 struct term_out {
 	void (*get)(void *);
 	void (*put)(void *, uint64_t base, const struct record *);
@@ -73,9 +86,9 @@
 	enum term_role role;
 	int eligible;
 	int resigned;
-	int left; /* this process stops: it never takes control again */
+	int left; /* shutting down: never takes control again */
 
-	/* The record as last read; version 0 is none. */
+	/* The record as last read; version 0 means that there is none. */
 	int known;
 	struct record rec;
 	uint64_t version;
@@ -84,7 +97,7 @@
 	int get_open;
 	usec next_get;
 
-	/* The one write that may be open or of unknown outcome. */
+	/* The one write that may be pending or of unknown outcome. */
 	int put_open;
 	int put_lost;
 	struct record put_rec;
@@ -92,7 +105,7 @@
 	usec put_sent;
 	usec next_put;
 
-	/* As holder. */
+	/* State of the holder. */
 	usec lease_until;
 	struct promise promises[2 * STANDBYS];
 	int npromises;
@@ -104,14 +117,14 @@
 	struct member want[STANDBYS];
 	int nwant;
 
-	/* As standby. */
+	/* State of a standby. */
 	uint64_t heard_version;
 	usec heard_at;
 	usec asked_late_at;
 	usec promised_until;
 	usec asked_at;
 	uint64_t top_term;
-	/* Set by the host where no controller renews it. */
+	/* Set by the caller while no controller renews this host's leases. */
 	int lonely;
 	uint64_t seed;
 };
--- a/regress/unit/t_behind.c
+++ b/regress/unit/t_behind.c
@@ -1,11 +1,13 @@
-/* Hosts that have an older configuration than another get the newer one. */
+/* How hosts with an older configuration than another get the newer one. */
 #include <string.h>
 
 #include "behind.h"
 #include "unit.h"
 
-/* A version that was told is waited for; one that was not is read at once, and
- * once only while the store takes its time. */
+/*
+ * A pushed version is waited for; one that was not pushed is read at once, and
+ * only once while that read is pending.
+ */
 static void
 told_or_read(void)
 {
@@ -23,8 +25,10 @@
 	CU_ASSERT_EQUAL(behind_step(&b, 12, now + MS(1800)), BEHIND_WAIT);
 }
 
-/* What was told did not arrive: a host that only waited would serve by the old
- * rules until the next version. */
+/*
+ * A push is lost: a host that only waited would use the old rules until the
+ * next version.
+ */
 static void
 lost_on_the_way(void)
 {
@@ -33,13 +37,15 @@
 
 	memset(&b, 0, sizeof(b));
 	behind_heard(&b, 7, 9, 1, now);
-	/* Signs of life say so again and again; they put nothing off. */
+	/* Heartbeats repeat the announcement; that postpones nothing. */
 	behind_heard(&b, 7, 9, 1, now + MS(300));
 	CU_ASSERT_EQUAL(behind_step(&b, 7, now + MS(400)), BEHIND_READ);
 }
 
-/* The store does not give it: another host is asked, not again before a copy
- * could have come, and the store is read now and then. */
+/*
+ * The store does not return the version: another host is asked, and again only
+ * after a copy could have arrived, and the store is read at intervals.
+ */
 static void
 store_away(void)
 {
@@ -66,8 +72,10 @@
 	CU_ASSERT_EQUAL(read, 3);
 }
 
-/* Changes follow one another while a large version is read: what came of that
- * read is old, and the newest is read at once, not seconds later. */
+/*
+ * Versions follow one another while a large one is read: the result of that
+ * read is old, and the newest version is read at once, not seconds later.
+ */
 static void
 newer_meanwhile(void)
 {
@@ -83,7 +91,7 @@
 	CU_ASSERT_EQUAL(behind_step(&b, 9, now + MS(600)), BEHIND_READ);
 	CU_ASSERT_EQUAL(behind_step(&b, 9, now + MS(800)), BEHIND_WAIT);
 	CU_ASSERT_EQUAL(behind_step(&b, 12, now + MS(1000)), BEHIND_WAIT);
-	/* A read that had begun before may give what is here already. */
+	/* A read that began earlier may return the version that is here. */
 	behind_heard(&b, 12, 15, 0, now + MS(2000));
 	CU_ASSERT_EQUAL(behind_step(&b, 12, now + MS(2000)), BEHIND_READ);
 	behind_read(&b, now + MS(2010));
@@ -91,8 +99,10 @@
 	CU_ASSERT_EQUAL(behind_step(&b, 12, now + MS(2300)), BEHIND_READ);
 }
 
-/* Versions told one after the other need no read, though each is in force a
- * moment after the next was heard of. */
+/*
+ * Versions pushed one after the other need no read, though each comes into
+ * force a moment after the next was announced.
+ */
 static void
 told_in_series(void)
 {
@@ -109,8 +119,9 @@
 	}
 }
 
-/* When a step is due first, in a series of versions that are heard of each 325
- * ms and do not come; the store says at one moment that it does not give them.
+/*
+ * Returns when a step is first due, in a series of versions that are announced
+ * every 325 ms and do not arrive; the store fails to return them at unread_at.
  */
 static usec
 first_in_series(int told, usec unread_at, enum behind_step step, usec now)
@@ -133,7 +144,7 @@
 	return (0);
 }
 
-/* A host that lost one change of a series does not serve by old rules on. */
+/* A host that lost one change of a series does not keep using old rules. */
 static void
 lost_in_a_series(void)
 {
@@ -142,8 +153,10 @@
 	CU_ASSERT_EQUAL(first_in_series(1, 0, BEHIND_READ, now), now + MS(400));
 }
 
-/* The store does not answer in the course of a series: another host is asked
- * all the same. */
+/*
+ * The store stops answering during a series: another host is asked
+ * nevertheless.
+ */
 static void
 store_away_in_a_series(void)
 {
@@ -153,12 +166,12 @@
 }
 
 static const struct unit_test tests[] = {
-    {"told or read", told_or_read},
-    {"lost on the way", lost_on_the_way},
-    {"store away", store_away},
-    {"newer meanwhile", newer_meanwhile},
-    {"told in series", told_in_series},
-    {"lost in a series", lost_in_a_series},
-    {"store away in a series", store_away_in_a_series},
+    {"wait for a push, or read", told_or_read},
+    {"lost push", lost_on_the_way},
+    {"store down", store_away},
+    {"newer version during a read", newer_meanwhile},
+    {"pushed in a series", told_in_series},
+    {"lost push in a series", lost_in_a_series},
+    {"store down in a series", store_away_in_a_series},
 };
 UNIT_MAIN("behind", tests)
--- a/regress/unit/t_hearing.c
+++ b/regress/unit/t_hearing.c
@@ -1,10 +1,10 @@
-/* Whether a controller hears enough hosts to go on. */
+/* Whether a controller hears enough hosts to keep control. */
 #include "hearing.h"
 #include "unit.h"
 
 #define NOW MS(100000)
 
-/* Fills in when hosts were heard: some just now, some long ago. */
+/* Fills in when hosts were heard: the first just now, the others earlier. */
 static void
 fill(usec *heard, int n, int lately, usec others)
 {
@@ -15,9 +15,9 @@
 }
 
 /*
- * A data centre is cut off from the other two, and the controller is in it.
- * It reaches the store, so it would keep control, and callers of the others
- * would be refused as long as the cut lasts.
+ * The controller's data centre is cut off from the other two but reaches the
+ * store: the controller would keep control, and callers in the other two would
+ * be refused as long as the cut lasts.
  */
 static void
 cut_off(void)
@@ -26,12 +26,14 @@
 
 	fill(heard, 12, 5, MS(1500));
 	CU_ASSERT(!hears_enough(heard, 12, NOW));
-	/* One cut off from it is no reason. */
+	/* A minority that is not heard is no reason to release control. */
 	fill(heard, 12, 7, MS(1500));
 	CU_ASSERT(hears_enough(heard, 12, NOW));
 }
 
-/* Hosts that ended long ago, or a fleet of one, are no cut. */
+/*
+ * Hosts that ended long ago, or a fleet of at most one host, are no partition.
+ */
 static void
 no_cut(void)
 {
@@ -45,7 +47,7 @@
 }
 
 static const struct unit_test tests[] = {
-    {"cut off", cut_off},
-    {"no cut", no_cut},
+    {"most hosts not heard", cut_off},
+    {"no partition", no_cut},
 };
 UNIT_MAIN("hearing", tests)
--- a/regress/unit/t_lease.c
+++ b/regress/unit/t_lease.c
@@ -1,12 +1,12 @@
 /*
- * A lease's holder must stop before its granter gives the keys to another,
- * however long either message was on its way and if clocks drift.
+ * The holder of a lease must stop before its granter gives the keys to another
+ * host, however long either message was delayed and if clocks drift.
  */
 #include "lease.h"
 #include "hostlease.h"
 #include "unit.h"
 
-/* The answer took 200 ms on its way: the holder still stops first. */
+/* The reply was delayed by 200 ms: the holder still stops first. */
 static void
 holder_stops_first(void)
 {
@@ -18,7 +18,7 @@
 	    lease_holder_end(answered, len) < lease_granter_end(answered, len));
 }
 
-/* The margins cover clocks that run apart by one in a thousand. */
+/* The margins cover clocks that drift apart by one part in a thousand. */
 static void
 margins_cover_drift(void)
 {
@@ -28,8 +28,8 @@
 }
 
 /*
- * A frozen target reads a renewal long after it was sent: its expiry is a
- * moment of its own clock that is past by then.
+ * A frozen target reads a renewal long after it was sent: the expiry is an
+ * absolute time of its own clock, which is past by then.
  */
 static void
 late_renewal_is_past(void)
@@ -39,13 +39,13 @@
 	until = grant_expiry(there, MS(100), MS(1000));
 	CU_ASSERT(until > there);
 	CU_ASSERT(until <= there + MS(900));
-	/* Thawed three seconds later, by its own clock. */
+	/* The target thaws three seconds later, by its own clock. */
 	CU_ASSERT(until < there + MS(3000));
 	CU_ASSERT_EQUAL(grant_expiry(there, MS(1000), MS(1000)), 0);
 	CU_ASSERT_EQUAL(grant_expiry(there, MS(1000), MS(900)), 0);
 }
 
-/* The host's lease counts from when it asked, not from the answer. */
+/* The host's lease counts from its request, not from the reply. */
 static void
 host_counts_from_asking(void)
 {
@@ -58,7 +58,7 @@
 }
 
 /*
- * A controller of an earlier term wakes and answers: refused, for a later one
+ * A controller of an earlier term resumes and replies: refused, as a later one
  * may already give this host's targets to others.
  */
 static void
@@ -80,8 +80,8 @@
 static const struct unit_test tests[] = {
     {"holder stops first", holder_stops_first},
     {"margins cover drift", margins_cover_drift},
-    {"late renewal is past", late_renewal_is_past},
-    {"host counts from asking", host_counts_from_asking},
+    {"late renewal has expired", late_renewal_is_past},
+    {"host lease counts from request", host_counts_from_asking},
     {"earlier term is refused", earlier_term_is_refused},
 };
 UNIT_MAIN("lease", tests)
--- a/regress/unit/t_pace.c
+++ b/regress/unit/t_pace.c
@@ -1,13 +1,15 @@
-/* How much is told at once, and how soon after another. */
+/* Size limits of pushes, and the rate of copies. */
 #include <string.h>
 
 #include "pace.h"
 #include "unit.h"
 
-#define COPY 750000u /* 4,300 routes */
+#define COPY 750000u /* a configuration of 4,300 routes */
 
-/* A change of one route goes to 500 hosts, a whole large configuration to none:
- * it would hold up signs of life on the teller's link or on theirs. */
+/*
+ * A change of one route is pushed to 500 hosts, a whole large configuration to
+ * none: it would delay heartbeats on the sender's link or on theirs.
+ */
 static void
 fits(void)
 {
--- a/regress/unit/t_silence.c
+++ b/regress/unit/t_silence.c
@@ -1,8 +1,8 @@
-/* Silent connections to a target: when they are suspected, and for how long. */
+/* Dead connections to a target: when they are suspected, and for how long. */
 #include "silence.h"
 #include "unit.h"
 
-/* One unanswered call alone says nothing; an answered one after it does. */
+/* One unanswered probe alone shows nothing; an answered one after it does. */
 static void
 miss_then_answer(void)
 {
@@ -19,7 +19,7 @@
 	CU_ASSERT_EQUAL(silence_heard(&s, MS(700)), 0);
 }
 
-/* No connection from before is used again, however late. */
+/* No connection from before the silence is reused, however late. */
 static void
 none_from_before(void)
 {
@@ -38,7 +38,9 @@
 	CU_ASSERT_EQUAL(silence_conn_age(&s, MS(2600)), 2);
 }
 
-/* Far longer than typical is suspect, but only where later ones are answered.
+/*
+ * A request far longer than typical is suspected only if later ones were
+ * answered.
  */
 static void
 overtaken(void)
@@ -56,8 +58,8 @@
 }
 
 static const struct unit_test tests[] = {
-    {"miss, then answer", miss_then_answer},
-    {"overtaken", overtaken},
-    {"none from before", none_from_before},
+    {"missed probe, then answer", miss_then_answer},
+    {"overtaken by later requests", overtaken},
+    {"no older connection is reused", none_from_before},
 };
 UNIT_MAIN("silence", tests)
--- a/regress/unit/t_standby.c
+++ b/regress/unit/t_standby.c
@@ -1,10 +1,10 @@
-/* Who stands by for a controller. */
+/* Choice of the standbys of a controller. */
 #include <string.h>
 
 #include "standby.h"
 #include "unit.h"
 
-/* A host that could stand by. */
+/* Returns a host that could be a standby. */
 static struct candidate
 host(const char *name, const char *dc, int bears, int is_one)
 {
@@ -19,9 +19,10 @@
 }
 
 /*
- * A fleet of a few large and many small hosts loses its controller.  If a small
- * one follows, it spends all of its link on the signs of life of a hundred
- * hosts; they hear it late, look for another, and keys go unserved meanwhile.
+ * A fleet of a few large and many small hosts loses its controller. A small
+ * host as its successor would spend all of its link on the heartbeats of a
+ * hundred hosts; they hear it late, look for another controller, and keys have
+ * no owner meanwhile.
  */
 static void
 large_first(void)
@@ -37,8 +38,8 @@
 }
 
 /*
- * The controller's data centre is cut off, or with it the one of a standby.
- * Each data centre that can be lost alone must leave one of the three.
+ * The data centre of the controller or of a standby is cut off: one of the
+ * three hosts must remain whichever data centre is lost.
  */
 static void
 data_centres_apart(void)
@@ -54,9 +55,10 @@
 }
 
 /*
- * A small host controls 81, for the large ones were cut off from the store.  It
- * gives control to a standby that bears them once the store answers that one;
- * to any other, control would come back to a small one, over and over.
+ * A small host controls 81 as the large ones were cut off from the store. It
+ * releases control to a standby that is large enough once the store answers
+ * that standby; with any other, control would go back to a small one, over and
+ * over.
  */
 static void
 larger_takes_over(void)
@@ -65,20 +67,24 @@
 	    host("b1", "north", 312, 1), host("b2", "east", 312, 0)};
 
 	CU_ASSERT(!larger_stands_by(c, 3, 55, 81));
-	c[2].store = 1; /* no standby: it would not be first to take control */
+	c[2].store = 1; /* not a standby, so not first to take control */
 	CU_ASSERT(!larger_stands_by(c, 3, 55, 81));
 	c[1].store = 1;
 	CU_ASSERT(larger_stands_by(c, 3, 55, 81));
-	/* One that bears its fleet, or has no size, keeps control. */
+	/*
+	 * A host large enough for its fleet, or of unknown size, keeps control.
+	 */
 	CU_ASSERT(!larger_stands_by(c, 3, 55, 40));
 	CU_ASSERT(!larger_stands_by(c, 3, 0, 81));
-	/* A little larger is not worth it. */
+	/* A standby that is only a little larger does not take over. */
 	c[1].bears = 70;
 	CU_ASSERT(!larger_stands_by(c, 3, 55, 81));
 }
 
-/* Among equals those that stand by stay: each change is a write, and promises
- * of both lists are needed while it is open. */
+/*
+ * Among equals, current standbys are kept: each change is a write, and promises
+ * of both lists are needed while it is pending.
+ */
 static void
 stays(void)
 {
@@ -92,6 +98,7 @@
 	CU_ASSERT_STRING_EQUAL(m[1].host, "d");
 }
 
+/* Fewer candidates than standbys wanted. */
 static void
 few(void)
 {
@@ -102,7 +109,7 @@
 	CU_ASSERT_EQUAL(standbys_pick(c, 1, "south", m), 1);
 }
 
-/* Sizes of the machines that run it today. */
+/* Capacity and delay of a small and a large host. */
 static void
 sizes(void)
 {
@@ -114,11 +121,11 @@
 }
 
 static const struct unit_test tests[] = {
-    {"larger takes over", larger_takes_over},
-    {"large ones first", large_first},
+    {"larger standby takes over", larger_takes_over},
+    {"large hosts first", large_first},
     {"data centres apart", data_centres_apart},
-    {"stays", stays},
-    {"few", few},
+    {"current standbys are kept", stays},
+    {"fewer candidates than standbys", few},
     {"sizes", sizes},
 };
 UNIT_MAIN("standby", tests)
--- a/regress/unit/t_term.c
+++ b/regress/unit/t_term.c
@@ -1,5 +1,5 @@
 /*
- * Control of a cell in virtual time: a small platform that holds one record
+ * Control of a cell in virtual time: a simulated platform that holds one record
  * and can be down or lose an answer, and the rules of one or two hosts.
  */
 #include <stdio.h>
@@ -12,7 +12,7 @@
 #define HOST_LEASE MS(1300)
 #define RENEW MS(200)
 
-/* The platform: one record, and faults. */
+/* The platform: one record, and injected faults. */
 static struct {
 	int down;
 	int lose;
@@ -62,7 +62,7 @@
 
 static const struct term_out out = {on_get, on_put, on_ask, on_event};
 
-/* A host's process. */
+/* Initialises the process of a host. */
 static void
 node_init(struct node *n, const char *host, uint64_t boot)
 {
@@ -75,7 +75,7 @@
 	term_init(&n->t, &c, &out, n, boot * 77);
 }
 
-/* The platform works off what a host asked of it. */
+/* The platform answers the pending calls of a host. */
 static void
 serve(struct node *n, usec now)
 {
@@ -103,7 +103,7 @@
 	}
 }
 
-/* Standby b answers what a asked. */
+/* Standby b answers the requests of a; they are lost where b is NULL. */
 static void
 promise(struct node *a, struct node *b, usec now)
 {
@@ -120,7 +120,7 @@
 	a->nasked = 0;
 }
 
-/* Runs both from a moment to another, in steps of 10 ms. */
+/* Runs both hosts from one time to another, in steps of 10 ms. */
 static void
 run(struct node *a, struct node *b, usec from, usec to)
 {
@@ -142,7 +142,7 @@
 	}
 }
 
-/* Host a holds the cell, host b is its standby, at 1 s. */
+/* Host a controls the cell, host b is its standby, at 1 s. */
 static void
 start(struct node *a, struct node *b)
 {
@@ -157,7 +157,7 @@
 	CU_ASSERT(term_may_renew(&a->t, MS(1000)));
 }
 
-/* The holder dies; its standby takes over once the record has lapsed. */
+/* The holder ends; its standby takes over once the record has lapsed. */
 static void
 standby_takes_over(void)
 {
@@ -169,18 +169,21 @@
 	     now += MS(10))
 		run(NULL, &b, now, now + MS(10));
 	CU_ASSERT_EQUAL(b.t.role, TERM_HOLDER);
-	/* Not before the dead holder's lease is over, and soon after. */
+	/* Only after the lease of the ended holder, and soon after. */
 	CU_ASSERT(now > a.t.lease_until);
 	CU_ASSERT(now < MS(2000));
 	CU_ASSERT_EQUAL(b.t.rec.term, a.t.rec.term + 1);
-	/* Nothing counts as lapsed before a whole host lease. */
+	/* Host leases count as lapsed only after a whole host lease. */
 	CU_ASSERT(!term_settled(&b.t, now + MS(1200)));
 	CU_ASSERT(term_settled(&b.t, now + MS(1400)));
-	/* The old holder, had it only been paused, may renew nothing. */
+	/* The old holder, if it was only paused, may renew nothing. */
 	CU_ASSERT(!term_may_renew(&a.t, now));
 }
 
-/* Platform down for minutes, both hosts well: control goes on, no takeover. */
+/*
+ * The platform is down for minutes while both hosts are up: control goes on,
+ * without a takeover.
+ */
 static void
 outage_changes_nothing(void)
 {
@@ -203,8 +206,8 @@
 }
 
 /*
- * The platform comes back and the standby reads before the holder can write:
- * the record is old, but the holder is not to be taken for stuck.
+ * The platform is back and the standby reads before the holder can write: the
+ * record is old, but the holder must not be taken for stuck.
  */
 static void
 after_an_outage_promises_go_on(void)
@@ -224,7 +227,10 @@
 	CU_ASSERT(term_asked(&b.t, now, a.t.rec.term, 2000));
 }
 
-/* Platform down and the standby silent: the holder stops by itself. */
+/*
+ * The platform is down and the standby does not answer: the holder stops
+ * renewing by itself.
+ */
 static void
 outage_and_no_promise(void)
 {
@@ -237,8 +243,8 @@
 }
 
 /*
- * A standby that restarted has forgotten its promise: its new process is
- * another, and its word is not taken for the old one's.
+ * A restarted standby does not know what it promised: its new process is
+ * another member, and its reply does not count for the old one.
  */
 static void
 restarted_standby_is_another(void)
@@ -253,7 +259,7 @@
 	CU_ASSERT_EQUAL(term_asked(&b2.t, MS(2000), a.t.rec.term, 2000), 0);
 }
 
-/* A promise counts from when it was asked for, not from when it arrived. */
+/* A promise counts from when the request was sent, not from its arrival. */
 static void
 promise_counts_from_asking(void)
 {
@@ -269,8 +275,8 @@
 }
 
 /*
- * The write that changes the list of standbys has no known outcome: promises
- * of the old list alone do not do, for the new may be in force.
+ * The outcome of a write that changes the standbys is unknown: promises of the
+ * old list are not enough, as the new one may be in force.
  */
 static void
 open_change_needs_both_lists(void)
@@ -289,7 +295,10 @@
 	CU_ASSERT(term_may_renew(&a.t, MS(1900)));
 }
 
-/* The take-over write took effect but its answer was lost: read back. */
+/*
+ * The takeover write took effect but its answer was lost: the host finds out by
+ * reading the record.
+ */
 static void
 lost_answer_is_read_back(void)
 {
@@ -303,7 +312,9 @@
 	CU_ASSERT_STRING_EQUAL(store.rec.holder.host, "b");
 }
 
-/* A standby whose own take-over write has no known outcome promises nothing. */
+/*
+ * A standby whose own takeover write has an unknown outcome makes no promise.
+ */
 static void
 unresolved_taker_promises_nothing(void)
 {
@@ -323,7 +334,7 @@
 	CU_ASSERT_EQUAL(term_asked(&b.t, now, a.t.rec.term, 2000), 0);
 }
 
-/* Two take over at once: the platform lets one win, the other follows. */
+/* Two hosts take over at once: one write succeeds, the other host follows. */
 static void
 two_takers_one_wins(void)
 {
@@ -348,8 +359,8 @@
 }
 
 /*
- * The holder and its standbys are cut off with the targets; a host that is
- * not listed reaches the platform and takes the record.  It may not count
+ * The holder and its standbys are cut off together with the targets; a host
+ * that is not listed reaches the platform and takes control. It must not count
  * leases as lapsed by time alone: the old holder still renews by promises.
  */
 static void
@@ -363,18 +374,21 @@
 	run(NULL, &c, MS(1000), MS(6000));
 	CU_ASSERT_EQUAL(c.t.role, TERM_HOLDER);
 	CU_ASSERT(!term_settled(&c.t, MS(60000)));
-	/* Some other process's word does not settle it. */
+	/* A reply of a process that is no standby changes nothing. */
 	term_promised(&c.t, MS(6000), &a.t.conf.self, c.t.rec.term, 0, 0);
 	CU_ASSERT(!term_settled(&c.t, MS(60000)));
 	term_promised(&c.t, MS(6000), &b.t.conf.self, c.t.rec.term, 0, 0);
 	CU_ASSERT(!term_settled(&c.t, MS(6000) + LEASE + HOST_LEASE));
 	CU_ASSERT(term_settled(&c.t, MS(6050) + LEASE + HOST_LEASE));
-	/* And the standby has withdrawn: no promise under the old term. */
+	/* The standby has withdrawn: no promise under the old term. */
 	CU_ASSERT(term_asked(&b.t, MS(6000), c.t.rec.term, 2000));
 	CU_ASSERT_EQUAL(term_asked(&b.t, MS(6100), a.t.rec.term, 2000), 0);
 }
 
-/* Cut off from the platform alone: the standby stops promising, takes over. */
+/*
+ * Only the holder is cut off from the platform: the standby stops promising and
+ * takes over.
+ */
 static void
 holder_cut_off_alone(void)
 {
@@ -401,7 +415,10 @@
 	CU_ASSERT(!term_may_renew(&a.t, now));
 }
 
-/* A planned stop gives control back; the standby need not wait for a lapse. */
+/*
+ * A planned stop releases control; the standby takes over without waiting for
+ * the lease to lapse.
+ */
 static void
 resigning_gives_back(void)
 {
@@ -419,7 +436,7 @@
 	CU_ASSERT_EQUAL(term_asked(&a.t, now, b.t.rec.term, 1000), 0);
 }
 
-/* Hosts whose holder tells them the record's version, two of them. */
+/* Two hosts whose holder announces the record's version. */
 static void
 start_told(struct node *a, struct node *b)
 {
@@ -429,10 +446,10 @@
 }
 
 /*
- * A standby that hears its controller does not read the record, for reads of
- * all standbys make most of a calm fleet's calls.  Once it hears nothing it
- * takes over as soon as if it had read all the time: what it heard last is the
- * witness of since when the record stands.
+ * A standby that hears its controller does not read the record, as reads of all
+ * standbys are most of the calls of an idle fleet. Once it hears nothing it
+ * takes over as soon as if it had read all the time: the last announcement
+ * shows until when the version was current.
  */
 static void
 told_standby_reads_nothing(void)
@@ -460,13 +477,13 @@
 	}
 	CU_ASSERT_EQUAL(b.t.role, TERM_HOLDER);
 	CU_ASSERT(now - lost < LEASE + MS(300));
-	/* Never while the old holder could still renew. */
+	/* Only once the old holder can no longer renew. */
 	CU_ASSERT(!term_may_renew(&a.t, now));
 }
 
 /*
- * All hosts restart at once.  The record names a holder and standbys of which
- * nobody is left to withdraw: keys would stay without owner for ever.  The new
+ * All hosts restart at once. The record names a holder and standbys of which
+ * none is left to withdraw, so keys would have no owner for ever. The new
  * process at the holder's address proves that the holder has ended, and takes
  * over at once.
  */
@@ -493,8 +510,8 @@
 }
 
 /*
- * A holder that was cut off from the store hears another that took over.  It
- * stops at once: what it knows is old, and its promises run for a while yet.
+ * A holder that is cut off from the store hears of another that took over. It
+ * stops at once: its state is old, while its promises last longer.
  */
 static void
 outdone(void)
@@ -512,7 +529,10 @@
 	CU_ASSERT_EQUAL(a.t.role, TERM_FOLLOWER);
 }
 
-/* Host a holds the cell, b stands by; the store goes, and b stops in order. */
+/*
+ * Host a controls the cell, b is its standby; the store goes down and b shuts
+ * down.
+ */
 static void
 start_left(struct node *a, struct node *b)
 {
@@ -524,7 +544,7 @@
 	run(a, b, MS(2000), MS(4000));
 }
 
-/* The store is back for a host that is not listed, which takes control. */
+/* The store is back for host c, which is not listed and takes control. */
 static void
 take_unlisted(struct node *c)
 {
@@ -536,10 +556,9 @@
 }
 
 /*
- * The store is away, and a standby is stopped in order.  Its promise ended with
- * it, so the holder let all keys lapse though nobody could take control: more
- * than half of all requests of two seconds were refused.  It never takes
- * control again, and so its last promise outlives it.
+ * The store is away, and a standby shuts down. If its promise ended with it,
+ * the holder would let all keys lapse though nobody could take control. As the
+ * standby never takes control again, its final promise outlives it.
  */
 static void
 left_standby(void)
@@ -556,9 +575,9 @@
 
 /*
  * The same, and the store is back for a host that is not listed, but not for
- * the holder, which lives by the promise that was left.  The standby's new
- * process proves that the old has ended, but not what it promised last: the
- * taker waits until that is over.
+ * the holder, which relies on the final promise. The standby's new process
+ * proves that the old one has ended, but not what it promised last: the new
+ * holder waits until that promise is over.
  */
 static void
 left_promise_is_waited_for(void)
@@ -582,7 +601,7 @@
 		    !term_may_renew(&a.t, now) || !term_settled(&c.t, now));
 	}
 	CU_ASSERT(term_settled(&c.t, MS(30000)));
-	/* Its last word to the taker is no withdrawal either. */
+	/* Its reply to the new holder is no withdrawal either. */
 	start_left(&a, &b);
 	take_unlisted(&c);
 	term_promised(&c.t, MS(9000), &b.t.conf.self, c.t.rec.term,
@@ -590,7 +609,10 @@
 	CU_ASSERT(!term_settled(&c.t, MS(9000) + MS(12000)));
 }
 
-/* An earlier holder that says it follows the new one is not waited for. */
+/*
+ * The new holder does not wait for an earlier one that reports that it follows
+ * it.
+ */
 static void
 yielded(void)
 {
@@ -610,12 +632,12 @@
 	term_yielded(&c.t, MS(9000), &a.t.conf.self, c.t.rec.term);
 	CU_ASSERT(!term_settled(&c.t, MS(9000) + HOST_LEASE));
 	CU_ASSERT(term_settled(&c.t, MS(9000) + HOST_LEASE + MS(200)));
-	/* Said again later, it puts nothing off. */
+	/* A repeated report postpones nothing. */
 	term_yielded(&c.t, MS(10000), &a.t.conf.self, c.t.rec.term);
 	CU_ASSERT(term_settled(&c.t, MS(9000) + HOST_LEASE + MS(200)));
 }
 
-/* A process of the same name at another address proves nothing. */
+/* A process of the same host name at another address proves nothing. */
 static void
 same_name_elsewhere_proves_nothing(void)
 {
@@ -638,9 +660,9 @@
 }
 
 /*
- * A whole fleet starts for the first time.  Each host finds no record; if all
- * look again in step, all write it at once, the store refuses what is beyond
- * its rate, and the one whose write was done hears of it late.
+ * A whole fleet starts for the first time. Each host finds no record; if all
+ * read again at the same interval, all write it at once, the store refuses what
+ * exceeds its rate, and the host whose write succeeded learns of it late.
  */
 static void
 first_start_of_many(void)
@@ -657,7 +679,9 @@
 		node_init(&n[i], name, 1000003u * 7919u * (unsigned)(i + 1));
 		n[i].t.conf.told = 1;
 	}
-	/* All ask, then the store answers all, a few milliseconds later. */
+	/*
+	 * All hosts send, then the store answers all, a few milliseconds later.
+	 */
 	for (now = MS(1000); now < MS(1000) + RENEW + MS(400); now += MS(3)) {
 		for (i = 0; i < 76; i++) {
 			term_tick(&n[i].t, now);
@@ -679,22 +703,23 @@
     {"standby takes over", standby_takes_over},
     {"outage changes nothing", outage_changes_nothing},
     {"after an outage promises go on", after_an_outage_promises_go_on},
-    {"outage and no promise", outage_and_no_promise},
-    {"restarted standby is another", restarted_standby_is_another},
-    {"promise counts from asking", promise_counts_from_asking},
-    {"open change needs both lists", open_change_needs_both_lists},
+    {"no renewal without platform and promise", outage_and_no_promise},
+    {"restarted standby does not count", restarted_standby_is_another},
+    {"promise counts from its request", promise_counts_from_asking},
+    {"pending change needs both lists", open_change_needs_both_lists},
     {"lost answer is read back", lost_answer_is_read_back},
-    {"unresolved taker promises nothing", unresolved_taker_promises_nothing},
-    {"two takers, one wins", two_takers_one_wins},
-    {"unlisted taker waits", unlisted_taker_waits_for_withdrawal},
+    {"no promise during own takeover", unresolved_taker_promises_nothing},
+    {"two takeovers, one succeeds", two_takers_one_wins},
+    {"unlisted host waits for withdrawal", unlisted_taker_waits_for_withdrawal},
     {"holder cut off alone", holder_cut_off_alone},
-    {"resigning gives back", resigning_gives_back},
-    {"told standby reads nothing", told_standby_reads_nothing},
-    {"restarted holder takes over", restarted_holder_takes_over_at_once},
-    {"outdone", outdone},
-    {"left standby", left_standby},
-    {"left promise is waited for", left_promise_is_waited_for},
-    {"yielded", yielded},
-    {"same name elsewhere", same_name_elsewhere_proves_nothing},
+    {"resigning releases control", resigning_gives_back},
+    {"standby reads only without announcements", told_standby_reads_nothing},
+    {"restarted holder takes over at once",
+	restarted_holder_takes_over_at_once},
+    {"later term ends control", outdone},
+    {"final promise outlives its standby", left_standby},
+    {"new holder waits for final promise", left_promise_is_waited_for},
+    {"earlier holder follows", yielded},
+    {"same host at another address", same_name_elsewhere_proves_nothing},
 };
 UNIT_MAIN("term", tests)
