--- a/decide/hearing.c
+++ b/decide/hearing.c
@@ -1,16 +1,16 @@
 #include "hearing.h"
 
 /* Hosts report every 200 ms; one not heard for this long may be cut off. */
-#define HEARD_LATELY MS(900)
+#define HEARD_RECENTLY MS(900)
 /*
  * A host not heard for this long has ended, or was cut off long ago, and does
  * not count.
  */
-#define HEARD_BEFORE MS(8000)
+#define HEARD_EARLIER MS(8000)
 
 /*
- * True if at least half of the hosts heard within HEARD_BEFORE are still heard;
- * heard holds when each host was heard last.
+ * True if at least half of the hosts heard within HEARD_EARLIER are still
+ * heard; heard holds when each host was heard last.
  *
  * A controller whose data centre is cut off from the others may still reach the
  * store. It would keep control but renew leases only in its own data centre,
@@ -23,8 +23,8 @@
 	int i, before = 0, lately = 0;
 
 	for (i = 0; i < n; i++) {
-		before += now - heard[i] < HEARD_BEFORE;
-		lately += now - heard[i] < HEARD_LATELY;
+		before += now - heard[i] < HEARD_EARLIER;
+		lately += now - heard[i] < HEARD_RECENTLY;
 	}
 	return (2 * lately >= before);
 }
--- a/decide/hostlease.c
+++ b/decide/hostlease.c
@@ -4,15 +4,15 @@
 #include "lease.h"
 
 /*
- * Records that a lease request is sent now, the next one after every; returns
- * its sequence number.
+ * Records that a lease request is sent now, the next one after interval;
+ * returns its sequence number.
  */
 uint64_t
-hostlease_ask(struct hostlease *h, usec now, usec every)
+hostlease_ask(struct hostlease *h, usec now, usec interval)
 {
 	h->seq++;
-	h->sent[h->seq % ASKS_KEPT] = now;
-	h->next_ask = now + every;
+	h->sent[h->seq % LEASE_REQUESTS_MAX] = now;
+	h->next_ask = now + interval;
 	return (h->seq);
 }
 
@@ -30,12 +30,13 @@
 {
 	usec end;
 
-	if (term < h->term || seq > h->seq || h->seq - seq >= ASKS_KEPT)
+	if (term < h->term || seq > h->seq ||
+	    h->seq - seq >= LEASE_REQUESTS_MAX)
 		return (0);
 	if (term > h->term || h->controller[0] == '\0')
 		hostlease_hint(h, from, term);
 	h->heard = now;
-	end = lease_holder_end(h->sent[seq % ASKS_KEPT], length);
+	end = lease_holder_end(h->sent[seq % LEASE_REQUESTS_MAX], length);
 	if (end > h->until)
 		h->until = end;
 	return (1);
--- a/decide/hostlease.h
+++ b/decide/hostlease.h
@@ -7,19 +7,19 @@
 #include "clock.h"
 #include "str.h"
 
-#define ASKS_KEPT 64
+#define LEASE_REQUESTS_MAX 64
 
 struct hostlease {
 	char controller[NAME_MAX_GS];
 	uint64_t term;
 	uint64_t seq;
-	usec sent[ASKS_KEPT];
+	usec sent[LEASE_REQUESTS_MAX];
 	usec until;
 	usec heard;
 	usec next_ask;
 };
 
-uint64_t hostlease_ask(struct hostlease *, usec now, usec every);
+uint64_t hostlease_ask(struct hostlease *, usec now, usec interval);
 int hostlease_given(struct hostlease *, usec now, const char *from,
     uint64_t term, uint64_t seq, usec length);
 int hostlease_hint(struct hostlease *, const char *controller, uint64_t term);
--- a/decide/lease.c
+++ b/decide/lease.c
@@ -5,14 +5,14 @@
  * margin a holder with a slow clock would go on after its granter, with a fast
  * one, had given the keys to another: two owners.
  */
-#define DRIFT_PART 1000
+#define DRIFT_DIVISOR 1000
 #define MARGIN_MIN MS(1)
 
 /* Returns the allowance for the drift of both clocks over a span. */
 static usec
-margin(usec span)
+drift_margin(usec span)
 {
-	return (span / DRIFT_PART + MARGIN_MIN);
+	return (span / DRIFT_DIVISOR + MARGIN_MIN);
 }
 
 /*
@@ -21,9 +21,9 @@
  * arrival would outlive the granter's.
  */
 usec
-lease_holder_end(usec asked, usec length)
+lease_holder_end(usec requested, usec length)
 {
-	return (asked + length - margin(length));
+	return (requested + length - drift_margin(length));
 }
 
 /*
@@ -31,15 +31,15 @@
  * answer, which is never before the holder's request.
  */
 usec
-lease_granter_end(usec answered, usec length)
+lease_granter_end(usec replied, usec length)
 {
-	return (answered + length + margin(length));
+	return (replied + length + drift_margin(length));
 }
 
 /*
  * Returns a grant's absolute expiry by the receiver's clock, or 0 if it has
- * expired. clock_there is the receiver's clock as of an answer that arrived at
- * `heard` by the local clock; end is when the grant must end, by the local
+ * expired. receiver_clock is the receiver's clock as of an answer that arrived
+ * at `heard` by the local clock; end is when the grant must end, by the local
  * clock.
  *
  * A duration "from receipt" would let a renewal that waited in the socket of a
@@ -48,11 +48,11 @@
  * side.
  */
 usec
-grant_expiry(usec clock_there, usec heard, usec end)
+grant_expiry(usec receiver_clock, usec heard, usec end)
 {
 	usec left;
 
 	left = end - heard;
-	left -= margin(left < 0 ? 0 : left);
-	return (left <= 0 ? 0 : clock_there + left);
+	left -= drift_margin(left < 0 ? 0 : left);
+	return (left <= 0 ? 0 : receiver_clock + left);
 }
--- a/decide/lease.h
+++ b/decide/lease.h
@@ -7,8 +7,8 @@
 
 #include "clock.h"
 
-usec lease_holder_end(usec asked, usec length);
-usec lease_granter_end(usec answered, usec length);
-usec grant_expiry(usec clock_there, usec heard, usec end);
+usec lease_holder_end(usec requested, usec length);
+usec lease_granter_end(usec replied, usec length);
+usec grant_expiry(usec receiver_clock, usec heard, usec end);
 
 #endif
--- a/decide/pace.c
+++ b/decide/pace.c
@@ -5,33 +5,33 @@
  * heartbeats wait behind it, and hosts that hear none for 900 ms look for
  * another controller.
  */
-#define TELL_SPAN_S 0.25
+#define PUSH_TIME_MAX_S 0.25
 /*
  * Maximum bytes pushed to one host, whose link speed is not known here: 0.1 s
  * at 10 Mbit/s.
  */
-#define TELL_MOST 131072
+#define PUSH_BYTES_MAX 131072
 /*
  * Share of the link for copies that single hosts ask for; the rest is for
  * callers.
  */
-#define COPIES_PART 0.25
+#define COPIES_SHARE 0.25
 /* Assumed link speed where none is configured, in Mbit/s. */
-#define LINK_UNKNOWN 100.0
+#define LINK_DEFAULT_MBPS 100.0
 
 /* Returns the bytes per second of a link. */
 static double
 link_bytes(double link_mbps)
 {
-	return ((link_mbps > 0 ? link_mbps : LINK_UNKNOWN) * 1e6 / 8);
+	return ((link_mbps > 0 ? link_mbps : LINK_DEFAULT_MBPS) * 1e6 / 8);
 }
 
 /* True if this many bytes may be pushed to each of this many hosts at once. */
 int
 pace_fits(size_t bytes, int hosts, double link_mbps)
 {
-	return (bytes <= TELL_MOST &&
-	    (double)bytes * hosts <= link_bytes(link_mbps) * TELL_SPAN_S);
+	return (bytes <= PUSH_BYTES_MAX &&
+	    (double)bytes * hosts <= link_bytes(link_mbps) * PUSH_TIME_MAX_S);
 }
 
 /* True if a copy may be sent now. */
@@ -45,7 +45,7 @@
 void
 pace_sent(struct pace *p, size_t bytes, double link_mbps, usec now)
 {
-	double s = (double)bytes / (link_bytes(link_mbps) * COPIES_PART);
+	double s = (double)bytes / (link_bytes(link_mbps) * COPIES_SHARE);
 
 	p->free_at = now + (usec)(s * 1e6);
 }
--- a/decide/silence.c
+++ b/decide/silence.c
@@ -2,10 +2,10 @@
 
 /*
  * A request is overdue after this many times the typical duration, but not
- * before PATIENCE_MIN.
+ * before OVERDUE_MIN.
  */
-#define TIMES_TYPICAL 4
-#define PATIENCE_MIN MS(250)
+#define OVERDUE_FACTOR 4
+#define OVERDUE_MIN MS(250)
 
 /* A probe of the target was not answered in time. */
 void
@@ -27,7 +27,7 @@
 	if (!s->missed)
 		return (0);
 	s->missed = 0;
-	s->fresh_from = sent;
+	s->suspect_before = sent;
 	return (1);
 }
 
@@ -43,13 +43,13 @@
 
 	if (s->missed)
 		return (CONN_FRESH);
-	if (s->fresh_from == 0)
+	if (s->suspect_before == 0)
 		return (0);
-	age = (long)((now - s->fresh_from) / US_PER_SEC);
+	age = (long)((now - s->suspect_before) / US_PER_SEC);
 	return (age > 0 ? age : CONN_FRESH);
 }
 
-/* A request sent at `sent` was answered. */
+/* A request or probe sent at `sent` was answered. */
 void
 silence_answered(struct silence *s, usec sent)
 {
@@ -66,11 +66,11 @@
 int
 silence_suspects(const struct silence *s, usec now, usec sent, usec typical)
 {
-	usec patience = TIMES_TYPICAL * typical;
+	usec overdue = OVERDUE_FACTOR * typical;
 
-	if (sent < s->fresh_from)
+	if (sent < s->suspect_before)
 		return (1);
-	if (patience < PATIENCE_MIN)
-		patience = PATIENCE_MIN;
-	return (sent < s->answered && now - sent > patience);
+	if (overdue < OVERDUE_MIN)
+		overdue = OVERDUE_MIN;
+	return (sent < s->answered && now - sent > overdue);
 }
--- a/decide/silence.h
+++ b/decide/silence.h
@@ -9,9 +9,9 @@
 #define CONN_FRESH (-1)
 
 struct silence {
-	int missed;	 /* the last probe was not answered */
-	usec fresh_from; /* older connections are not used */
-	usec answered;	 /* when the latest answered request was sent */
+	int missed;	     /* the last probe was not answered */
+	usec suspect_before; /* older connections are not used */
+	usec answered;	     /* when the latest answered request was sent */
 };
 
 void silence_missed(struct silence *);
--- a/decide/standby.c
+++ b/decide/standby.c
@@ -8,21 +8,21 @@
  * Load on the controller for each host of its fleet, with ten targets per host:
  * cores, and Mbit/s of its link.
  */
-#define CORES_EACH 0.0008
-#define MBPS_EACH 0.09
+#define CORES_PER_HOST 0.0008
+#define MBPS_PER_HOST 0.09
 /*
  * Share of a host's cores and link that control may use; the rest is for
  * callers' requests.
  */
-#define PART_FOR_CONTROL 0.5
+#define CONTROL_SHARE 0.5
 /*
- * A host that could control fewer hosts than BEARS_MANY waits this long
+ * A host that could control fewer hosts than LARGE_HOST_MIN waits this long
  * before it takes control of a site that has no controller, so that larger ones
  * go first. It equals the range of delays for the first controller in term.c
- * (FIRST_SPREAD).
+ * (BOOTSTRAP_JITTER).
  */
-#define BEARS_MANY 150
-#define LEAVE_TO_LARGER MS(200)
+#define LARGE_HOST_MIN 150
+#define SMALL_HOST_DELAY MS(200)
 
 /*
  * Returns how many hosts a host of this size could control; 0 if its size is
@@ -33,8 +33,8 @@
 {
 	if (cores <= 0 || link_mbps <= 0)
 		return (0);
-	return ((int)(PART_FOR_CONTROL *
-	    fmin(cores / CORES_EACH, link_mbps / MBPS_EACH)));
+	return ((int)(CONTROL_SHARE *
+	    fmin(cores / CORES_PER_HOST, link_mbps / MBPS_PER_HOST)));
 }
 
 /*
@@ -46,7 +46,7 @@
 {
 	if (!feature_on(FEATURE_STANDBY))
 		return (0);
-	return (bears > 0 && bears < BEARS_MANY ? LEAVE_TO_LARGER : 0);
+	return (bears > 0 && bears < LARGE_HOST_MIN ? SMALL_HOST_DELAY : 0);
 }
 
 /*
@@ -57,7 +57,8 @@
  * and over. Last, whether it is a standby now.
  */
 static double
-worth(const struct candidate *c, const char *dc, const struct candidate *first)
+standby_score(
+    const struct candidate *c, const char *dc, const struct candidate *first)
 {
 	int apart = strcmp(c->dc, dc) != 0;
 
@@ -81,8 +82,8 @@
 		for (i = 0; i < n; i++) {
 			if (&c[i] != first &&
 			    (best == NULL ||
-				worth(&c[i], dc, first) >
-				    worth(best, dc, first)))
+				standby_score(&c[i], dc, first) >
+				    standby_score(best, dc, first)))
 				best = &c[i];
 		}
 		if (best == NULL)
--- a/decide/term.c
+++ b/decide/term.c
@@ -7,42 +7,42 @@
  * Additional delay of a host that is not a standby before it takes over a
  * lapsed record, so that the standbys go first.
  */
-#define UNLISTED_WAIT MS(2000)
+#define UNLISTED_DELAY MS(2000)
 /*
  * A standby refuses promises once the record of a holder that cannot write has
  * been unchanged for this long.
  */
-#define STUCK_AFTER MS(3000)
+#define HOLDER_STUCK_AFTER MS(3000)
 /*
  * The same where the holder itself reports that its lease has expired: standbys
  * read the record only then, when it has been unchanged for a control lease
  * already.
  */
-#define STUCK_TOLD MS(1200)
+#define LATE_HOLDER_STUCK_AFTER MS(1200)
 /* Interval between reads of a host that is not a standby. */
-#define IDLE_READ MS(1000)
+#define IDLE_READ_INTERVAL MS(1000)
 /* Delay of a host that is not a standby before it takes a vacant record. */
-#define FREE_WAIT MS(150)
+#define VACANT_DELAY MS(150)
 /* Range of the delays before hosts create the record of a new cell. */
-#define FIRST_SPREAD MS(200)
+#define BOOTSTRAP_JITTER MS(200)
 /* Interval between promise requests while the platform answers in time. */
-#define ASK_RARELY MS(1000)
+#define PROMISE_INTERVAL MS(1000)
 
 /* True if both are the same process. */
 static int
-same(const struct member *a, const struct member *b)
+same_process(const struct member *a, const struct member *b)
 {
 	return (a->boot == b->boot && strcmp(a->host, b->host) == 0);
 }
 
 /* True if the record lists the process as standby. */
 static int
-lists(const struct record *r, const struct member *m)
+lists_standby(const struct record *r, const struct member *m)
 {
 	int i;
 
 	for (i = 0; i < r->nstandby; i++) {
-		if (same(&r->standby[i], m))
+		if (same_process(&r->standby[i], m))
 			return (1);
 	}
 	return (0);
@@ -53,21 +53,21 @@
  * same address, which only one can at a time.
  */
 static int
-replaces(const struct member *now_runs, const struct member *was)
+replaces(const struct member *running, const struct member *was)
 {
-	return (now_runs->addr[0] != '\0' && now_runs->boot != was->boot &&
-	    strcmp(now_runs->host, was->host) == 0 &&
-	    strcmp(now_runs->addr, was->addr) == 0);
+	return (running->addr[0] != '\0' && running->boot != was->boot &&
+	    strcmp(running->host, was->host) == 0 &&
+	    strcmp(running->addr, was->addr) == 0);
 }
 
 /* Initialises the state for one cell; seed is random and differs by process. */
 void
 term_init(struct term *t, const struct term_conf *conf,
-    const struct term_out *out, void *arg, uint64_t seed)
+    const struct term_out *cb, void *arg, uint64_t seed)
 {
 	memset(t, 0, sizeof(*t));
 	t->conf = *conf;
-	t->out = out;
+	t->cb = cb;
 	t->arg = arg;
 	t->seed = seed;
 	t->eligible = 1;
@@ -89,12 +89,12 @@
 {
 	t->put_rec = *r;
 	t->put_rec.write_id = write_id(t);
-	t->put_base = t->version;
+	t->base_version = t->version;
 	t->put_sent = now;
-	t->put_open = 1;
-	t->put_lost = 0;
+	t->put_pending = 1;
+	t->put_unknown = 0;
 	t->next_put = now + t->conf.renew;
-	t->out->put(t->arg, t->put_base, &t->put_rec);
+	t->cb->put(t->arg, t->base_version, &t->put_rec);
 }
 
 /*
@@ -107,7 +107,7 @@
 	int i;
 
 	for (i = 0; i < t->npromises; i++) {
-		if (same(&t->promises[i].who, m))
+		if (same_process(&t->promises[i].process, m))
 			return (&t->promises[i]);
 	}
 	if (t->npromises == 2 * STANDBYS) {
@@ -116,7 +116,7 @@
 		t->npromises--;
 	}
 	memset(&t->promises[t->npromises], 0, sizeof(t->promises[0]));
-	t->promises[t->npromises].who = *m;
+	t->promises[t->npromises].process = *m;
 	return (&t->promises[t->npromises++]);
 }
 
@@ -133,7 +133,8 @@
 		return (0);
 	for (i = 0; i < r->nstandby; i++) {
 		for (k = 0; k < t->npromises; k++) {
-			if (same(&t->promises[k].who, &r->standby[i]) &&
+			if (same_process(
+				&t->promises[k].process, &r->standby[i]) &&
 			    t->promises[k].until > now)
 				break;
 		}
@@ -161,13 +162,13 @@
 	 * knowing, and a standby then takes over at once, without waiting for
 	 * the lease to lapse.
 	 */
-	if (t->put_open && t->put_rec.holder.host[0] == '\0')
+	if (t->put_pending && t->put_rec.holder.host[0] == '\0')
 		return (0);
 	if (now < t->lease_until)
 		return (1);
 	if (!all_promised(t, &t->rec, now))
 		return (0);
-	return (!t->put_open || all_promised(t, &t->put_rec, now));
+	return (!t->put_pending || all_promised(t, &t->put_rec, now));
 }
 
 /*
@@ -178,8 +179,8 @@
 int
 term_settled(const struct term *t, usec now)
 {
-	return (
-	    t->role == TERM_HOLDER && !t->must_withdraw && now >= t->settle_at);
+	return (t->role == TERM_HOLDER && !t->need_withdrawal &&
+	    now >= t->old_leases_lapse_at);
 }
 
 /*
@@ -198,13 +199,13 @@
 
 /* Becomes a follower; why is the event's text. */
 static void
-follow(struct term *t, const char *why)
+become_follower(struct term *t, const char *why)
 {
 	if (t->role != TERM_FOLLOWER)
-		t->out->event(t->arg, why);
+		t->cb->event(t->arg, why);
 	t->role = TERM_FOLLOWER;
-	t->put_open = 0;
-	t->put_lost = 0;
+	t->put_pending = 0;
+	t->put_unknown = 0;
 }
 
 /*
@@ -212,15 +213,16 @@
  * effect.
  */
 static void
-hold(struct term *t, usec now, uint64_t version)
+become_holder(struct term *t, usec now, uint64_t version)
 {
 	int was = t->role;
 	int listed;
 
-	listed = lists(&t->rec, &t->conf.self) || t->rec.nstandby == 0 ||
-	    t->version == 0 || t->rec.holder.host[0] == '\0';
-	if (was == TERM_TAKING) {
-		t->taken_from = t->rec;
+	listed = lists_standby(&t->rec, &t->conf.self) ||
+	    t->rec.nstandby == 0 || t->version == 0 ||
+	    t->rec.holder.host[0] == '\0';
+	if (was == TERM_ACQUIRING) {
+		t->previous_record = t->rec;
 		/*
 		 * A listed standby that takes over makes no promise itself, so
 		 * the old holder lacks the promise of one standby and cannot
@@ -229,9 +231,10 @@
 		 * leases, and counting them as lapsed would give keys two
 		 * owners. So a listed standby must withdraw first.
 		 */
-		t->must_withdraw = !listed;
-		t->settle_at = lease_granter_end(now, t->conf.host_lease);
-		t->dispatch_at = t->settle_at;
+		t->need_withdrawal = !listed;
+		t->old_leases_lapse_at =
+		    lease_granter_end(now, t->conf.host_lease);
+		t->dispatch_at = t->old_leases_lapse_at;
 		t->npromises = 0;
 	}
 	t->role = TERM_HOLDER;
@@ -242,25 +245,25 @@
 	t->first_seen = now;
 	t->last_seen = now;
 	t->lease_until = lease_holder_end(t->put_sent, t->conf.lease);
-	t->put_open = 0;
-	t->put_lost = 0;
-	if (was == TERM_TAKING)
-		t->out->event(t->arg,
+	t->put_pending = 0;
+	t->put_unknown = 0;
+	if (was == TERM_ACQUIRING)
+		t->cb->event(t->arg,
 		    listed ? "control taken"
 			   : "control taken by a host that is not a standby");
 	if (t->rec.holder.host[0] == '\0')
-		follow(t, "control released");
+		become_follower(t, "control released");
 }
 
 /* Takes the outcome of the pending write. */
 void
 term_put_ended(struct term *t, usec now, enum put_result res, uint64_t version)
 {
-	if (!t->put_open)
+	if (!t->put_pending)
 		return;
 	switch (res) {
 	case PUT_DONE:
-		hold(t, now, version);
+		become_holder(t, now, version);
 		break;
 	case PUT_CONFLICT:
 	case PUT_LOST:
@@ -269,7 +272,7 @@
 		 * earlier attempt of the same write may have caused. Only
 		 * reading the record tells.
 		 */
-		t->put_lost = 1;
+		t->put_unknown = 1;
 		t->next_get = now;
 		break;
 	}
@@ -277,10 +280,10 @@
 
 /* How long this host waits without a record before it creates the first. */
 static usec
-first_need(const struct term *t)
+bootstrap_timeout(const struct term *t)
 {
 	return (t->conf.first_wait +
-	    (usec)(t->conf.self.boot % (uint64_t)FIRST_SPREAD));
+	    (usec)(t->conf.self.boot % (uint64_t)BOOTSTRAP_JITTER));
 }
 
 /*
@@ -288,7 +291,8 @@
  * where there is none.
  */
 static void
-see(struct term *t, usec now, uint64_t version, const struct record *r)
+update_record(
+    struct term *t, usec now, uint64_t version, const struct record *r)
 {
 	/*
 	 * Two reads far apart say nothing about the time between: after an
@@ -302,9 +306,9 @@
 		 * The holder announced this version earlier: unchanged since
 		 * then.
 		 */
-		if (version != 0 && version == t->heard_version &&
-		    now - t->heard_at <= 2 * t->conf.lease)
-			t->first_seen = t->heard_at;
+		if (version != 0 && version == t->announced_version &&
+		    now - t->announced_at <= 2 * t->conf.lease)
+			t->first_seen = t->announced_at;
 	}
 	t->known = 1;
 	t->version = version;
@@ -313,7 +317,7 @@
 		t->rec = *r;
 	else
 		memset(&t->rec, 0, sizeof(t->rec));
-	if (lists(&t->rec, &t->conf.self) &&
+	if (lists_standby(&t->rec, &t->conf.self) &&
 	    t->next_get > now + t->conf.renew / 2)
 		t->next_get = now + t->conf.renew / 2;
 	/*
@@ -323,7 +327,7 @@
 	 * write.
 	 */
 	if (version == 0 && t->first_seen == now)
-		t->next_get = now + first_need(t);
+		t->next_get = now + bootstrap_timeout(t);
 }
 
 /* Takes the result of a read; found is 0 where there is no record. */
@@ -331,53 +335,53 @@
 term_got(struct term *t, usec now, int found, uint64_t version,
     const struct record *r)
 {
-	t->get_open = 0;
+	t->get_pending = 0;
 	if (!found)
 		version = 0;
-	if (t->put_open && !t->put_lost)
+	if (t->put_pending && !t->put_unknown)
 		return;
-	if (!t->put_lost) {
-		see(t, now, version, found ? r : NULL);
+	if (!t->put_unknown) {
+		update_record(t, now, version, found ? r : NULL);
 		if (t->role == TERM_HOLDER &&
-		    (!found || !same(&r->holder, &t->conf.self)))
-			follow(t, "control lost to another host");
+		    (!found || !same_process(&r->holder, &t->conf.self)))
+			become_follower(t, "control lost to another host");
 		return;
 	}
 	if (found && r->write_id == t->put_rec.write_id) {
-		hold(t, now, version);
+		become_holder(t, now, version);
 		return;
 	}
-	if (version == t->put_base) {
+	if (version == t->base_version) {
 		/*
 		 * The write has not taken effect yet, but may still be
 		 * delivered. Sends it again with the same id and base version:
 		 * whichever is applied first makes the other fail.
 		 */
-		t->put_lost = 0;
-		t->out->put(t->arg, t->put_base, &t->put_rec);
+		t->put_unknown = 0;
+		t->cb->put(t->arg, t->base_version, &t->put_rec);
 		return;
 	}
 	/*
 	 * The version is past the base of the write, which can no longer
 	 * succeed.
 	 */
-	see(t, now, version, found ? r : NULL);
-	follow(t, "control lost to another host");
+	update_record(t, now, version, found ? r : NULL);
+	become_follower(t, "control lost to another host");
 }
 
 /* Takes a promise request that says that the holder's lease has expired. */
 void
 term_asked_late(struct term *t, usec now)
 {
-	t->asked_late_at = now;
+	t->late_request_at = now;
 }
 
 /* Takes the version of the record that the holder wrote last. */
 void
 term_heard(struct term *t, usec now, uint64_t version)
 {
-	t->heard_version = version;
-	t->heard_at = now;
+	t->announced_version = version;
+	t->announced_at = now;
 }
 
 /*
@@ -391,7 +395,8 @@
 {
 	if (t->role != TERM_HOLDER || term <= t->rec.term)
 		return;
-	follow(t, "control lost: another host controls under a later term");
+	become_follower(
+	    t, "control lost: another host controls under a later term");
 	t->known = 0;
 	t->next_get = now;
 }
@@ -410,12 +415,12 @@
 void
 term_get_failed(struct term *t, usec now)
 {
-	t->get_open = 0;
+	t->get_pending = 0;
 }
 
 /* Returns the duration of a kind of promise. */
 static usec
-promise_span(const struct term *t, enum promise_kind kind)
+promise_duration(const struct term *t, enum promise_kind kind)
 {
 	if (kind == PROMISE_LEFT && t->conf.left_promise > t->conf.lease)
 		return (t->conf.left_promise);
@@ -430,18 +435,19 @@
 enum promise_kind
 term_asked(struct term *t, usec now, uint64_t term, uint64_t boot)
 {
-	if (term > t->top_term)
-		t->top_term = term;
-	t->asked_at = now;
+	if (term > t->highest_term)
+		t->highest_term = term;
+	t->last_request_at = now;
 	/* The request means that a newer record lists this host. */
-	if (!lists(&t->rec, &t->conf.self))
+	if (!lists_standby(&t->rec, &t->conf.self))
 		t->next_get = now;
-	if (boot != t->conf.self.boot || t->put_open)
+	if (boot != t->conf.self.boot || t->put_pending)
 		return (PROMISE_NONE);
 	/*
 	 * Once a request of a later term was answered, earlier terms get none.
 	 */
-	if (t->role == TERM_HOLDER || term < t->rec.term || term < t->top_term)
+	if (t->role == TERM_HOLDER || term < t->rec.term ||
+	    term < t->highest_term)
 		return (PROMISE_NONE);
 	/*
 	 * This process never takes control again, so its promise can outlive
@@ -449,7 +455,7 @@
 	 * holder that lost this promise with the process would let all keys
 	 * lapse.
 	 */
-	if (t->left)
+	if (t->leaving)
 		return (PROMISE_LEFT);
 	if (t->resigned)
 		return (PROMISE_NONE);
@@ -460,7 +466,7 @@
 	 */
 	if (t->known && term == t->rec.term &&
 	    t->last_seen - t->first_seen >
-		(t->conf.told ? STUCK_TOLD : STUCK_AFTER))
+		(t->conf.told ? LATE_HOLDER_STUCK_AFTER : HOLDER_STUCK_AFTER))
 		return (PROMISE_NONE);
 	t->promised_until = lease_granter_end(now, t->conf.lease);
 	return (PROMISE_LEASE);
@@ -471,18 +477,19 @@
  * last promise ends within span: a whole host lease after that.
  */
 static usec
-settled_after(const struct term *t, usec now, usec span)
+old_leases_lapse_time(const struct term *t, usec now, usec span)
 {
 	return (lease_granter_end(
 	    lease_granter_end(now, span), t->conf.host_lease));
 }
 
-/* Sets settle_at where the earlier holder's last promise ends within span. */
+/* Sets old_leases_lapse_at where the earlier holder's last promise ends within
+ * span. */
 static void
-settle_after(struct term *t, usec now, usec span)
+set_old_leases_lapse(struct term *t, usec now, usec span)
 {
-	t->must_withdraw = 0;
-	t->settle_at = settled_after(t, now, span);
+	t->need_withdrawal = 0;
+	t->old_leases_lapse_at = old_leases_lapse_time(t, now, span);
 }
 
 /*
@@ -490,15 +497,15 @@
  * the reply may have been delayed, and the standby counts from its reply.
  */
 void
-term_promised(struct term *t, usec now, const struct member *who, uint64_t term,
-    enum promise_kind kind, usec asked)
+term_promised(struct term *t, usec now, const struct member *process,
+    uint64_t term, enum promise_kind kind, usec requested_at)
 {
 	struct promise *p;
 
 	if (t->role != TERM_HOLDER || term != t->rec.term)
 		return;
-	if (t->must_withdraw) {
-		if (!lists(&t->taken_from, who))
+	if (t->need_withdrawal) {
+		if (!lists_standby(&t->previous_record, process))
 			return;
 		/*
 		 * Any reply under this host's term withdraws: that standby
@@ -508,16 +515,17 @@
 		 * final, longer promise. A reply from a new process of the same
 		 * host is no proof that the old process has ended.
 		 */
-		settle_after(t, now, promise_span(t, kind));
-		t->out->event(t->arg, "a standby withdrew");
+		set_old_leases_lapse(t, now, promise_duration(t, kind));
+		t->cb->event(t->arg, "a standby withdrew");
 		return;
 	}
 	if (kind == PROMISE_NONE)
 		return;
-	p = promise_of(t, who);
-	if (asked > p->asked) {
-		p->asked = asked;
-		p->until = lease_holder_end(asked, promise_span(t, kind));
+	p = promise_of(t, process);
+	if (requested_at > p->requested_at) {
+		p->requested_at = requested_at;
+		p->until =
+		    lease_holder_end(requested_at, promise_duration(t, kind));
 	}
 }
 
@@ -532,18 +540,19 @@
 {
 	int i, holder, standby = 0;
 
-	if (t->role != TERM_HOLDER || !t->must_withdraw)
+	if (t->role != TERM_HOLDER || !t->need_withdrawal)
 		return;
-	holder = replaces(m, &t->taken_from.holder);
-	for (i = 0; i < t->taken_from.nstandby; i++)
-		standby |= replaces(m, &t->taken_from.standby[i]);
+	holder = replaces(m, &t->previous_record.holder);
+	for (i = 0; i < t->previous_record.nstandby; i++)
+		standby |= replaces(m, &t->previous_record.standby[i]);
 	if (!holder && !standby)
 		return;
 	/*
 	 * A standby that was shut down may have made a longer, final promise.
 	 */
-	settle_after(t, now, holder ? 0 : promise_span(t, PROMISE_LEFT));
-	t->out->event(t->arg,
+	set_old_leases_lapse(
+	    t, now, holder ? 0 : promise_duration(t, PROMISE_LEFT));
+	t->cb->event(t->arg,
 	    "a process of the earlier controller or its standbys has ended");
 }
 
@@ -553,16 +562,18 @@
  * more under its own, so its remaining promises need not be waited for.
  */
 void
-term_yielded(struct term *t, usec now, const struct member *who, uint64_t term)
+term_yielded(
+    struct term *t, usec now, const struct member *process, uint64_t term)
 {
 	if (t->role != TERM_HOLDER || term < t->rec.term ||
-	    !same(&t->taken_from.holder, who))
+	    !same_process(&t->previous_record.holder, process))
 		return;
-	/* Repeated reports must not postpone settle_at. */
-	if (!t->must_withdraw && t->settle_at <= settled_after(t, now, 0))
+	/* Repeated reports must not postpone old_leases_lapse_at. */
+	if (!t->need_withdrawal &&
+	    t->old_leases_lapse_at <= old_leases_lapse_time(t, now, 0))
 		return;
-	settle_after(t, now, 0);
-	t->out->event(t->arg, "the earlier controller follows this host");
+	set_old_leases_lapse(t, now, 0);
+	t->cb->event(t->arg, "the earlier controller follows this host");
 }
 
 /*
@@ -572,8 +583,8 @@
 void
 term_standbys(struct term *t, const struct member *m, int n)
 {
-	t->nwant = n > STANDBYS ? STANDBYS : n;
-	memcpy(t->want, m, sizeof(*m) * (size_t)t->nwant);
+	t->nwanted = n > STANDBYS ? STANDBYS : n;
+	memcpy(t->wanted, m, sizeof(*m) * (size_t)t->nwanted);
 }
 
 /*
@@ -592,7 +603,7 @@
 term_leave(struct term *t, usec now)
 {
 	term_resign(t, now);
-	t->left = 1;
+	t->leaving = 1;
 }
 
 /* Allows this host to take control again after term_resign(). */
@@ -608,30 +619,31 @@
  * control.
  */
 static int
-lapsed(const struct term *t, usec now)
+record_lapsed(const struct term *t, usec now)
 {
-	usec need;
+	usec delay;
 
-	if (!t->known || t->get_open)
+	if (!t->known || t->get_pending)
 		return (0);
 	if (t->version == 0)
-		need = first_need(t);
+		delay = bootstrap_timeout(t);
 	else if (t->rec.holder.host[0] == '\0')
 		/* All hosts learn of it at the same time: standbys go first. */
-		need = t->conf.told && !lists(&t->rec, &t->conf.self)
-		    ? FREE_WAIT
+		delay = t->conf.told && !lists_standby(&t->rec, &t->conf.self)
+		    ? VACANT_DELAY
 		    : 0;
 	else if (replaces(&t->conf.self, &t->rec.holder))
 		/* This process replaces the holder, which has ended. */
 		return (1);
 	else
-		need = lease_granter_end(0, t->conf.lease);
-	if (t->version != 0 && !lists(&t->rec, &t->conf.self) &&
+		delay = lease_granter_end(0, t->conf.lease);
+	if (t->version != 0 && !lists_standby(&t->rec, &t->conf.self) &&
 	    t->rec.holder.host[0] != '\0')
-		need += UNLISTED_WAIT;
-	else if (t->rec.nstandby > 1 && same(&t->rec.standby[1], &t->conf.self))
-		need += t->conf.renew / 2;
-	return (t->last_seen - t->first_seen >= need);
+		delay += UNLISTED_DELAY;
+	else if (t->rec.nstandby > 1 &&
+	    same_process(&t->rec.standby[1], &t->conf.self))
+		delay += t->conf.renew / 2;
+	return (t->last_seen - t->first_seen >= delay);
 }
 
 /*
@@ -651,10 +663,10 @@
 	 * holder says that its lease has expired.
 	 */
 	if (t->conf.told)
-		return (t->asked_late_at != 0 &&
-		    now - t->asked_late_at < 2 * t->conf.lease);
-	return (lists(&t->rec, &t->conf.self) ||
-	    now - t->asked_at < 2 * t->conf.lease);
+		return (t->late_request_at != 0 &&
+		    now - t->late_request_at < 2 * t->conf.lease);
+	return (lists_standby(&t->rec, &t->conf.self) ||
+	    now - t->last_request_at < 2 * t->conf.lease);
 }
 
 /* Work of a follower: reads the record, and takes over once it has lapsed. */
@@ -662,46 +674,47 @@
 tick_follower(struct term *t, usec now)
 {
 	struct record r;
-	usec every;
-	int free_now;
+	usec interval;
+	int vacant;
 
 	/*
 	 * A promise no longer binds once the holder has released control or
 	 * ended.
 	 */
-	free_now = t->version != 0 &&
+	vacant = t->version != 0 &&
 	    (t->rec.holder.host[0] == '\0' ||
 		replaces(&t->conf.self, &t->rec.holder));
-	if (lapsed(t, now) && t->eligible &&
-	    (now >= t->promised_until || free_now)) {
+	if (record_lapsed(t, now) && t->eligible &&
+	    (now >= t->promised_until || vacant)) {
 		memset(&r, 0, sizeof(r));
 		r.term = t->rec.term + 1;
 		r.holder = t->conf.self;
-		t->role = TERM_TAKING;
-		t->out->event(t->arg, "taking control");
+		t->role = TERM_ACQUIRING;
+		t->cb->event(t->arg, "taking control");
 		put(t, now, &r);
 		return;
 	}
-	if (t->get_open || now < t->next_get || !must_read(t, now))
+	if (t->get_pending || now < t->next_get || !must_read(t, now))
 		return;
-	every = lists(&t->rec, &t->conf.self) || t->version == 0 || free_now
+	interval =
+	    lists_standby(&t->rec, &t->conf.self) || t->version == 0 || vacant
 	    ? t->conf.renew / 2
-	    : IDLE_READ;
-	t->next_get = now + every;
-	t->get_open = 1;
-	t->out->get(t->arg);
+	    : IDLE_READ_INTERVAL;
+	t->next_get = now + interval;
+	t->get_pending = 1;
+	t->cb->get(t->arg);
 }
 
 /* True if the record's standbys are the wanted ones. */
 static int
-standbys_fit(const struct term *t)
+standbys_match(const struct term *t)
 {
 	int i;
 
-	if (t->rec.nstandby != t->nwant)
+	if (t->rec.nstandby != t->nwanted)
 		return (0);
-	for (i = 0; i < t->nwant; i++) {
-		if (!lists(&t->rec, &t->want[i]))
+	for (i = 0; i < t->nwanted; i++) {
+		if (!lists_standby(&t->rec, &t->wanted[i]))
 			return (0);
 	}
 	return (1);
@@ -713,11 +726,11 @@
  * listed; when a renewal is late, half a lease is left to collect promises.
  */
 static usec
-ask_every(const struct term *t, usec now)
+promise_interval(const struct term *t, usec now)
 {
 	int late = now > t->lease_until - t->conf.lease / 2;
 
-	return (late || t->must_withdraw ? t->conf.renew : ASK_RARELY);
+	return (late || t->need_withdrawal ? t->conf.renew : PROMISE_INTERVAL);
 }
 
 /* Work of the holder: renews its lease and requests promises. */
@@ -728,29 +741,30 @@
 	struct record next;
 	int i;
 
-	if (now >= t->next_ask) {
-		t->next_ask = now + ask_every(t, now);
-		r = t->must_withdraw ? &t->taken_from : &t->rec;
+	if (now >= t->next_request) {
+		t->next_request = now + promise_interval(t, now);
+		r = t->need_withdrawal ? &t->previous_record : &t->rec;
 		for (i = 0; i < r->nstandby; i++)
-			t->out->ask(t->arg, &r->standby[i], t->rec.term);
-		for (i = 0; t->put_open && i < t->put_rec.nstandby; i++) {
-			if (!lists(r, &t->put_rec.standby[i]))
-				t->out->ask(t->arg, &t->put_rec.standby[i],
-				    t->rec.term);
+			t->cb->request_promise(
+			    t->arg, &r->standby[i], t->rec.term);
+		for (i = 0; t->put_pending && i < t->put_rec.nstandby; i++) {
+			if (!lists_standby(r, &t->put_rec.standby[i]))
+				t->cb->request_promise(t->arg,
+				    &t->put_rec.standby[i], t->rec.term);
 		}
 	}
 	if (now > t->lease_until - t->conf.lease / 2 &&
-	    t->next_ask > now + t->conf.renew)
-		t->next_ask = now;
-	if (t->put_open || now < t->next_put)
+	    t->next_request > now + t->conf.renew)
+		t->next_request = now;
+	if (t->put_pending || now < t->next_put)
 		return;
 	next = t->rec;
 	if (t->resigned)
 		memset(&next.holder, 0, sizeof(next.holder));
-	else if (!standbys_fit(t) && !t->must_withdraw) {
-		memcpy(next.standby, t->want, sizeof(next.standby));
-		next.nstandby = t->nwant;
-		t->next_ask = now;
+	else if (!standbys_match(t) && !t->need_withdrawal) {
+		memcpy(next.standby, t->wanted, sizeof(next.standby));
+		next.nstandby = t->nwanted;
+		t->next_request = now;
 	}
 	put(t, now, &next);
 }
@@ -759,10 +773,10 @@
 void
 term_tick(struct term *t, usec now)
 {
-	if (t->put_lost && !t->get_open && now >= t->next_get) {
+	if (t->put_unknown && !t->get_pending && now >= t->next_get) {
 		t->next_get = now + t->conf.renew;
-		t->get_open = 1;
-		t->out->get(t->arg);
+		t->get_pending = 1;
+		t->cb->get(t->arg);
 	}
 	switch (t->role) {
 	case TERM_FOLLOWER:
@@ -771,7 +785,7 @@
 	case TERM_HOLDER:
 		tick_holder(t, now);
 		break;
-	case TERM_TAKING:
+	case TERM_ACQUIRING:
 		break;
 	}
 }
--- a/decide/term.h
+++ b/decide/term.h
@@ -38,7 +38,7 @@
  */
 enum promise_kind { PROMISE_NONE, PROMISE_LEASE, PROMISE_LEFT };
 
-enum term_role { TERM_FOLLOWER, TERM_TAKING, TERM_HOLDER };
+enum term_role { TERM_FOLLOWER, TERM_ACQUIRING, TERM_HOLDER };
 
 /* Outcome of a write; PUT_LOST is unknown, it may still take effect. */
 enum put_result { PUT_DONE, PUT_CONFLICT, PUT_LOST };
@@ -66,8 +66,8 @@
 };
 
 struct promise {
-	struct member who;
-	usec asked;
+	struct member process;
+	usec requested_at;
 	usec until;
 };
 
@@ -75,18 +75,18 @@
 struct term_out {
 	void (*get)(void *);
 	void (*put)(void *, uint64_t base, const struct record *);
-	void (*ask)(void *, const struct member *, uint64_t term);
+	void (*request_promise)(void *, const struct member *, uint64_t term);
 	void (*event)(void *, const char *);
 };
 
 struct term {
 	struct term_conf conf;
-	const struct term_out *out;
+	const struct term_out *cb;
 	void *arg;
 	enum term_role role;
 	int eligible;
 	int resigned;
-	int left; /* shutting down: never takes control again */
+	int leaving; /* shutting down: never takes control again */
 
 	/* The record as last read; version 0 means that there is none. */
 	int known;
@@ -94,14 +94,14 @@
 	uint64_t version;
 	usec first_seen;
 	usec last_seen;
-	int get_open;
+	int get_pending;
 	usec next_get;
 
 	/* The one write that may be pending or of unknown outcome. */
-	int put_open;
-	int put_lost;
+	int put_pending;
+	int put_unknown;
 	struct record put_rec;
-	uint64_t put_base;
+	uint64_t base_version;
 	usec put_sent;
 	usec next_put;
 
@@ -109,21 +109,21 @@
 	usec lease_until;
 	struct promise promises[2 * STANDBYS];
 	int npromises;
-	usec next_ask;
-	usec settle_at;
+	usec next_request;
+	usec old_leases_lapse_at;
 	usec dispatch_at;
-	struct record taken_from;
-	int must_withdraw;
-	struct member want[STANDBYS];
-	int nwant;
+	struct record previous_record;
+	int need_withdrawal;
+	struct member wanted[STANDBYS];
+	int nwanted;
 
 	/* State of a standby. */
-	uint64_t heard_version;
-	usec heard_at;
-	usec asked_late_at;
+	uint64_t announced_version;
+	usec announced_at;
+	usec late_request_at;
 	usec promised_until;
-	usec asked_at;
-	uint64_t top_term;
+	usec last_request_at;
+	uint64_t highest_term;
 	/* Set by the caller while no controller renews this host's leases. */
 	int lonely;
 	uint64_t seed;
@@ -143,7 +143,7 @@
 void term_heard(struct term *, usec now, uint64_t version);
 void term_outdone(struct term *, usec now, uint64_t term);
 void term_promised(struct term *, usec now, const struct member *,
-    uint64_t term, enum promise_kind, usec asked);
+    uint64_t term, enum promise_kind, usec requested_at);
 void term_yielded(
     struct term *, usec now, const struct member *, uint64_t term);
 void term_standbys(struct term *, const struct member *, int);
--- a/regress/unit/t_behind.c
+++ b/regress/unit/t_behind.c
@@ -9,7 +9,7 @@
  * only once while that read is pending.
  */
 static void
-told_or_read(void)
+push_or_read(void)
 {
 	struct behind b;
 	usec now = MS(5000);
@@ -30,7 +30,7 @@
  * next version.
  */
 static void
-lost_on_the_way(void)
+lost_push(void)
 {
 	struct behind b;
 	usec now = MS(5000);
@@ -47,7 +47,7 @@
  * after a copy could have arrived, and the store is read at intervals.
  */
 static void
-store_away(void)
+store_down(void)
 {
 	struct behind b;
 	usec at, now = MS(5000);
@@ -77,7 +77,7 @@
  * read is old, and the newest version is read at once, not seconds later.
  */
 static void
-newer_meanwhile(void)
+newer_during_read(void)
 {
 	struct behind b;
 	usec now = MS(5000);
@@ -104,7 +104,7 @@
  * force a moment after the next was announced.
  */
 static void
-told_in_series(void)
+pushed_in_series(void)
 {
 	struct behind b;
 	usec now = MS(5000);
@@ -124,7 +124,7 @@
  * every 325 ms and do not arrive; the store fails to return them at unread_at.
  */
 static usec
-first_in_series(int told, usec unread_at, enum behind_step step, usec now)
+first_in_series(int pushed, usec unread_at, enum behind_step step, usec now)
 {
 	struct behind b;
 	usec at;
@@ -133,7 +133,7 @@
 	memset(&b, 0, sizeof(b));
 	for (at = now; at < now + MS(4000); at += MS(25)) {
 		if ((at - now) % MS(325) == 0) {
-			behind_heard(&b, 7, v, told, at);
+			behind_heard(&b, 7, v, pushed, at);
 			v += 3;
 		}
 		if (at == unread_at)
@@ -146,7 +146,7 @@
 
 /* A host that lost one change of a series does not keep using old rules. */
 static void
-lost_in_a_series(void)
+lost_push_in_series(void)
 {
 	usec now = MS(5000);
 
@@ -158,7 +158,7 @@
  * nevertheless.
  */
 static void
-store_away_in_a_series(void)
+store_down_in_series(void)
 {
 	usec now = MS(5000), unread = now + MS(1500);
 
@@ -166,12 +166,12 @@
 }
 
 static const struct unit_test tests[] = {
-    {"wait for a push, or read", told_or_read},
-    {"lost push", lost_on_the_way},
-    {"store down", store_away},
-    {"newer version during a read", newer_meanwhile},
-    {"pushed in a series", told_in_series},
-    {"lost push in a series", lost_in_a_series},
-    {"store down in a series", store_away_in_a_series},
+    {"wait for a push, or read", push_or_read},
+    {"lost push", lost_push},
+    {"store down", store_down},
+    {"newer version during a read", newer_during_read},
+    {"pushed in a series", pushed_in_series},
+    {"lost push in a series", lost_push_in_series},
+    {"store down in a series", store_down_in_series},
 };
 UNIT_MAIN("behind", tests)
--- a/regress/unit/t_hearing.c
+++ b/regress/unit/t_hearing.c
@@ -20,7 +20,7 @@
  * be refused as long as the cut lasts.
  */
 static void
-cut_off(void)
+most_not_heard(void)
 {
 	usec heard[12];
 
@@ -35,7 +35,7 @@
  * Hosts that ended long ago, or a fleet of at most one host, are no partition.
  */
 static void
-no_cut(void)
+no_partition(void)
 {
 	usec heard[12];
 
@@ -47,7 +47,7 @@
 }
 
 static const struct unit_test tests[] = {
-    {"most hosts not heard", cut_off},
-    {"no partition", no_cut},
+    {"most hosts not heard", most_not_heard},
+    {"no partition", no_partition},
 };
 UNIT_MAIN("hearing", tests)
--- a/regress/unit/t_lease.c
+++ b/regress/unit/t_lease.c
@@ -10,12 +10,12 @@
 static void
 holder_stops_first(void)
 {
-	usec asked = MS(1000), answered = MS(1150), len = MS(1300);
+	usec requested = MS(1000), replied = MS(1150), len = MS(1300);
 
 	CU_ASSERT(
-	    lease_holder_end(asked, len) < lease_granter_end(answered, len));
+	    lease_holder_end(requested, len) < lease_granter_end(replied, len));
 	CU_ASSERT(
-	    lease_holder_end(answered, len) < lease_granter_end(answered, len));
+	    lease_holder_end(replied, len) < lease_granter_end(replied, len));
 }
 
 /* The margins cover clocks that drift apart by one part in a thousand. */
@@ -32,22 +32,22 @@
  * absolute time of its own clock, which is past by then.
  */
 static void
-late_renewal_is_past(void)
+late_renewal_has_expired(void)
 {
-	int64_t there = 5000000, until;
+	int64_t receiver_clock = 5000000, until;
 
-	until = grant_expiry(there, MS(100), MS(1000));
-	CU_ASSERT(until > there);
-	CU_ASSERT(until <= there + MS(900));
+	until = grant_expiry(receiver_clock, MS(100), MS(1000));
+	CU_ASSERT(until > receiver_clock);
+	CU_ASSERT(until <= receiver_clock + MS(900));
 	/* The target thaws three seconds later, by its own clock. */
-	CU_ASSERT(until < there + MS(3000));
-	CU_ASSERT_EQUAL(grant_expiry(there, MS(1000), MS(1000)), 0);
-	CU_ASSERT_EQUAL(grant_expiry(there, MS(1000), MS(900)), 0);
+	CU_ASSERT(until < receiver_clock + MS(3000));
+	CU_ASSERT_EQUAL(grant_expiry(receiver_clock, MS(1000), MS(1000)), 0);
+	CU_ASSERT_EQUAL(grant_expiry(receiver_clock, MS(1000), MS(900)), 0);
 }
 
 /* The host's lease counts from its request, not from the reply. */
 static void
-host_counts_from_asking(void)
+host_counts_from_request(void)
 {
 	struct hostlease h = {.term = 0};
 	uint64_t seq;
@@ -80,8 +80,8 @@
 static const struct unit_test tests[] = {
     {"holder stops first", holder_stops_first},
     {"margins cover drift", margins_cover_drift},
-    {"late renewal has expired", late_renewal_is_past},
-    {"host lease counts from request", host_counts_from_asking},
+    {"late renewal has expired", late_renewal_has_expired},
+    {"host lease counts from request", host_counts_from_request},
     {"earlier term is refused", earlier_term_is_refused},
 };
 UNIT_MAIN("lease", tests)
--- a/regress/unit/t_silence.c
+++ b/regress/unit/t_silence.c
@@ -21,7 +21,7 @@
 
 /* No connection from before the silence is reused, however late. */
 static void
-none_from_before(void)
+no_older_connection(void)
 {
 	struct silence s = {0, 0, 0};
 	usec now;
@@ -60,6 +60,6 @@
 static const struct unit_test tests[] = {
     {"missed probe, then answer", miss_then_answer},
     {"overtaken by later requests", overtaken},
-    {"no older connection is reused", none_from_before},
+    {"no older connection is reused", no_older_connection},
 };
 UNIT_MAIN("silence", tests)
--- a/regress/unit/t_standby.c
+++ b/regress/unit/t_standby.c
@@ -86,7 +86,7 @@
  * of both lists are needed while it is pending.
  */
 static void
-stays(void)
+current_standbys_kept(void)
 {
 	struct candidate c[] = {host("a", "north", 250, 0),
 	    host("b", "east", 250, 0), host("c", "north", 250, 1),
@@ -100,7 +100,7 @@
 
 /* Fewer candidates than standbys wanted. */
 static void
-few(void)
+few_candidates(void)
 {
 	struct candidate c[] = {host("a", "south", 0, 0)};
 	struct member m[STANDBYS];
@@ -124,8 +124,8 @@
     {"larger standby takes over", larger_takes_over},
     {"large hosts first", large_first},
     {"data centres apart", data_centres_apart},
-    {"current standbys are kept", stays},
-    {"fewer candidates than standbys", few},
+    {"current standbys are kept", current_standbys_kept},
+    {"fewer candidates than standbys", few_candidates},
     {"sizes", sizes},
 };
 UNIT_MAIN("standby", tests)
--- a/regress/unit/t_term.c
+++ b/regress/unit/t_term.c
@@ -15,7 +15,7 @@
 /* The platform: one record, and injected faults. */
 static struct {
 	int down;
-	int lose;
+	int lose_answer;
 	uint64_t version;
 	struct record rec;
 } store;
@@ -97,8 +97,9 @@
 			store.rec = n->put;
 			store.version++;
 			term_put_ended(&n->t, now,
-			    store.lose ? PUT_LOST : PUT_DONE, store.version);
-			store.lose = 0;
+			    store.lose_answer ? PUT_LOST : PUT_DONE,
+			    store.version);
+			store.lose_answer = 0;
 		}
 	}
 }
@@ -232,7 +233,7 @@
  * renewing by itself.
  */
 static void
-outage_and_no_promise(void)
+no_renewal_without_promise(void)
 {
 	struct node a, b;
 
@@ -247,7 +248,7 @@
  * another member, and its reply does not count for the old one.
  */
 static void
-restarted_standby_is_another(void)
+restarted_standby_does_not_count(void)
 {
 	struct node a, b, b2;
 
@@ -261,7 +262,7 @@
 
 /* A promise counts from when the request was sent, not from its arrival. */
 static void
-promise_counts_from_asking(void)
+promise_counts_from_request(void)
 {
 	struct node a, b;
 
@@ -279,7 +280,7 @@
  * old list are not enough, as the new one may be in force.
  */
 static void
-open_change_needs_both_lists(void)
+pending_change_needs_both_lists(void)
 {
 	struct node a, b, c;
 
@@ -288,7 +289,7 @@
 	term_standbys(&a.t, &c.t.conf.self, 1);
 	store.down = 1;
 	run(&a, &b, MS(1000), MS(1900));
-	CU_ASSERT(a.t.put_open);
+	CU_ASSERT(a.t.put_pending);
 	CU_ASSERT(!term_may_renew(&a.t, MS(1900)));
 	term_promised(
 	    &a.t, MS(1900), &c.t.conf.self, a.t.rec.term, 1, MS(1890));
@@ -305,7 +306,7 @@
 	struct node a, b;
 
 	start(&a, &b);
-	store.lose = 1;
+	store.lose_answer = 1;
 	run(NULL, &b, MS(1000), MS(3000));
 	CU_ASSERT_EQUAL(b.t.role, TERM_HOLDER);
 	CU_ASSERT_EQUAL(store.rec.term, b.t.rec.term);
@@ -316,19 +317,19 @@
  * A standby whose own takeover write has an unknown outcome makes no promise.
  */
 static void
-unresolved_taker_promises_nothing(void)
+no_promise_during_takeover(void)
 {
 	struct node a, b;
 	usec now;
 
 	start(&a, &b);
-	for (now = MS(1000); b.t.role != TERM_TAKING && now < MS(3000);
+	for (now = MS(1000); b.t.role != TERM_ACQUIRING && now < MS(3000);
 	     now += MS(10)) {
 		term_tick(&b.t, now);
-		if (b.t.role != TERM_TAKING)
+		if (b.t.role != TERM_ACQUIRING)
 			serve(&b, now);
 	}
-	CU_ASSERT_EQUAL(b.t.role, TERM_TAKING);
+	CU_ASSERT_EQUAL(b.t.role, TERM_ACQUIRING);
 	store.down = 1;
 	serve(&b, now);
 	CU_ASSERT_EQUAL(term_asked(&b.t, now, a.t.rec.term, 2000), 0);
@@ -336,7 +337,7 @@
 
 /* Two hosts take over at once: one write succeeds, the other host follows. */
 static void
-two_takers_one_wins(void)
+two_takeovers_one_succeeds(void)
 {
 	struct node a, b, c;
 
@@ -364,7 +365,7 @@
  * leases as lapsed by time alone: the old holder still renews by promises.
  */
 static void
-unlisted_taker_waits_for_withdrawal(void)
+unlisted_waits_for_withdrawal(void)
 {
 	struct node a, b, c;
 
@@ -420,7 +421,7 @@
  * the lease to lapse.
  */
 static void
-resigning_gives_back(void)
+resigning_releases_control(void)
 {
 	struct node a, b;
 	usec now;
@@ -438,7 +439,7 @@
 
 /* Two hosts whose holder announces the record's version. */
 static void
-start_told(struct node *a, struct node *b)
+start_announcing(struct node *a, struct node *b)
 {
 	start(a, b);
 	a->t.conf.told = 1;
@@ -452,13 +453,13 @@
  * shows until when the version was current.
  */
 static void
-told_standby_reads_nothing(void)
+announcements_replace_reads(void)
 {
 	struct node a, b;
 	usec now, lost;
 	int gets = 0;
 
-	start_told(&a, &b);
+	start_announcing(&a, &b);
 	for (now = MS(1000); now < MS(6000); now += MS(10)) {
 		term_heard(&b.t, now, a.t.version);
 		run(&a, NULL, now, now + MS(10));
@@ -493,9 +494,9 @@
 	struct node a, b, a2;
 	usec now;
 
-	start_told(&a, &b);
+	start_announcing(&a, &b);
 	name_copy(a.t.conf.self.addr, sizeof(a.t.conf.self.addr), "10.0.0.1:1");
-	a.t.put_open = 0;
+	a.t.put_pending = 0;
 	store.rec.holder = a.t.conf.self;
 	node_init(&a2, "a", 5000);
 	name_copy(
@@ -514,7 +515,7 @@
  * stops at once: its state is old, while its promises last longer.
  */
 static void
-outdone(void)
+later_term_ends_control(void)
 {
 	struct node a, b;
 
@@ -534,7 +535,7 @@
  * down.
  */
 static void
-start_left(struct node *a, struct node *b)
+start_shutdown(struct node *a, struct node *b)
 {
 	start(a, b);
 	a->t.conf.left_promise = b->t.conf.left_promise = MS(12000);
@@ -546,7 +547,7 @@
 
 /* The store is back for host c, which is not listed and takes control. */
 static void
-take_unlisted(struct node *c)
+unlisted_takes_control(struct node *c)
 {
 	node_init(c, "c", 3000);
 	c->t.conf.left_promise = MS(12000);
@@ -561,11 +562,11 @@
  * standby never takes control again, its final promise outlives it.
  */
 static void
-left_standby(void)
+final_promise_outlives_standby(void)
 {
 	struct node a, b;
 
-	start_left(&a, &b);
+	start_shutdown(&a, &b);
 	run(&a, NULL, MS(4000), MS(15000));
 	CU_ASSERT(term_may_renew(&a.t, MS(15000)));
 	run(&a, NULL, MS(15000), MS(17000));
@@ -580,15 +581,15 @@
  * holder waits until that promise is over.
  */
 static void
-left_promise_is_waited_for(void)
+final_promise_is_waited_for(void)
 {
 	struct node a, b, c;
 	struct member b2;
 	usec now;
 
-	start_left(&a, &b);
+	start_shutdown(&a, &b);
 	name_copy(store.rec.standby[0].addr, sizeof(b2.addr), "10.0.0.2:1");
-	take_unlisted(&c);
+	unlisted_takes_control(&c);
 	CU_ASSERT_EQUAL(c.t.role, TERM_HOLDER);
 	b2 = b.t.conf.self;
 	b2.boot = 2001;
@@ -602,8 +603,8 @@
 	}
 	CU_ASSERT(term_settled(&c.t, MS(30000)));
 	/* Its reply to the new holder is no withdrawal either. */
-	start_left(&a, &b);
-	take_unlisted(&c);
+	start_shutdown(&a, &b);
+	unlisted_takes_control(&c);
 	term_promised(&c.t, MS(9000), &b.t.conf.self, c.t.rec.term,
 	    term_asked(&b.t, MS(9000), c.t.rec.term, 2000), MS(9000));
 	CU_ASSERT(!term_settled(&c.t, MS(9000) + MS(12000)));
@@ -614,13 +615,13 @@
  * it.
  */
 static void
-yielded(void)
+earlier_holder_follows(void)
 {
 	struct node a, b, c;
 	struct member other;
 
-	start_left(&a, &b);
-	take_unlisted(&c);
+	start_shutdown(&a, &b);
+	unlisted_takes_control(&c);
 	CU_ASSERT_EQUAL(c.t.role, TERM_HOLDER);
 	other = a.t.conf.self;
 	other.boot++;
@@ -644,7 +645,7 @@
 	struct node a, b, a2;
 	usec now;
 
-	start_told(&a, &b);
+	start_announcing(&a, &b);
 	store.rec.holder = a.t.conf.self;
 	name_copy(
 	    store.rec.holder.addr, sizeof(store.rec.holder.addr), "10.0.0.1:1");
@@ -703,23 +704,23 @@
     {"standby takes over", standby_takes_over},
     {"outage changes nothing", outage_changes_nothing},
     {"after an outage promises go on", after_an_outage_promises_go_on},
-    {"no renewal without platform and promise", outage_and_no_promise},
-    {"restarted standby does not count", restarted_standby_is_another},
-    {"promise counts from its request", promise_counts_from_asking},
-    {"pending change needs both lists", open_change_needs_both_lists},
+    {"no renewal without platform and promise", no_renewal_without_promise},
+    {"restarted standby does not count", restarted_standby_does_not_count},
+    {"promise counts from its request", promise_counts_from_request},
+    {"pending change needs both lists", pending_change_needs_both_lists},
     {"lost answer is read back", lost_answer_is_read_back},
-    {"no promise during own takeover", unresolved_taker_promises_nothing},
-    {"two takeovers, one succeeds", two_takers_one_wins},
-    {"unlisted host waits for withdrawal", unlisted_taker_waits_for_withdrawal},
+    {"no promise during own takeover", no_promise_during_takeover},
+    {"two takeovers, one succeeds", two_takeovers_one_succeeds},
+    {"unlisted host waits for withdrawal", unlisted_waits_for_withdrawal},
     {"holder cut off alone", holder_cut_off_alone},
-    {"resigning releases control", resigning_gives_back},
-    {"standby reads only without announcements", told_standby_reads_nothing},
+    {"resigning releases control", resigning_releases_control},
+    {"standby reads only without announcements", announcements_replace_reads},
     {"restarted holder takes over at once",
 	restarted_holder_takes_over_at_once},
-    {"later term ends control", outdone},
-    {"final promise outlives its standby", left_standby},
-    {"new holder waits for final promise", left_promise_is_waited_for},
-    {"earlier holder follows", yielded},
+    {"later term ends control", later_term_ends_control},
+    {"final promise outlives its standby", final_promise_outlives_standby},
+    {"new holder waits for final promise", final_promise_is_waited_for},
+    {"earlier holder follows", earlier_holder_follows},
     {"same host at another address", same_name_elsewhere_proves_nothing},
 };
 UNIT_MAIN("term", tests)
