--- a/decide/term.c
+++ b/decide/term.c
@@ -483,8 +483,10 @@
 	    lease_granter_end(now, span), t->conf.host_lease));
 }
 
-/* Sets old_leases_lapse_at where the earlier holder's last promise ends within
- * span. */
+/*
+ * Sets old_leases_lapse_at, given that the earlier holder's last promise ends
+ * within span.
+ */
 static void
 set_old_leases_lapse(struct term *t, usec now, usec span)
 {
@@ -659,8 +661,8 @@
 	/*
 	 * Reads of two standbys at each renewal interval would be most of the
 	 * calls of an idle fleet. The holder's announcements show as well until
-	 * when a version was current; standbys read once they stop, or once the
-	 * holder says that its lease has expired.
+	 * when a version was current; standbys read once the announcements
+	 * stop, or once the holder says that its lease has expired.
 	 */
 	if (t->conf.told)
 		return (t->late_request_at != 0 &&
