--- a/decide/hostlease.c
+++ b/decide/hostlease.c
@@ -3,22 +3,26 @@
 #include "hostlease.h"
 #include "lease.h"
 
-/* Notes that an ask goes out now; returns its number. */
+/*
+ * Records that a lease request is sent now, the next one after interval;
+ * returns its sequence number.
+ */
 uint64_t
-hostlease_ask(struct hostlease *h, usec now, usec every)
+hostlease_ask(struct hostlease *h, usec now, usec interval)
 {
 	h->seq++;
-	h->sent[h->seq % ASKS_KEPT] = now;
-	h->next_ask = now + every;
+	h->sent[h->seq % LEASE_REQUESTS_MAX] = now;
+	h->next_ask = now + interval;
 	return (h->seq);
 }
 
 /*
- * Takes an answer; true where it renewed the lease.
+ * Takes a reply to a request; true if it was accepted.
  *
- * An answer under a lower term than one already followed is refused: its
- * controller may have been paused over its lease and wake as though nothing
- * had happened, while a later one already gives our targets to others.
+ * A reply of an earlier term than the one followed is refused: its controller
+ * may have been paused for longer than its lease and go on as though nothing
+ * had happened, while a later controller already gives this host's targets to
+ * others.
  */
 int
 hostlease_given(struct hostlease *h, usec now, const char *from, uint64_t term,
@@ -26,18 +30,22 @@
 {
 	usec end;
 
-	if (term < h->term || seq > h->seq || h->seq - seq >= ASKS_KEPT)
+	if (term < h->term || seq > h->seq ||
+	    h->seq - seq >= LEASE_REQUESTS_MAX)
 		return (0);
 	if (term > h->term || h->controller[0] == '\0')
 		hostlease_hint(h, from, term);
 	h->heard = now;
-	end = lease_holder_end(h->sent[seq % ASKS_KEPT], length);
+	end = lease_holder_end(h->sent[seq % LEASE_REQUESTS_MAX], length);
 	if (end > h->until)
 		h->until = end;
 	return (1);
 }
 
-/* Learns of a controller; true where it is of a later term than the known. */
+/*
+ * Takes the name of a controller; true if its term is later than the one
+ * followed.
+ */
 int
 hostlease_hint(struct hostlease *h, const char *controller, uint64_t term)
 {
--- a/decide/term.c
+++ b/decide/term.c
@@ -3,66 +3,77 @@
 #include "lease.h"
 #include "term.h"
 
-/* A host that is not listed leaves the listed standbys time to take over. */
-#define UNLISTED_WAIT MS(2000)
-/* A standby stays with a holder that cannot write for this long. */
-#define STUCK_AFTER MS(3000)
-/* The same where the holder says itself that its lease has run out: the record
- * is read only then, and has stood for a lease already. */
-#define STUCK_TOLD MS(1200)
-/* Between reads of a host that is no standby. */
-#define IDLE_READ MS(1000)
-/* A host that is not listed leaves listed ones so long to take what is free. */
-#define FREE_WAIT MS(150)
-/* Spreads the first takers of a new cell. */
-#define FIRST_SPREAD MS(200)
-/* Between asks for promises while the platform answers in time. */
-#define ASK_RARELY MS(1000)
-
-/* True where both name the same process. */
+/*
+ * Additional delay of a host that is not a standby before it takes over a
+ * lapsed record, so that the standbys go first.
+ */
+#define UNLISTED_DELAY MS(2000)
+/*
+ * A standby refuses promises once the record of a holder that cannot write has
+ * been unchanged for this long.
+ */
+#define HOLDER_STUCK_AFTER MS(3000)
+/*
+ * The same where the holder itself reports that its lease has expired: standbys
+ * read the record only then, when it has been unchanged for a control lease
+ * already.
+ */
+#define LATE_HOLDER_STUCK_AFTER MS(1200)
+/* Interval between reads of a host that is not a standby. */
+#define IDLE_READ_INTERVAL MS(1000)
+/* Delay of a host that is not a standby before it takes a vacant record. */
+#define VACANT_DELAY MS(150)
+/* Range of the delays before hosts create the record of a new cell. */
+#define BOOTSTRAP_JITTER MS(200)
+/* Interval between promise requests while the platform answers in time. */
+#define PROMISE_INTERVAL MS(1000)
+
+/* True if both are the same process. */
 static int
-same(const struct member *a, const struct member *b)
+same_process(const struct member *a, const struct member *b)
 {
 	return (a->boot == b->boot && strcmp(a->host, b->host) == 0);
 }
 
-/* True where the record lists the process as standby. */
+/* True if the record lists the process as standby. */
 static int
-lists(const struct record *r, const struct member *m)
+lists_standby(const struct record *r, const struct member *m)
 {
 	int i;
 
 	for (i = 0; i < r->nstandby; i++) {
-		if (same(&r->standby[i], m))
+		if (same_process(&r->standby[i], m))
 			return (1);
 	}
 	return (0);
 }
 
-/* True where a process that runs now proves that another has ended: both bind
- * the same address, which only one can at a time. */
+/*
+ * True if a running process proves that an earlier one has ended: both bind the
+ * same address, which only one can at a time.
+ */
 static int
-replaces(const struct member *now_runs, const struct member *was)
+replaces(const struct member *running, const struct member *was)
 {
-	return (now_runs->addr[0] != '\0' && now_runs->boot != was->boot &&
-	    strcmp(now_runs->host, was->host) == 0 &&
-	    strcmp(now_runs->addr, was->addr) == 0);
+	return (running->addr[0] != '\0' && running->boot != was->boot &&
+	    strcmp(running->host, was->host) == 0 &&
+	    strcmp(running->addr, was->addr) == 0);
 }
 
-/* Prepares the rules of one cell; seed is random and differs by process. */
+/* Initialises the state for one cell; seed is random and differs by process. */
 void
 term_init(struct term *t, const struct term_conf *conf,
-    const struct term_out *out, void *arg, uint64_t seed)
+    const struct term_out *cb, void *arg, uint64_t seed)
 {
 	memset(t, 0, sizeof(*t));
 	t->conf = *conf;
-	t->out = out;
+	t->cb = cb;
 	t->arg = arg;
 	t->seed = seed;
 	t->eligible = 1;
 }
 
-/* A write id that no other write has. */
+/* Returns a write id that no other write has. */
 static uint64_t
 write_id(struct term *t)
 {
@@ -70,28 +81,33 @@
 	return (t->seed ^ t->conf.self.boot);
 }
 
-/* Sends a write; its outcome is unknown until term_put_ended says PUT_DONE. */
+/*
+ * Starts a write; its outcome is unknown until term_put_ended() gets PUT_DONE.
+ */
 static void
 put(struct term *t, usec now, const struct record *r)
 {
 	t->put_rec = *r;
 	t->put_rec.write_id = write_id(t);
-	t->put_base = t->version;
+	t->base_version = t->version;
 	t->put_sent = now;
-	t->put_open = 1;
-	t->put_lost = 0;
+	t->put_pending = 1;
+	t->put_unknown = 0;
 	t->next_put = now + t->conf.renew;
-	t->out->put(t->arg, t->put_base, &t->put_rec);
+	t->cb->put(t->arg, t->base_version, &t->put_rec);
 }
 
-/* The promise of a standby, made if there is none yet. */
+/*
+ * Finds the promise of a standby, or adds one; drops the oldest where the table
+ * is full.
+ */
 static struct promise *
 promise_of(struct term *t, const struct member *m)
 {
 	int i;
 
 	for (i = 0; i < t->npromises; i++) {
-		if (same(&t->promises[i].who, m))
+		if (same_process(&t->promises[i].process, m))
 			return (&t->promises[i]);
 	}
 	if (t->npromises == 2 * STANDBYS) {
@@ -100,11 +116,14 @@
 		t->npromises--;
 	}
 	memset(&t->promises[t->npromises], 0, sizeof(t->promises[0]));
-	t->promises[t->npromises].who = *m;
+	t->promises[t->npromises].process = *m;
 	return (&t->promises[t->npromises++]);
 }
 
-/* True where each standby of the record has promised beyond now. */
+/*
+ * True if every standby of the record, and at least one, has a promise beyond
+ * now.
+ */
 static int
 all_promised(const struct term *t, const struct record *r, usec now)
 {
@@ -114,7 +133,8 @@
 		return (0);
 	for (i = 0; i < r->nstandby; i++) {
 		for (k = 0; k < t->npromises; k++) {
-			if (same(&t->promises[k].who, &r->standby[i]) &&
+			if (same_process(
+				&t->promises[k].process, &r->standby[i]) &&
 			    t->promises[k].until > now)
 				break;
 		}
@@ -125,12 +145,12 @@
 }
 
 /*
- * True while the holder may renew hosts' leases: its own lease in the
- * platform runs, or every listed standby has promised not to take over.
+ * True while the holder may renew hosts' leases: its own lease in the platform
+ * is valid, or every listed standby has promised not to take over.
  *
- * While a change of the list is open, the write may have taken effect unknown
- * to us, so the promises of both lists are needed: a standby of the list we
- * believe gone could otherwise take over while we still renew.
+ * A pending change of the standby list may have taken effect without this host
+ * knowing, so promises of both lists are needed: a standby of the list believed
+ * to be replaced could otherwise take over while this host still renews.
  */
 int
 term_may_renew(const struct term *t, usec now)
@@ -138,36 +158,38 @@
 	if (t->role != TERM_HOLDER)
 		return (0);
 	/*
-	 * Giving control back may have taken effect unknown to us, and a
-	 * standby then takes over at once, without waiting for a lapse.
+	 * A pending release of control may have taken effect without this host
+	 * knowing, and a standby then takes over at once, without waiting for
+	 * the lease to lapse.
 	 */
-	if (t->put_open && t->put_rec.holder.host[0] == '\0')
+	if (t->put_pending && t->put_rec.holder.host[0] == '\0')
 		return (0);
 	if (now < t->lease_until)
 		return (1);
 	if (!all_promised(t, &t->rec, now))
 		return (0);
-	return (!t->put_open || all_promised(t, &t->put_rec, now));
+	return (!t->put_pending || all_promised(t, &t->put_rec, now));
 }
 
 /*
- * True once each host lease that an earlier controller gave has lapsed.  The
- * earlier one could renew until just before we took over, so this waits a
- * whole host lease from then.
+ * True once every host lease granted by an earlier controller has lapsed. The
+ * earlier controller could renew leases until just before the takeover, so this
+ * waits for a whole host lease from then.
  */
 int
 term_settled(const struct term *t, usec now)
 {
-	return (
-	    t->role == TERM_HOLDER && !t->must_withdraw && now >= t->settle_at);
+	return (t->role == TERM_HOLDER && !t->need_withdrawal &&
+	    now >= t->old_leases_lapse_at);
 }
 
 /*
- * True once targets that no host has spoken of may be given a dispatcher.
- * Where standbys have not withdrawn, an old controller cut off with them may
- * still keep a dispatcher for a target: both would grant it the same shards,
- * for the assignments are claimed, so no key has two owners; and no ticket
- * runs twice, for each is known to one dispatcher's table only.
+ * True once targets that no host has reported may be given a dispatcher. Where
+ * no standby has withdrawn, an old controller that is cut off together with the
+ * standbys may still keep a dispatcher for such a target. That is safe: both
+ * controllers would grant that dispatcher the same shards, as assignments are
+ * claimed in the platform, so no key has two owners; and each ticket is known
+ * to one dispatcher's table only, so none runs twice.
  */
 int
 term_may_dispatch(const struct term *t, usec now)
@@ -175,38 +197,44 @@
 	return (t->role == TERM_HOLDER && now >= t->dispatch_at);
 }
 
-/* Stops being holder or taker. */
+/* Becomes a follower; why is the event's text. */
 static void
-follow(struct term *t, const char *why)
+become_follower(struct term *t, const char *why)
 {
 	if (t->role != TERM_FOLLOWER)
-		t->out->event(t->arg, why);
+		t->cb->event(t->arg, why);
 	t->role = TERM_FOLLOWER;
-	t->put_open = 0;
-	t->put_lost = 0;
+	t->put_pending = 0;
+	t->put_unknown = 0;
 }
 
-/* Becomes or remains holder: our write is known to have taken effect. */
+/*
+ * Becomes or remains holder once this host's write is known to have taken
+ * effect.
+ */
 static void
-hold(struct term *t, usec now, uint64_t version)
+become_holder(struct term *t, usec now, uint64_t version)
 {
 	int was = t->role;
 	int listed;
 
-	listed = lists(&t->rec, &t->conf.self) || t->rec.nstandby == 0 ||
-	    t->version == 0 || t->rec.holder.host[0] == '\0';
-	if (was == TERM_TAKING) {
-		t->taken_from = t->rec;
+	listed = lists_standby(&t->rec, &t->conf.self) ||
+	    t->rec.nstandby == 0 || t->version == 0 ||
+	    t->rec.holder.host[0] == '\0';
+	if (was == TERM_ACQUIRING) {
+		t->previous_record = t->rec;
 		/*
-		 * A listed taker withholds its own promise, which breaks the
-		 * unanimity the old holder needs.  An unlisted one cannot know
-		 * that: the old holder, cut off with its standbys, may still
-		 * renew, and two owners would follow from counting its leases
-		 * as lapsed.  So a listed standby must withdraw first.
+		 * A listed standby that takes over makes no promise itself, so
+		 * the old holder lacks the promise of one standby and cannot
+		 * renew. A host that is not listed cannot rely on that: the old
+		 * holder, cut off together with its standbys, may still renew
+		 * leases, and counting them as lapsed would give keys two
+		 * owners. So a listed standby must withdraw first.
 		 */
-		t->must_withdraw = !listed;
-		t->settle_at = lease_granter_end(now, t->conf.host_lease);
-		t->dispatch_at = t->settle_at;
+		t->need_withdrawal = !listed;
+		t->old_leases_lapse_at =
+		    lease_granter_end(now, t->conf.host_lease);
+		t->dispatch_at = t->old_leases_lapse_at;
 		t->npromises = 0;
 	}
 	t->role = TERM_HOLDER;
@@ -217,61 +245,70 @@
 	t->first_seen = now;
 	t->last_seen = now;
 	t->lease_until = lease_holder_end(t->put_sent, t->conf.lease);
-	t->put_open = 0;
-	t->put_lost = 0;
-	if (was == TERM_TAKING)
-		t->out->event(t->arg,
-		    listed ? "control taken" : "control taken, not listed");
+	t->put_pending = 0;
+	t->put_unknown = 0;
+	if (was == TERM_ACQUIRING)
+		t->cb->event(t->arg,
+		    listed ? "control taken"
+			   : "control taken by a host that is not a standby");
 	if (t->rec.holder.host[0] == '\0')
-		follow(t, "control given back");
+		become_follower(t, "control released");
 }
 
-/* The outcome of the open write. */
+/* Takes the outcome of the pending write. */
 void
 term_put_ended(struct term *t, usec now, enum put_result res, uint64_t version)
 {
-	if (!t->put_open)
+	if (!t->put_pending)
 		return;
 	switch (res) {
 	case PUT_DONE:
-		hold(t, now, version);
+		become_holder(t, now, version);
 		break;
 	case PUT_CONFLICT:
 	case PUT_LOST:
 		/*
-		 * Neither done nor not done: an earlier try of the same write
-		 * may be what stands in the way.  Only the record tells.
+		 * The outcome is unknown even after a conflict, which an
+		 * earlier attempt of the same write may have caused. Only
+		 * reading the record tells.
 		 */
-		t->put_lost = 1;
+		t->put_unknown = 1;
 		t->next_get = now;
 		break;
 	}
 }
 
-/* How long this host sees no record before it makes the first. */
+/* How long this host waits without a record before it creates the first. */
 static usec
-first_need(const struct term *t)
+bootstrap_timeout(const struct term *t)
 {
 	return (t->conf.first_wait +
-	    (usec)(t->conf.self.boot % (uint64_t)FIRST_SPREAD));
+	    (usec)(t->conf.self.boot % (uint64_t)BOOTSTRAP_JITTER));
 }
 
-/* Notes a read record and how long it has stood unchanged. */
+/*
+ * Stores the record just read and since when it has been unchanged; r is NULL
+ * where there is none.
+ */
 static void
-see(struct term *t, usec now, uint64_t version, const struct record *r)
+update_record(
+    struct term *t, usec now, uint64_t version, const struct record *r)
 {
 	/*
-	 * Two looks far apart say nothing of the time between: after an outage
-	 * of the platform the record stands as it did before, and the holder,
-	 * which has not had a chance to write, would be taken for stuck.
+	 * Two reads far apart say nothing about the time between: after an
+	 * outage of the platform the record is unchanged, and the holder, which
+	 * has had no chance to write, would be taken for stuck.
 	 */
 	if (!t->known || t->version != version ||
 	    now - t->last_seen > 2 * t->conf.lease) {
 		t->first_seen = now;
-		/* Its holder said so earlier: it has stood since then. */
-		if (version != 0 && version == t->heard_version &&
-		    now - t->heard_at <= 2 * t->conf.lease)
-			t->first_seen = t->heard_at;
+		/*
+		 * The holder announced this version earlier: unchanged since
+		 * then.
+		 */
+		if (version != 0 && version == t->announced_version &&
+		    now - t->announced_at <= 2 * t->conf.lease)
+			t->first_seen = t->announced_at;
 	}
 	t->known = 1;
 	t->version = version;
@@ -280,102 +317,110 @@
 		t->rec = *r;
 	else
 		memset(&t->rec, 0, sizeof(t->rec));
-	if (lists(&t->rec, &t->conf.self) &&
+	if (lists_standby(&t->rec, &t->conf.self) &&
 	    t->next_get > now + t->conf.renew / 2)
 		t->next_get = now + t->conf.renew / 2;
 	/*
-	 * The next look at a new cell is when this host's time has come. Looked
-	 * at in step, all hosts of a fleet that starts find with the same look
-	 * that their time has come, and all write: 77 writes and 227 reads of
-	 * 76 hosts that start.
+	 * Reads a new cell again only when this host's delay has passed. With
+	 * reads at the same interval, all hosts of a fleet that starts would
+	 * find at the same read that their delay has passed, and all would
+	 * write.
 	 */
 	if (version == 0 && t->first_seen == now)
-		t->next_get = now + first_need(t);
+		t->next_get = now + bootstrap_timeout(t);
 }
 
-/* A read of the record was answered; found is 0 where there is none. */
+/* Takes the result of a read; found is 0 where there is no record. */
 void
 term_got(struct term *t, usec now, int found, uint64_t version,
     const struct record *r)
 {
-	t->get_open = 0;
+	t->get_pending = 0;
 	if (!found)
 		version = 0;
-	if (t->put_open && !t->put_lost)
+	if (t->put_pending && !t->put_unknown)
 		return;
-	if (!t->put_lost) {
-		see(t, now, version, found ? r : NULL);
+	if (!t->put_unknown) {
+		update_record(t, now, version, found ? r : NULL);
 		if (t->role == TERM_HOLDER &&
-		    (!found || !same(&r->holder, &t->conf.self)))
-			follow(t, "control lost to another");
+		    (!found || !same_process(&r->holder, &t->conf.self)))
+			become_follower(t, "control lost to another host");
 		return;
 	}
 	if (found && r->write_id == t->put_rec.write_id) {
-		hold(t, now, version);
+		become_holder(t, now, version);
 		return;
 	}
-	if (version == t->put_base) {
+	if (version == t->base_version) {
 		/*
-		 * Not there yet, but a write that was lost on its way may
-		 * still land.  The same write again, with the same id and
-		 * base: whichever lands first kills the other.
+		 * The write has not taken effect yet, but may still be
+		 * delivered. Sends it again with the same id and base version:
+		 * whichever is applied first makes the other fail.
 		 */
-		t->put_lost = 0;
-		t->out->put(t->arg, t->put_base, &t->put_rec);
+		t->put_unknown = 0;
+		t->cb->put(t->arg, t->base_version, &t->put_rec);
 		return;
 	}
-	/* The version moved past our base: our write is dead for good. */
-	see(t, now, version, found ? r : NULL);
-	follow(t, "control lost to another");
+	/*
+	 * The version is past the base of the write, which can no longer
+	 * succeed.
+	 */
+	update_record(t, now, version, found ? r : NULL);
+	become_follower(t, "control lost to another host");
 }
 
-/* The holder asked, and said that it lives by promises alone. */
+/* Takes a promise request that says that the holder's lease has expired. */
 void
 term_asked_late(struct term *t, usec now)
 {
-	t->asked_late_at = now;
+	t->late_request_at = now;
 }
 
-/* The holder told which version it wrote last. */
+/* Takes the version of the record that the holder wrote last. */
 void
 term_heard(struct term *t, usec now, uint64_t version)
 {
-	t->heard_version = version;
-	t->heard_at = now;
+	t->announced_version = version;
+	t->announced_at = now;
 }
 
 /*
- * Another was heard to control under a later term: its write took effect, so
- * this host's control is over, though its lease or its promises still run.  It
- * would go on for a lease by what it knew when it was cut off.
+ * Another host controls under a later term, so its write took effect. Control
+ * ends here at once, even while this host's lease or its standbys' promises
+ * last: it would otherwise go on for up to a lease with the state from when it
+ * was cut off.
  */
 void
 term_outdone(struct term *t, usec now, uint64_t term)
 {
 	if (t->role != TERM_HOLDER || term <= t->rec.term)
 		return;
-	follow(t, "control lost to another, by its word");
+	become_follower(
+	    t, "control lost: another host controls under a later term");
 	t->known = 0;
 	t->next_get = now;
 }
 
-/* True where the holder's own lease has run out, or is about to. */
+/*
+ * True if the holder's own lease has expired or is within a renewal interval of
+ * that.
+ */
 int
 term_late(const struct term *t, usec now)
 {
 	return (now > t->lease_until - t->conf.renew);
 }
 
-/* A read failed; nothing is learned from that. */
+/* A read failed; the state of the record stays as it was. */
 void
 term_get_failed(struct term *t, usec now)
 {
-	t->get_open = 0;
+	t->get_pending = 0;
 }
 
-/* How long a promise of a kind lasts. */
+/* Returns the duration of a kind of promise. */
 static usec
-promise_span(const struct term *t, enum promise_kind kind)
+promise_duration(const struct term *t, enum promise_kind kind)
 {
 	if (kind == PROMISE_LEFT && t->conf.left_promise > t->conf.lease)
 		return (t->conf.left_promise);
@@ -383,148 +428,171 @@
 }
 
 /*
- * A holder asks for this host's promise not to take over.  The promise is for
- * one process: one that restarted has another boot number, has forgotten what
- * it promised, and must not be counted.
+ * Answers a holder's request for the promise not to take over. A promise is of
+ * one process: after a restart the boot number differs, and as the new process
+ * does not know what was promised, its answer must not count.
  */
 enum promise_kind
 term_asked(struct term *t, usec now, uint64_t term, uint64_t boot)
 {
-	if (term > t->top_term)
-		t->top_term = term;
-	t->asked_at = now;
-	/* Asked, so listed in a record newer than the one read last. */
-	if (!lists(&t->rec, &t->conf.self))
+	if (term > t->highest_term)
+		t->highest_term = term;
+	t->last_request_at = now;
+	/* The request means that a newer record lists this host. */
+	if (!lists_standby(&t->rec, &t->conf.self))
 		t->next_get = now;
-	if (boot != t->conf.self.boot || t->put_open)
+	if (boot != t->conf.self.boot || t->put_pending)
 		return (PROMISE_NONE);
-	/* Whoever answered a later term has withdrawn from the earlier. */
-	if (t->role == TERM_HOLDER || term < t->rec.term || term < t->top_term)
+	/*
+	 * Once a request of a later term was answered, earlier terms get none.
+	 */
+	if (t->role == TERM_HOLDER || term < t->rec.term ||
+	    term < t->highest_term)
 		return (PROMISE_NONE);
 	/*
-	 * It stops, and never takes control again: its promise can outlive it.
-	 * While the store is away no other standby can be named, and a holder
-	 * that lost this promise with the process would let all keys lapse.
+	 * This process never takes control again, so its promise can outlive
+	 * it. While the store is away no other standby can be named, and a
+	 * holder that lost this promise with the process would let all keys
+	 * lapse.
 	 */
-	if (t->left)
+	if (t->leaving)
 		return (PROMISE_LEFT);
 	if (t->resigned)
 		return (PROMISE_NONE);
 	/*
-	 * This host reaches the platform and sees that the holder has long
-	 * been unable to write: staying with it would freeze the cell, for it
-	 * can renew but never change.
+	 * This host reaches the platform and sees that the holder has long been
+	 * unable to write. More promises would keep a controller that can renew
+	 * leases but change nothing.
 	 */
 	if (t->known && term == t->rec.term &&
 	    t->last_seen - t->first_seen >
-		(t->conf.told ? STUCK_TOLD : STUCK_AFTER))
+		(t->conf.told ? LATE_HOLDER_STUCK_AFTER : HOLDER_STUCK_AFTER))
 		return (PROMISE_NONE);
 	t->promised_until = lease_granter_end(now, t->conf.lease);
 	return (PROMISE_LEASE);
 }
 
-/* When what the earlier holder gave has lapsed, where its last promise ends
- * within a span: a whole host lease after that. */
+/*
+ * Returns when all leases of the earlier holder have lapsed, given that its
+ * last promise ends within span: a whole host lease after that.
+ */
 static usec
-settled_after(const struct term *t, usec now, usec span)
+old_leases_lapse_time(const struct term *t, usec now, usec span)
 {
 	return (lease_granter_end(
 	    lease_granter_end(now, span), t->conf.host_lease));
 }
 
-/* The earlier holder's last promise ends within a span. */
+/*
+ * Sets old_leases_lapse_at, given that the earlier holder's last promise ends
+ * within span.
+ */
 static void
-settle_after(struct term *t, usec now, usec span)
+set_old_leases_lapse(struct term *t, usec now, usec span)
 {
-	t->must_withdraw = 0;
-	t->settle_at = settled_after(t, now, span);
+	t->need_withdrawal = 0;
+	t->old_leases_lapse_at = old_leases_lapse_time(t, now, span);
 }
 
 /*
- * A standby answered.  Its promise counts from when it was asked for: the
- * answer may have waited on its way, and the standby counts from answering.
+ * Takes a standby's reply. The promise counts from when the request was sent:
+ * the reply may have been delayed, and the standby counts from its reply.
  */
 void
-term_promised(struct term *t, usec now, const struct member *who, uint64_t term,
-    enum promise_kind kind, usec asked)
+term_promised(struct term *t, usec now, const struct member *process,
+    uint64_t term, enum promise_kind kind, usec requested_at)
 {
 	struct promise *p;
 
 	if (t->role != TERM_HOLDER || term != t->rec.term)
 		return;
-	if (t->must_withdraw) {
-		if (!lists(&t->taken_from, who))
+	if (t->need_withdrawal) {
+		if (!lists_standby(&t->previous_record, process))
 			return;
 		/*
-		 * Any answer under our term withdraws: the asked one gives the
-		 * old holder no more promises, and what it gave runs out
-		 * within a control lease; then a whole host lease.  A new
-		 * process of the same name is no proof that the old is gone.
-		 * One that stops may have given its last, longer one.
+		 * Any reply under this host's term withdraws: that standby
+		 * makes no more promises to the old holder. Its earlier promise
+		 * ends within a control lease, and host leases a whole host
+		 * lease after that. A standby that shuts down may have made its
+		 * final, longer promise. A reply from a new process of the same
+		 * host is no proof that the old process has ended.
 		 */
-		settle_after(t, now, promise_span(t, kind));
-		t->out->event(t->arg, "a standby withdrew");
+		set_old_leases_lapse(t, now, promise_duration(t, kind));
+		t->cb->event(t->arg, "a standby withdrew");
 		return;
 	}
 	if (kind == PROMISE_NONE)
 		return;
-	p = promise_of(t, who);
-	if (asked > p->asked) {
-		p->asked = asked;
-		p->until = lease_holder_end(asked, promise_span(t, kind));
+	p = promise_of(t, process);
+	if (requested_at > p->requested_at) {
+		p->requested_at = requested_at;
+		p->until =
+		    lease_holder_end(requested_at, promise_duration(t, kind));
 	}
 }
 
 /*
- * A process of the system was heard.  Where it has taken the place of the
- * holder that control was taken from, or of one of its standbys, that process
- * has ended, and no listed standby need withdraw.  Without this a fleet whose
- * hosts all restarted at once would wait for ever for processes that are gone.
+ * Takes note of a running process. If it replaces the holder that control was
+ * taken from, or one of its standbys, that earlier process has ended, and no
+ * listed standby need withdraw. Without this a fleet whose hosts all restarted
+ * at once would wait for ever for processes that are gone.
  */
 void
 term_process_seen(struct term *t, usec now, const struct member *m)
 {
 	int i, holder, standby = 0;
 
-	if (t->role != TERM_HOLDER || !t->must_withdraw)
+	if (t->role != TERM_HOLDER || !t->need_withdrawal)
 		return;
-	holder = replaces(m, &t->taken_from.holder);
-	for (i = 0; i < t->taken_from.nstandby; i++)
-		standby |= replaces(m, &t->taken_from.standby[i]);
+	holder = replaces(m, &t->previous_record.holder);
+	for (i = 0; i < t->previous_record.nstandby; i++)
+		standby |= replaces(m, &t->previous_record.standby[i]);
 	if (!holder && !standby)
 		return;
-	/* The standby may have stopped in order, and left a longer promise. */
-	settle_after(t, now, holder ? 0 : promise_span(t, PROMISE_LEFT));
-	t->out->event(t->arg, "a process of the earlier controller has ended");
+	/*
+	 * A standby that was shut down may have made a longer, final promise.
+	 */
+	set_old_leases_lapse(
+	    t, now, holder ? 0 : promise_duration(t, PROMISE_LEFT));
+	t->cb->event(t->arg,
+	    "a process of the earlier controller or its standbys has ended");
 }
 
 /*
- * A process said which term it follows.  Where it is the holder that control
- * was taken from and the term is this host's, it gives nothing any more under
- * its own, and no promise that was left to it need run out.
+ * Takes the term that a process follows. If the process is the holder that
+ * control was taken from, and it follows this host's term, it grants nothing
+ * more under its own, so its remaining promises need not be waited for.
  */
 void
-term_yielded(struct term *t, usec now, const struct member *who, uint64_t term)
+term_yielded(
+    struct term *t, usec now, const struct member *process, uint64_t term)
 {
 	if (t->role != TERM_HOLDER || term < t->rec.term ||
-	    !same(&t->taken_from.holder, who))
+	    !same_process(&t->previous_record.holder, process))
 		return;
-	/* Said again, it puts nothing off. */
-	if (!t->must_withdraw && t->settle_at <= settled_after(t, now, 0))
+	/* Repeated reports must not postpone old_leases_lapse_at. */
+	if (!t->need_withdrawal &&
+	    t->old_leases_lapse_at <= old_leases_lapse_time(t, now, 0))
 		return;
-	settle_after(t, now, 0);
-	t->out->event(t->arg, "the earlier controller has yielded");
+	set_old_leases_lapse(t, now, 0);
+	t->cb->event(t->arg, "the earlier controller follows this host");
 }
 
-/* Names the standbys the holder should have; written when they differ. */
+/*
+ * Sets the standbys that the holder should have; the record is written if they
+ * differ.
+ */
 void
 term_standbys(struct term *t, const struct member *m, int n)
 {
-	t->nwant = n > STANDBYS ? STANDBYS : n;
-	memcpy(t->want, m, sizeof(*m) * (size_t)t->nwant);
+	t->nwanted = n > STANDBYS ? STANDBYS : n;
+	memcpy(t->wanted, m, sizeof(*m) * (size_t)t->nwanted);
 }
 
-/* This host gives control back, promises nothing and takes nothing more. */
+/*
+ * Releases control; from now on this host makes no promises and does not take
+ * control.
+ */
 void
 term_resign(struct term *t, usec now)
 {
@@ -532,15 +600,15 @@
 	t->eligible = 0;
 }
 
-/* This host's process stops: the same, and for good. */
+/* The same for good, as this host's process shuts down. */
 void
 term_leave(struct term *t, usec now)
 {
 	term_resign(t, now);
-	t->left = 1;
+	t->leaving = 1;
 }
 
-/* This host may take control again after it gave it back. */
+/* Allows this host to take control again after term_resign(). */
 void
 term_return(struct term *t)
 {
@@ -548,38 +616,42 @@
 	t->eligible = 1;
 }
 
-/* True where the record has stood unchanged for a whole lease and more. */
+/*
+ * True if the record has been unchanged for so long that this host may take
+ * control.
+ */
 static int
-lapsed(const struct term *t, usec now)
+record_lapsed(const struct term *t, usec now)
 {
-	usec need;
+	usec delay;
 
-	if (!t->known || t->get_open)
+	if (!t->known || t->get_pending)
 		return (0);
 	if (t->version == 0)
-		need = first_need(t);
+		delay = bootstrap_timeout(t);
 	else if (t->rec.holder.host[0] == '\0')
-		/* Where all hear of it at once, standbys go first. */
-		need = t->conf.told && !lists(&t->rec, &t->conf.self)
-		    ? FREE_WAIT
+		/* All hosts learn of it at the same time: standbys go first. */
+		delay = t->conf.told && !lists_standby(&t->rec, &t->conf.self)
+		    ? VACANT_DELAY
 		    : 0;
 	else if (replaces(&t->conf.self, &t->rec.holder))
-		/* This process has the holder's place: the holder has ended. */
+		/* This process replaces the holder, which has ended. */
 		return (1);
 	else
-		need = lease_granter_end(0, t->conf.lease);
-	if (t->version != 0 && !lists(&t->rec, &t->conf.self) &&
+		delay = lease_granter_end(0, t->conf.lease);
+	if (t->version != 0 && !lists_standby(&t->rec, &t->conf.self) &&
 	    t->rec.holder.host[0] != '\0')
-		need += UNLISTED_WAIT;
-	else if (t->rec.nstandby > 1 && same(&t->rec.standby[1], &t->conf.self))
-		need += t->conf.renew / 2;
-	return (t->last_seen - t->first_seen >= need);
+		delay += UNLISTED_DELAY;
+	else if (t->rec.nstandby > 1 &&
+	    same_process(&t->rec.standby[1], &t->conf.self))
+		delay += t->conf.renew / 2;
+	return (t->last_seen - t->first_seen >= delay);
 }
 
 /*
- * True where this host has cause to read the record.  A host that a controller
- * renews has none: reads would grow with the hosts, and the platform's rate
- * does not.
+ * True if this host has to read the record. One that a controller renews does
+ * not: reads would grow with the number of hosts, while the platform's rate
+ * limit does not.
  */
 static int
 must_read(const struct term *t, usec now)
@@ -587,80 +659,83 @@
 	if (!t->known || t->version == 0 || t->lonely)
 		return (1);
 	/*
-	 * Two standbys that read at each renewal make most of the calls of a
-	 * calm fleet.  What the holder tells them is as good a witness of when
-	 * the version stood; they read once it falls silent, or says that it
-	 * lives by promises.
+	 * Reads of two standbys at each renewal interval would be most of the
+	 * calls of an idle fleet. The holder's announcements show as well until
+	 * when a version was current; standbys read once the announcements
+	 * stop, or once the holder says that its lease has expired.
 	 */
 	if (t->conf.told)
-		return (t->asked_late_at != 0 &&
-		    now - t->asked_late_at < 2 * t->conf.lease);
-	return (lists(&t->rec, &t->conf.self) ||
-	    now - t->asked_at < 2 * t->conf.lease);
+		return (t->late_request_at != 0 &&
+		    now - t->late_request_at < 2 * t->conf.lease);
+	return (lists_standby(&t->rec, &t->conf.self) ||
+	    now - t->last_request_at < 2 * t->conf.lease);
 }
 
-/* What a follower does: watch the record, and take over a lapsed one. */
+/* Work of a follower: reads the record, and takes over once it has lapsed. */
 static void
 tick_follower(struct term *t, usec now)
 {
 	struct record r;
-	usec every;
-	int free_now;
+	usec interval;
+	int vacant;
 
-	/* A holder that gave control back, or has ended, needs no promise any
-	 * more. */
-	free_now = t->version != 0 &&
+	/*
+	 * A promise no longer binds once the holder has released control or
+	 * ended.
+	 */
+	vacant = t->version != 0 &&
 	    (t->rec.holder.host[0] == '\0' ||
 		replaces(&t->conf.self, &t->rec.holder));
-	if (lapsed(t, now) && t->eligible &&
-	    (now >= t->promised_until || free_now)) {
+	if (record_lapsed(t, now) && t->eligible &&
+	    (now >= t->promised_until || vacant)) {
 		memset(&r, 0, sizeof(r));
 		r.term = t->rec.term + 1;
 		r.holder = t->conf.self;
-		t->role = TERM_TAKING;
-		t->out->event(t->arg, "taking control");
+		t->role = TERM_ACQUIRING;
+		t->cb->event(t->arg, "taking control");
 		put(t, now, &r);
 		return;
 	}
-	if (t->get_open || now < t->next_get || !must_read(t, now))
+	if (t->get_pending || now < t->next_get || !must_read(t, now))
 		return;
-	every = lists(&t->rec, &t->conf.self) || t->version == 0 || free_now
+	interval =
+	    lists_standby(&t->rec, &t->conf.self) || t->version == 0 || vacant
 	    ? t->conf.renew / 2
-	    : IDLE_READ;
-	t->next_get = now + every;
-	t->get_open = 1;
-	t->out->get(t->arg);
+	    : IDLE_READ_INTERVAL;
+	t->next_get = now + interval;
+	t->get_pending = 1;
+	t->cb->get(t->arg);
 }
 
-/* True where the record's standbys are those wanted. */
+/* True if the record's standbys are the wanted ones. */
 static int
-standbys_fit(const struct term *t)
+standbys_match(const struct term *t)
 {
 	int i;
 
-	if (t->rec.nstandby != t->nwant)
+	if (t->rec.nstandby != t->nwanted)
 		return (0);
-	for (i = 0; i < t->nwant; i++) {
-		if (!lists(&t->rec, &t->want[i]))
+	for (i = 0; i < t->nwanted; i++) {
+		if (!lists_standby(&t->rec, &t->wanted[i]))
 			return (0);
 	}
 	return (1);
 }
 
 /*
- * How soon to ask for promises again.  While the platform answers they are
- * not needed, only that standbys know that they are ones; once a renewal is
- * late there is still half a lease left to collect them.
+ * Returns the interval between promise requests. While the platform answers,
+ * promises are not needed, and requests only tell standbys that they are
+ * listed; when a renewal is late, half a lease is left to collect promises.
  */
 static usec
-ask_every(const struct term *t, usec now)
+promise_interval(const struct term *t, usec now)
 {
 	int late = now > t->lease_until - t->conf.lease / 2;
 
-	return (late || t->must_withdraw ? t->conf.renew : ASK_RARELY);
+	return (late || t->need_withdrawal ? t->conf.renew : PROMISE_INTERVAL);
 }
 
-/* What a holder does: renew its lease and ask for promises. */
+/* Work of the holder: renews its lease and requests promises. */
 static void
 tick_holder(struct term *t, usec now)
 {
@@ -668,41 +743,42 @@
 	struct record next;
 	int i;
 
-	if (now >= t->next_ask) {
-		t->next_ask = now + ask_every(t, now);
-		r = t->must_withdraw ? &t->taken_from : &t->rec;
+	if (now >= t->next_request) {
+		t->next_request = now + promise_interval(t, now);
+		r = t->need_withdrawal ? &t->previous_record : &t->rec;
 		for (i = 0; i < r->nstandby; i++)
-			t->out->ask(t->arg, &r->standby[i], t->rec.term);
-		for (i = 0; t->put_open && i < t->put_rec.nstandby; i++) {
-			if (!lists(r, &t->put_rec.standby[i]))
-				t->out->ask(t->arg, &t->put_rec.standby[i],
-				    t->rec.term);
+			t->cb->request_promise(
+			    t->arg, &r->standby[i], t->rec.term);
+		for (i = 0; t->put_pending && i < t->put_rec.nstandby; i++) {
+			if (!lists_standby(r, &t->put_rec.standby[i]))
+				t->cb->request_promise(t->arg,
+				    &t->put_rec.standby[i], t->rec.term);
 		}
 	}
 	if (now > t->lease_until - t->conf.lease / 2 &&
-	    t->next_ask > now + t->conf.renew)
-		t->next_ask = now;
-	if (t->put_open || now < t->next_put)
+	    t->next_request > now + t->conf.renew)
+		t->next_request = now;
+	if (t->put_pending || now < t->next_put)
 		return;
 	next = t->rec;
 	if (t->resigned)
 		memset(&next.holder, 0, sizeof(next.holder));
-	else if (!standbys_fit(t) && !t->must_withdraw) {
-		memcpy(next.standby, t->want, sizeof(next.standby));
-		next.nstandby = t->nwant;
-		t->next_ask = now;
+	else if (!standbys_match(t) && !t->need_withdrawal) {
+		memcpy(next.standby, t->wanted, sizeof(next.standby));
+		next.nstandby = t->nwanted;
+		t->next_request = now;
 	}
 	put(t, now, &next);
 }
 
-/* Does what is due; call it often, at least every renewal time. */
+/* Does what is due; call it at least once per renewal interval. */
 void
 term_tick(struct term *t, usec now)
 {
-	if (t->put_lost && !t->get_open && now >= t->next_get) {
+	if (t->put_unknown && !t->get_pending && now >= t->next_get) {
 		t->next_get = now + t->conf.renew;
-		t->get_open = 1;
-		t->out->get(t->arg);
+		t->get_pending = 1;
+		t->cb->get(t->arg);
 	}
 	switch (t->role) {
 	case TERM_FOLLOWER:
@@ -711,7 +787,7 @@
 	case TERM_HOLDER:
 		tick_holder(t, now);
 		break;
-	case TERM_TAKING:
+	case TERM_ACQUIRING:
 		break;
 	}
 }
