--- a/decide/cell.c
+++ b/decide/cell.c
@@ -7,14 +7,14 @@
 #include "cell_plan.h"
 #include "lease.h"
 
-/* How much longer than a host lease the first placement waits. */
+/* Time in addition to a host lease that the first placement waits. */
 #define PATIENCE MS(700)
-/* A host unheard for so many renewals gets no new duty. */
+/* A host silent for this many renewal intervals gets no new duty. */
 #define QUIET_RENEWALS 2
-/* Bits of an epoch below the term. */
+/* Low bits of an epoch, which count within a term. */
 #define EPOCH_BITS 24
 
-/* Prepares an inactive cell. */
+/* Initializes an inactive cell; out must outlive it. */
 void
 cell_init(struct cell *c, const char *name, const struct cell_conf_times *times,
     const struct cell_out *out, void *arg, uint64_t seed)
@@ -27,7 +27,7 @@
 	c->seed = seed;
 }
 
-/* Frees what the services hold. */
+/* Frees the arrays of all services. */
 void
 cell_free(struct cell *c)
 {
@@ -51,7 +51,7 @@
 	c->nservices = 0;
 }
 
-/* A service of the cell by name, or NULL. */
+/* Returns a service of the cell by name, or NULL. */
 struct cell_service *
 cell_service(struct cell *c, const char *name)
 {
@@ -65,8 +65,9 @@
 }
 
 /*
- * The target that serves a shard by what is in force, or NOBODY, and the
- * fence it serves under (where fence is not NULL).
+ * Returns the index of the target that serves a shard now, or NOBODY, and in
+ * *fence (unless NULL) the fence that it serves under.  A moving shard is
+ * served by the next target as soon as its owner has released it.
  */
 int
 cell_serves(const struct cell_service *s, uint32_t n, uint64_t *fence)
@@ -78,7 +79,7 @@
 	return (moved ? s->next[n] : s->owner[n]);
 }
 
-/* The index of a target of a service by name, or NOBODY. */
+/* Returns the index of a service's target by name, or NOBODY. */
 static int
 find_target(const struct cell *c, int service, const char *name)
 {
@@ -92,7 +93,7 @@
 	return (NOBODY);
 }
 
-/* Adds a target, or finds the one there is; NOBODY where there is no room. */
+/* Finds or adds a target; returns its index, or NOBODY if the table is full. */
 int
 cell_add_target(struct cell *c, int service, const char *name)
 {
@@ -114,7 +115,7 @@
 	return (c->ntargets++);
 }
 
-/* Makes room for a service's shards; 0, or -1 without memory. */
+/* Allocates a service's arrays; returns 0, or -1 if out of memory. */
 static int
 make_service(
     struct cell_service *s, const char *name, uint32_t first, uint32_t shards)
@@ -148,7 +149,7 @@
 	return (0);
 }
 
-/* True where a target of the entry bears the name of another service's. */
+/* True if another service already uses a target name of the entry. */
 static int
 name_taken(const struct cell *c, int service, const struct cell_conf *cc)
 {
@@ -163,11 +164,11 @@
 }
 
 /*
- * Takes a catalogue entry in force: its shards and targets in this cell.  0;
- * or -1 without room, where a target's name is another service's (hosts speak
- * of targets by name alone), or where the entry changes the shards of a
- * service in use, which would hash keys to new owners while the old ones still
- * serve.
+ * Applies a catalogue entry: its shards and targets in this cell.  Returns 0,
+ * or -1 if there is no room, if a target's name is used by another service
+ * (hosts report targets by name alone), or if the entry changes the shards of
+ * a service in use, which would hash keys to new owners while the old ones
+ * still serve them.
  */
 int
 cell_configure(struct cell *c, const struct entry *e)
@@ -196,7 +197,7 @@
 	if (s->first != cc->first || s->shards != cc->last - cc->first + 1)
 		return (-1);
 	s->weigh = e->weigh;
-	/* Cells may be cut off from each other: each has a fixed part. */
+	/* Cells may lose contact with each other: each has a fixed share. */
 	s->limit = (double)e->rate * s->shards / e->shards;
 	k = (int)(s - c->services);
 	for (i = 0; i < c->ntargets; i++) {
@@ -214,8 +215,8 @@
 }
 
 /*
- * Starts controlling under a term.  Nothing an earlier controller knew is
- * used: assignments are read and claimed, hosts report what they hold.
+ * Starts controlling the cell in a term.  No state of an earlier controller
+ * is used: assignments are read and claimed, and hosts report their targets.
  */
 void
 cell_begin(struct cell *c, uint64_t term, usec now)
@@ -243,7 +244,9 @@
 		t->up = 0;
 		t->leaving = 0;
 		t->share = (struct share){0, 0, 0};
-		/* An earlier controller may just have changed its dispatcher.
+		/*
+		 * The dispatcher may have changed under an earlier controller
+		 * just before.
 		 */
 		t->clear_at = lease_granter_end(now, c->times.host_lease);
 	}
@@ -260,14 +263,14 @@
 	}
 }
 
-/* Stops controlling. */
+/* Stops controlling the cell. */
 void
 cell_end(struct cell *c)
 {
 	c->active = 0;
 }
 
-/* True once each assignment is claimed, so that a view may be given out. */
+/* True once all assignments are claimed, so that views may be published. */
 int
 cell_ready(const struct cell *c)
 {
@@ -281,10 +284,10 @@
 }
 
 /*
- * True where each target has a dispatcher that spoke of it and stays.  A
- * controller that gave control back earlier would leave targets that no host
- * speaks of to the next one, which must wait a whole host lease for their
- * dispatchers: the keys would be refused for that long.
+ * True if each target has a dispatcher that has reported it and is not
+ * stopping.  If control were returned earlier, the next controller would find
+ * targets that no host reports and would have to wait a whole host lease
+ * before it assigned dispatchers; requests would be refused for that long.
  */
 int
 cell_handed_over(const struct cell *c)
@@ -303,7 +306,7 @@
 	return (1);
 }
 
-/* A read of an assignment was answered. */
+/* Handles the result of reading an assignment. */
 void
 cell_got(struct cell *c, usec now, const char *service, int found,
     uint64_t version, const char *json, size_t n)
@@ -320,7 +323,7 @@
 		plan_load(c, s, found ? json : NULL, n, &id);
 		s->version = found ? version : 0;
 		s->known = 1;
-		/* Claim at once: hosts' leases run out meanwhile. */
+		/* Claim at once: host leases run out in the meantime. */
 		s->next_try = now;
 		return;
 	}
@@ -331,23 +334,28 @@
 		return;
 	}
 	if ((found ? version : 0) == s->version) {
-		/* It may still land; the same write again settles it. */
+		/*
+		 * The lost write may still take effect; repeating it
+		 * resolves the outcome.
+		 */
 		s->write.lost = 0;
 		c->out->put(c->arg, s->name, s->version, plan_json(c, s));
 		return;
 	}
 	/*
-	 * Somebody else wrote: our write is dead.  Only another controller
-	 * writes here, so what we know is not to be used any more.
+	 * Another controller, the only other writer, has changed the record:
+	 * the pending write can no longer take effect, and the local copy is
+	 * out of date.
 	 */
 	s->write.open = 0;
 	s->write.lost = 0;
 	s->known = 0;
 	s->claimed = 0;
-	c->out->event(c->arg, "assignment written by another, read again");
+	c->out->event(c->arg,
+	    "assignment was written by another controller, reading it again");
 }
 
-/* A read failed; it is tried again. */
+/* Handles a failed read, which is retried. */
 void
 cell_get_failed(struct cell *c, const char *service)
 {
@@ -357,7 +365,7 @@
 		s->get_open = 0;
 }
 
-/* The outcome of the open write of an assignment. */
+/* Handles the outcome of the write of an assignment. */
 void
 cell_put_ended(struct cell *c, usec now, const char *service,
     enum put_result res, uint64_t version)
@@ -373,14 +381,14 @@
 	s->next_try = now;
 }
 
-/* The next epoch: above all of this and earlier terms. */
+/* Returns the next epoch, higher than all of this and earlier terms. */
 static uint64_t
 new_epoch(struct cell *c)
 {
 	return (c->term << EPOCH_BITS | ++c->epochs);
 }
 
-/* True where the host may be given duties. */
+/* True if the host may be given duties. */
 int
 cell_host_fit(const struct cell *c, int h, usec now)
 {
@@ -390,7 +398,10 @@
 	    now - p->heard < QUIET_RENEWALS * c->times.renew);
 }
 
-/* The fit host with the fewest targets, rather one in the data centre. */
+/*
+ * Returns the available host with the fewest targets, preferring the given
+ * data centre; NOBODY if there is none.
+ */
 static int
 pick_host(const struct cell *c, const char *dc, usec now)
 {
@@ -411,7 +422,7 @@
 	return (best);
 }
 
-/* Takes back the targets of hosts whose lease has lapsed. */
+/* Removes hosts whose lease has lapsed as dispatchers of their targets. */
 static void
 tick_hosts(struct cell *c, usec now)
 {
@@ -444,7 +455,10 @@
 	}
 }
 
-/* Gives a target without dispatcher to a host. */
+/*
+ * Assigns a dispatcher to a target that has none, or starts the handover of a
+ * target whose dispatcher is stopping.
+ */
 static void
 tick_dispatch(struct cell *c, int i, usec now, int may_dispatch, int *changed)
 {
@@ -458,7 +472,7 @@
 			t->handed = 1;
 		return;
 	}
-	/* Until then, a host not heard yet may dispatch for it. */
+	/* Until then a host that has not reported yet may dispatch for it. */
 	if ((t->epoch == 0 && !may_dispatch) || t->gone)
 		return;
 	h = pick_host(c, t->conf.dc, now);
@@ -479,8 +493,9 @@
 }
 
 /*
- * Wakes a target that answers again after its grant had lapsed.  The new
- * epoch names the view to grant by, in which its lost shards are elsewhere.
+ * Allows grants again to a target that answers after its grant had lapsed.
+ * The new epoch comes with the lowest view to grant from, in which the shards
+ * that it lost are assigned elsewhere.
  */
 static void
 tick_dormant(struct cell *c, int i)
@@ -496,7 +511,7 @@
 	t->reported = 0;
 }
 
-/* Gives the targets of a service their shares of its limit. */
+/* Divides a service's rate limit among its targets. */
 static void
 tick_shares(struct cell *c, int k)
 {
@@ -508,7 +523,7 @@
 		t = &c->targets[i];
 		if (t->service != k)
 			continue;
-		/* Let go or lapsed: nobody uses its share any more. */
+		/* Released or lapsed: its share is no longer in use. */
 		if (t->disp == NOBODY && (c->settled || t->epoch != 0))
 			t->share = (struct share){0, 0, 0};
 		if (t->disp != NOBODY)
@@ -518,7 +533,7 @@
 		share_plan(list, n, c->services[k].limit, c->settled);
 }
 
-/* Reads and claims the assignments, one step at a time. */
+/* Performs the next step of reading and claiming an assignment. */
 static void
 tick_claim(struct cell *c, struct cell_service *s, usec now)
 {
@@ -533,18 +548,19 @@
 		return;
 	}
 	/*
-	 * The claim changes nothing but the version: writes of an earlier
-	 * controller that are still on their way are dead from here on.
-	 * Without it a move decided before a pause could land after we gave
-	 * the shard's present owner a new lease: two owners.
+	 * The claim changes only the version, so that delayed writes of an
+	 * earlier controller fail from now on.  Without it a move that a
+	 * controller decided before it was paused could take effect after the
+	 * shard's present owner got a new lease: the shard would have two
+	 * owners.
 	 */
 	if (!s->claimed)
 		plan_write(c, s);
 }
 
 /*
- * Does what is due; settled and may_dispatch are term_settled() and
- * term_may_dispatch() of this moment.
+ * Runs all periodic work of the controller; settled and may_dispatch are the
+ * current results of term_settled() and term_may_dispatch().
  */
 void
 cell_tick(struct cell *c, usec now, int settled, int may_dispatch)
--- a/decide/cell.h
+++ b/decide/cell.h
@@ -1,6 +1,6 @@
 /*
- * What the controller of a cell decides: hosts' leases, which host dispatches
- * for which target, and which target owns which shard.
+ * The controller of a cell: leases of hosts, assignment of a dispatching host
+ * to each target, and assignment of shards to targets.
  */
 #ifndef CELL_H
 #define CELL_H
@@ -18,37 +18,40 @@
 #define CELL_SERVICES 16
 #define CELL_TARGETS 512
 #define CELL_HOSTS 128
+/* Index of a host or target where there is none. */
 #define NOBODY (-1)
 
+/* One process of a host, as the controller knows it. */
 struct cell_host {
 	struct member who;
 	char dc[NAME_MAX_GS];
 	char addr[64];
 	usec heard;
-	usec lease_end; /* as granter; 0 is none given */
+	usec lease_end; /* as granter; 0 if none was granted */
 	int stopping;
-	int seen;
+	int seen; /* 0: the slot is free */
 };
 
+/* One target, its dispatcher and what the dispatcher last reported of it. */
 struct cell_target {
 	struct target_conf conf;
 	int service;
 	int gone;   /* no longer in the catalogue */
 	int disp;   /* index of the dispatching host, or NOBODY */
-	int handed; /* told to hand its dispatch over */
+	int handed; /* the dispatcher was asked to hand the target over */
 	uint64_t epoch;
-	uint64_t min_view;
-	uint64_t given_seq;
+	uint64_t min_view;  /* grants must be based on this view or later */
+	uint64_t given_seq; /* request whose reply first held the duty */
 	int granted;
 	int up;
 	int leaving;
 	int reported;
-	int confirmed; /* answered its dispatcher's grant in this term */
+	int confirmed; /* has accepted a grant of this term */
 	struct share share;
-	usec clear_at; /* grants of earlier dispatchers have lapsed by then */
+	usec clear_at; /* when all grants of earlier dispatchers have lapsed */
 };
 
-/* One write of an assignment that may be open or of unknown outcome. */
+/* A write of an assignment that is in progress or of unknown outcome. */
 struct cell_write {
 	int open;
 	int lost;
@@ -61,23 +64,23 @@
 
 /*
  * The shards of a service in this cell.  owner, fence, next and next_fence
- * are as the platform holds them.  A shard with a next is on its way: once
- * its owner has let go it is the next's, whether or not the platform can be
- * written at that moment.
+ * mirror the record in the platform.  A shard whose next is set is moving:
+ * once its owner has released it, it belongs to next, even if the platform
+ * cannot be written at that moment.
  */
 struct cell_service {
 	char name[NAME_MAX_GS];
 	uint32_t first;
 	uint32_t shards;
 	enum weigh weigh;
-	double limit; /* requests a second in this cell; 0 is none */
+	double limit; /* requests per second in this cell; 0: unlimited */
 	int *owner;   /* target index or NOBODY, per shard of the cell */
 	uint64_t *fence;
 	int *next; /* target index or NOBODY */
 	uint64_t *next_fence;
-	uint64_t *flag_seq; /* first view that tells of the move */
-	uint8_t *freed;	    /* the owner has let go, in this term */
-	double *load;
+	uint64_t *flag_seq; /* first view that announces the move */
+	uint8_t *freed;	    /* the owner has released it in this term */
+	double *load;	    /* slots busy with the shard, smoothed */
 	uint64_t version;
 	uint64_t top_fence;
 	int known;
@@ -85,16 +88,17 @@
 	int get_open;
 	usec next_try;
 	struct cell_write write;
-	usec budget_at;
-	double budget;
+	usec budget_at; /* last refill of budget */
+	double budget;	/* moves for balance that may start now */
 	uint64_t moved;
 };
 
 struct cell_conf_times {
 	usec host_lease;
-	usec renew;
+	usec renew; /* between two renewals by a host */
 };
 
+/* Functions that a cell calls; put takes ownership of json. */
 struct cell_out {
 	void (*get)(void *, const char *service);
 	void (*put)(void *, const char *service, uint64_t base, char *json);
@@ -109,7 +113,7 @@
 	void *arg;
 	int active;
 	int settled;	    /* leases of earlier controllers have lapsed */
-	usec patient_until; /* first placement waits for targets till then */
+	usec patient_until; /* first placement waits for all targets */
 	uint64_t term;
 	uint64_t view_seq;
 	uint64_t epochs;
--- a/decide/cell_host.c
+++ b/decide/cell_host.c
@@ -1,14 +1,17 @@
-/* Hosts of a cell: what they report, and the leases they are given. */
+/* Hosts of a cell: their reports and their leases. */
 #include <string.h>
 
 #include "cell.h"
 #include "cell_plan.h"
 #include "lease.h"
 
-/* Weight of a new measure of a shard's load in the mean. */
+/* Weight of a new sample in the smoothed load of a shard. */
 #define LOAD_WEIGHT 0.3
 
-/* The index of any target by name, or NOBODY; names are of one service. */
+/*
+ * Returns the index of a target of any service, or NOBODY; a name belongs to
+ * one service only.
+ */
 static int
 any_target(const struct cell *c, const char *name)
 {
@@ -21,7 +24,7 @@
 	return (NOBODY);
 }
 
-/* Finds a host's process, or adds it; NOBODY where there is no room. */
+/* Finds or adds a host's process; returns NOBODY if the table is full. */
 static int
 find_host(struct cell *c, const char *host, uint64_t boot)
 {
@@ -50,8 +53,9 @@
 }
 
 /*
- * Notes the shards a dispatcher confirmed released; true if any is new.  What
- * an earlier dispatcher granted must have lapsed too.
+ * Records the shards that a dispatcher reports as released; true if any is
+ * new.  Reports are ignored until the grants of earlier dispatchers have
+ * lapsed, as the target may still hold shards under those.
  */
 static int
 note_freed(struct cell *c, int t, const Gspar__TargetState *ts, usec now)
@@ -75,9 +79,9 @@
 			    s->next[k] == NOBODY || s->freed[k])
 				continue;
 			/*
-			 * A release under a view that does not tell of this
-			 * move is of an earlier one, and may have been undone
-			 * by a grant in between.
+			 * A release based on a view older than this move
+			 * belongs to an earlier one, and a grant since then
+			 * may have reverted it.
 			 */
 			if ((f->view & 0xffffffff) < s->flag_seq[k])
 				continue;
@@ -89,8 +93,9 @@
 }
 
 /*
- * Takes the busy times of a target's shards: the busiest by name, the rest of
- * its time shared out evenly.  Smoothed, or noise would move shards.
+ * Updates the loads of a target's shards: the busiest are reported one by one,
+ * the rest of the busy time is divided evenly among the others.  Loads are
+ * smoothed, as noise would cause shards to be moved.
  */
 static void
 note_loads(struct cell *c, int t, const Gspar__TargetState *ts)
@@ -119,8 +124,8 @@
 }
 
 /*
- * Takes the rate a dispatcher uses, which an answer on its way may still
- * raise to what was given, and the demand it met.
+ * Updates a target's share of the rate limit.  The dispatcher may be using the
+ * rate it reports, or the one it was given if the reply has arrived since.
  */
 static void
 note_share(struct share *s, const Gspar__TargetState *ts)
@@ -132,7 +137,7 @@
 		s->demand += (ts->demand / 1000.0 - s->demand) * LOAD_WEIGHT;
 }
 
-/* Notes what a dispatcher says of one target; true where the view changes. */
+/* Applies a host's report on one target; true if the view changes. */
 static int
 note_target(struct cell *c, int h, const Gspar__TargetState *ts, usec now)
 {
@@ -145,8 +150,8 @@
 	t = &c->targets[i];
 	if (t->disp == NOBODY && t->epoch == 0) {
 		/*
-		 * The first word of it in this term: its dispatcher keeps it,
-		 * so that a new controller interrupts no request.
+		 * The first report of it in this term: its dispatcher keeps
+		 * it, so that a new controller interrupts no request.
 		 */
 		t->disp = h;
 		t->epoch = ts->epoch;
@@ -168,7 +173,7 @@
 	return (note_freed(c, i, ts, now) || changed);
 }
 
-/* True where the ask speaks of the target. */
+/* True if the lease request reports on the target. */
 int
 ask_speaks_of(const Gspar__LeaseAsk *ask, const char *target)
 {
@@ -181,7 +186,7 @@
 	return (0);
 }
 
-/* A host asked for renewal and reports what it holds. */
+/* Handles a host's lease request, which reports on its targets. */
 void
 cell_asked(
     struct cell *c, usec now, const char *host, const Gspar__LeaseAsk *ask)
@@ -204,9 +209,9 @@
 	for (k = 0; k < c->ntargets; k++) {
 		t = &c->targets[k];
 		/*
-		 * Silence about a target means released only where the host
-		 * has read the answer that gave it: an ask sent before that
-		 * answer came is silent too.
+		 * A target that is missing in the report is released only if
+		 * the host has received the reply that assigned it: a request
+		 * sent before that does not report it either.
 		 */
 		if (t->disp != h || t->given_seq == 0 ||
 		    ask->ack < t->given_seq || ask_speaks_of(ask, t->conf.name))
@@ -215,14 +220,15 @@
 		t->handed = 0;
 		t->reported = 0;
 		t->confirmed = 0;
-		/* What it granted the target may hold a while yet. */
+		/* Its last grant to the target may not have lapsed yet. */
 		t->clear_at = lease_granter_end(now, c->times.host_lease);
 	}
 }
 
 /*
- * Fills the answer to an ask: the lease and the duties.  Returns how many
- * duties; the host's lease counts from now on.
+ * Fills in the reply to a lease request: the lease, which starts now, and up
+ * to max duties, whose names point into the cell.  Returns the number of
+ * duties, or -1 if there is no room for the host.
  */
 int
 cell_give(struct cell *c, usec now, const char *host,
--- a/decide/cell_plan.c
+++ b/decide/cell_plan.c
@@ -7,23 +7,26 @@
 
 #include "cell_plan.h"
 
-/* Shards of one service that move at the same time. */
+/* Maximum number of shards of a service that move at the same time. */
 #define MOVES_AT_ONCE 8
 
-/* How far a service may be out of balance, and how much it may move. */
+/* When shards are moved for balance, and how often. */
 struct weighing {
-	double tolerance;
+	double tolerance; /* highest load allowed, relative to the mean */
 	double moves_per_s;
 	double burst;
 };
 
-/* By enum weigh: Kragelund's and Al Batinah's wishes. */
+/*
+ * By enum weigh: an organisation chooses for each service whether imbalance
+ * costs it more, or the short unavailability of a shard that moves.
+ */
 static const struct weighing weighings[] = {
     [WEIGH_IMBALANCE] = {1.15, 2.0, 16},
     [WEIGH_UNAVAILABLE] = {1.5, 0.25, 4},
 };
 
-/* Reads the write id of an assignment's JSON; 0 where there is none. */
+/* Returns the write id in an assignment's JSON, or 0 if there is none. */
 uint64_t
 plan_write_id(const char *json, size_t n)
 {
@@ -39,7 +42,7 @@
 	return (id);
 }
 
-/* One number of an array in an assignment. */
+/* Returns element i of an array of numbers in an assignment. */
 static uint64_t
 number_at(json_t *o, const char *key, size_t i)
 {
@@ -47,14 +50,17 @@
 	    json_array_get(json_object_get(o, key), i)));
 }
 
-/* The target that a number of an assignment stands for; 0 is nobody. */
+/* Maps a target number of an assignment to a target index; 0 is no target. */
 static int
 target_at(const int *map, size_t ntargets, uint64_t number)
 {
 	return (number == 0 || number > ntargets ? NOBODY : map[number]);
 }
 
-/* Takes over an assignment as read; json NULL is none: nobody owns a shard. */
+/*
+ * Loads an assignment as read from the platform; *id is set to its write id.
+ * If json is NULL there is none yet, and no shard has an owner.
+ */
 void
 plan_load(struct cell *c, struct cell_service *s, const char *json, size_t n,
     uint64_t *id)
@@ -87,7 +93,7 @@
 		s->next[i] = target_at(map, k, number_at(o, "next", i));
 		s->fence[i] = number_at(o, "fence", i);
 		s->next_fence[i] = number_at(o, "next_fence", i);
-		/* Any view of this term tells of a move begun before it. */
+		/* All views of this term announce moves begun earlier. */
 		s->flag_seq[i] = 0;
 	}
 	*id = plan_write_id(json, n);
@@ -95,7 +101,7 @@
 	json_decref(o);
 }
 
-/* An array of target numbers as the assignment's JSON holds them. */
+/* Converts target indexes to the JSON array of target numbers. */
 static json_t *
 places(const int *target, const int *place, uint32_t n)
 {
@@ -108,7 +114,7 @@
 	return (a);
 }
 
-/* An array of fences. */
+/* Converts fences to a JSON array. */
 static json_t *
 fences(const uint64_t *fence, uint32_t n)
 {
@@ -120,7 +126,7 @@
 	return (a);
 }
 
-/* The JSON of the open write; the caller frees it. */
+/* Returns the JSON of the current write; the caller frees it. */
 char *
 plan_json(struct cell *c, struct cell_service *s)
 {
@@ -152,7 +158,7 @@
 	return (text);
 }
 
-/* Opens a write of s->write; where nothing was planned it is a claim. */
+/* Sends s->write to the platform under a new id. */
 static void
 open_write(struct cell *c, struct cell_service *s)
 {
@@ -163,7 +169,7 @@
 	c->out->put(c->arg, s->name, s->version, plan_json(c, s));
 }
 
-/* Copies what is in force into the write, to be changed there. */
+/* Initializes the write with the assignment in force. */
 static void
 start_write(struct cell_service *s)
 {
@@ -174,7 +180,7 @@
 	    s->shards * sizeof(*s->next_fence));
 }
 
-/* Writes the assignment as it is, under this term. */
+/* Claims the assignment: writes it unchanged, under this term. */
 void
 plan_write(struct cell *c, struct cell_service *s)
 {
@@ -182,7 +188,7 @@
 	open_write(c, s);
 }
 
-/* A view number that rises, and word of it to whoever spreads views. */
+/* Starts a new view and notifies the publisher of views. */
 void
 plan_changed(struct cell *c)
 {
@@ -190,7 +196,7 @@
 	c->out->changed(c->arg);
 }
 
-/* The open write is known to have taken effect: it is now in force. */
+/* Applies the write, which is known to have taken effect. */
 void
 plan_commit(struct cell *c, struct cell_service *s, uint64_t version)
 {
@@ -228,7 +234,7 @@
 	plan_changed(c);
 }
 
-/* True where the target may be given shards. */
+/* True if the target may be given shards. */
 static int
 usable(const struct cell *c, int i)
 {
@@ -239,9 +245,9 @@
 }
 
 /*
- * True where the shards of a target are free to go elsewhere: it holds no
- * grant for sure, and will get none before a later epoch.  Its dispatcher
- * speaks for its own grants; those of earlier dispatchers lapse by clear_at.
+ * True if the shards of a target may be assigned elsewhere: it certainly holds
+ * no grant, and gets none before a later epoch.  The dispatcher reports on its
+ * own grants; those of earlier dispatchers have lapsed at clear_at.
  */
 static int
 lost(const struct cell *c, int i, usec now)
@@ -251,9 +257,9 @@
 	if (now < t->clear_at)
 		return (0);
 	/*
-	 * Until all earlier leases have surely lapsed, only a target that
-	 * checks orders and has taken one of this term is known to refuse
-	 * those of dispatchers that this controller has not heard of.
+	 * Dispatchers that this controller does not know may send grants until
+	 * all earlier leases have lapsed.  Only a target that checks the order
+	 * of grants and has accepted one of this term refuses them.
 	 */
 	if (!c->settled && !(t->confirmed && t->conf.checks))
 		return (0);
@@ -262,7 +268,7 @@
 	return (t->reported && !t->granted && (!t->up || t->gone));
 }
 
-/* What place.c needs to know of the targets. */
+/* Collects the state of all targets for place.c. */
 static void
 survey(
     const struct cell *c, const struct cell_service *s, struct place_target *pt)
@@ -285,8 +291,9 @@
 }
 
 /*
- * True where shards that nobody owns may be placed: once all targets are
- * there, or after some patience, else the first to answer would get them all.
+ * True if shards without an owner may be placed: once all targets of the
+ * service are usable or the wait for them is over.  Otherwise the first target
+ * to answer would get all shards.
  */
 static int
 may_fill(const struct cell *c, const struct cell_service *s, usec now)
@@ -303,7 +310,7 @@
 	return (1);
 }
 
-/* Plans a shard straight onto the least full target; true where there is one.
+/* Plans the least loaded target as owner of a shard; false if there is none.
  */
 static int
 put_on(
@@ -322,9 +329,9 @@
 }
 
 /*
- * Plans one shard that is on its way.  A move only ever goes forward: the
- * next target may have been granted the shard under an earlier controller, so
- * the owner never gets it back.
+ * Plans the next step of a moving shard.  A move is never undone: the next
+ * target may have been granted the shard under an earlier controller, so the
+ * owner must not get it back.
  */
 static int
 plan_moving(struct cell *c, struct cell_service *s, struct place_target *pt,
@@ -342,7 +349,10 @@
 	return (1);
 }
 
-/* Plans owners for shards that have none or lost theirs; true if any. */
+/*
+ * Plans owners for shards that have none or whose owner is lost, and completes
+ * moves.  True if anything is to change.
+ */
 static int
 plan_owners(
     struct cell *c, struct cell_service *s, struct place_target *pt, usec now)
@@ -361,7 +371,7 @@
 	return (any);
 }
 
-/* How many shards are on their way. */
+/* Counts the moving shards in the planned assignment. */
 static int
 moving(const struct cell_service *s)
 {
@@ -374,9 +384,9 @@
 }
 
 /*
- * Plans the start of a move.  It is written before the owner is asked to let
- * go: were the platform to go down in between, the shard would otherwise be
- * neither here nor there for the whole outage.
+ * Plans the start of a move.  It is written before the owner is asked to
+ * release the shard: otherwise, if the platform failed in between, neither
+ * target could serve the shard for the whole outage.
  */
 static void
 begin_move(struct cell_service *s, uint32_t n, int to)
@@ -386,8 +396,8 @@
 }
 
 /*
- * Starts moves away from targets that leave, all at once: a leaving target is
- * to get no new work within seconds.  True if any.
+ * Plans moves of all shards of leaving targets at the same time, as a leaving
+ * target must stop getting new work within seconds.  True if there are any.
  */
 static int
 plan_leaving(struct cell *c, struct cell_service *s, struct place_target *pt)
@@ -412,8 +422,10 @@
 	return (any);
 }
 
-/* Tells what balance saw: without it nobody can say why a shard moved that
- * neither a loss nor a leaving target explains. */
+/*
+ * Logs the loads that balancing was based on, which explain the move of a
+ * shard whose owner is neither lost nor leaving.
+ */
 static void
 tell_moves(const struct cell *c, const struct cell_service *s,
     const struct place_target *pt, const struct place_move *m, int n)
@@ -423,15 +435,15 @@
 
 	snprintf(text, sizeof(text),
 	    "%s: balance moves %d, first shard %" PRIu32 " from %s (%.2f of %d "
-	    "slots busy, %d shards) to %s (%.2f of %d, %d), fullest %.2f times "
-	    "the mean",
+	    "slots busy, %d shards) to %s (%.2f of %d, %d), highest load %.2f "
+	    "times the mean",
 	    s->name, n, m->shard + s->first, c->targets[m->from].conf.name,
 	    from->load, from->slots, from->shards, c->targets[m->to].conf.name,
 	    to->load, to->slots, to->shards, place_imbalance(pt, c->ntargets));
 	c->out->event(c->arg, text);
 }
 
-/* Starts moves that even out the load, within the budget; true if any. */
+/* Plans moves that balance the load, within the budget; true if any. */
 static int
 plan_balance(struct cell *c, struct cell_service *s, struct place_target *pt,
     usec now, int room)
@@ -466,7 +478,7 @@
 	return (n > 0);
 }
 
-/* Plans for one service, and opens a write where anything is to change. */
+/* Plans one service's assignment and writes it if anything changes. */
 void
 plan_tick(struct cell *c, struct cell_service *s, usec now)
 {
--- a/decide/cell_plan.h
+++ b/decide/cell_plan.h
@@ -1,4 +1,4 @@
-/* What the files of a cell share: its assignments and its hosts. */
+/* Internal to the files of cell.h: assignment of shards to targets. */
 #ifndef CELL_PLAN_H
 #define CELL_PLAN_H
 
--- a/decide/cell_standby.c
+++ b/decide/cell_standby.c
@@ -1,10 +1,13 @@
-/* Hosts of a cell that live, and which of them stand by for its controller. */
+/* Available hosts of a cell, and the choice of the controller's standbys. */
 #include <string.h>
 
 #include "cell.h"
 #include "cell_plan.h"
 
-/* Lists live hosts' processes, but one by name, oldest known first. */
+/*
+ * Lists up to max processes of available hosts other than the one named, in
+ * table order; returns how many.
+ */
 int
 cell_live_hosts(const struct cell *c, usec now, struct member *out, int max,
     const char *but)
@@ -19,7 +22,10 @@
 	return (n);
 }
 
-/* How well a host suits as standby: better if it is one, or is elsewhere. */
+/*
+ * Rates a host as a standby: hosts that are one already and hosts in another
+ * data centre score higher; want_elsewhere tells which counts more.
+ */
 static int
 standby_score(const struct cell *c, int h, const char *dc,
     const struct record *r, int want_elsewhere)
@@ -33,9 +39,10 @@
 
 /*
  * Chooses the standbys of a controller on `host` in `dc`; returns how many.
- * Those it has stay while they live.  In a cell of several data centres one is
- * elsewhere: were all standbys cut off together with the controller, their
- * promises would keep it going, and no other data centre could take over.
+ * Present standbys are kept while they are available.  In a cell of several
+ * data centres one standby is in another one: if all standbys were cut off
+ * together with the controller, their promises would keep it in control, and
+ * no other data centre could take over.
  */
 int
 cell_standbys(const struct cell *c, usec now, const char *host, const char *dc,
