--- a/decide/grant.c
+++ b/decide/grant.c
@@ -4,12 +4,12 @@
 #include "lease.h"
 
 /*
- * A new target that has not answered for so long is taken for down.  What an
- * earlier dispatcher granted it may still run; the controller counts that.
+ * A new target that has not answered for this long is considered down.  Grants
+ * of an earlier dispatcher may still be valid; the controller allows for them.
  */
 #define PROBE_PATIENCE MS(320)
 
-/* Starts a duty for a target. */
+/* Initializes the grant of a target that this host starts to dispatch for. */
 void
 grant_init(
     struct grant *g, const struct grant_conf *conf, uint64_t epoch, usec now)
@@ -18,14 +18,15 @@
 	g->conf = *conf;
 	g->want = 1;
 	/*
-	 * A duty let go and taken on again may keep its epoch.  Counting its
-	 * messages from nought again, the target would refuse them all as old.
+	 * A duty that is released and given to this host again may have the
+	 * same epoch.  If its messages were numbered from zero again, the
+	 * target would refuse them as old.
 	 */
 	g->seq = (uint64_t)now;
 	grant_epoch(g, epoch, now);
 }
 
-/* A later epoch allows grants again after a dormant one. */
+/* Starts a later epoch, which allows grants again. */
 void
 grant_epoch(struct grant *g, uint64_t epoch, usec now)
 {
@@ -35,7 +36,7 @@
 	g->held = 0;
 }
 
-/* True while the target may still hold what this dispatcher granted. */
+/* True while a grant of this dispatcher may still be valid at the target. */
 int
 grant_live(const struct grant *g, usec now)
 {
@@ -43,10 +44,10 @@
 }
 
 /*
- * Goes dormant where the target has not answered and its grant has lapsed.
- * From then on nothing is granted in this epoch: the controller may already
- * be giving the shards to others, and a target that thaws and answers again
- * must not get them back under the old view.
+ * Makes the grant dormant if the target does not answer and the grant has
+ * lapsed.  From then on nothing is granted in this epoch: the controller may
+ * already be assigning the shards to others, and a target that was frozen and
+ * answers again must not get them back under the old view.
  */
 static void
 maybe_sleep(struct grant *g, usec now)
@@ -62,9 +63,10 @@
 }
 
 /*
- * The next message to send, if one is due.  For a grant or a renewal sets its
- * expiry in the target's clock.  A grant never outlives this host's lease:
- * the controller counts this target's grants as lapsed with that lease.
+ * Returns the next message to send, or STEP_NONE.  For a grant or a renewal
+ * sets *until_there to its expiry in the target's clock.  A grant never
+ * outlives this host's lease: when the lease has lapsed, the controller
+ * considers this target's grants lapsed too.
  */
 enum grant_step
 grant_next(struct grant *g, usec now, usec lease_until, int64_t *until_there)
@@ -76,9 +78,9 @@
 	if (g->open)
 		return (STEP_NONE);
 	/*
-	 * A target that did not answer is only asked for its clock: renewals
-	 * into a frozen target's socket, or to one whose answers are lost,
-	 * would push the moment at which its shards are free ever further.
+	 * A target that did not answer is only asked for its clock: each
+	 * renewal sent to a frozen target, or to one whose answers are lost,
+	 * would postpone the time at which its shards can be reassigned.
 	 */
 	if (g->phase != GRANT_ACTIVE || g->heard == 0 || !g->up)
 		step = STEP_CLOCK;
@@ -107,7 +109,7 @@
 	return (step);
 }
 
-/* The target answered a message of the kind. */
+/* Handles the target's answer to a message. */
 void
 grant_heard(struct grant *g, usec now, enum grant_step step, int accepted,
     int64_t clock_there, int64_t boot)
@@ -136,7 +138,7 @@
 		g->held = g->sent_set;
 }
 
-/* True where requests may be sent: the target holds the wanted set now. */
+/* True if requests may be sent: the target holds the wanted set now. */
 int
 grant_serves(const struct grant *g, usec now)
 {
@@ -145,9 +147,10 @@
 }
 
 /*
- * A message was not answered; the grant it carried may hold all the same, and
- * may still arrive after later ones.  Until it would have lapsed, no release
- * is sure: a server that checks no order would take the older set back.
+ * Handles a message that was not answered.  The grant in it may be valid all
+ * the same, and may arrive after later ones.  Until it has lapsed, no release
+ * of shards is certain: a server that does not check the order of grants would
+ * accept the older set again.
  */
 void
 grant_failed(struct grant *g, usec now)
@@ -157,7 +160,7 @@
 	g->doubt_until = g->end_here;
 }
 
-/* True where the target is known to hold the wanted set and no more. */
+/* True if the target certainly holds the wanted set and no other shards. */
 int
 grant_exact(const struct grant *g, usec now)
 {
--- a/decide/grant.h
+++ b/decide/grant.h
@@ -1,4 +1,4 @@
-/* The fenced grant of one target, as its dispatcher renews it. */
+/* The fenced grant of shards to one target, as its dispatcher maintains it. */
 #ifndef GRANT_H
 #define GRANT_H
 
@@ -8,36 +8,38 @@
 
 enum grant_phase {
 	GRANT_PROBE,  /* new duty: the target has not answered yet */
-	GRANT_ACTIVE, /* granted, or about to be again */
-	GRANT_DORMANT /* nothing granted, and nothing will be in this epoch */
+	GRANT_ACTIVE, /* granted, or about to be granted */
+	GRANT_DORMANT /* nothing granted; no more grants in this epoch */
 };
 
+/* Messages to the target: read its clock, grant a set of shards, renew it. */
 enum grant_step { STEP_NONE, STEP_CLOCK, STEP_FULL, STEP_RENEW };
 
 struct grant_conf {
-	usec length; /* of one grant */
+	usec length; /* of a grant */
 	usec renew;  /* between renewals */
 };
 
+/* Sets of shards are numbered; times are of this host's clock unless noted. */
 struct grant {
 	struct grant_conf conf;
 	enum grant_phase phase;
 	uint64_t epoch;
 	uint64_t seq;
-	int64_t boot;
-	int64_t clock_there;
-	usec heard;
+	int64_t boot;	     /* of the target; changes when it restarts */
+	int64_t clock_there; /* the target's clock in its last answer */
+	usec heard;	     /* when that answer arrived */
 	usec began;
 	usec sent;
-	usec end_here;
-	usec doubt_until;
-	usec sent_end;
-	usec sure_until; /* the target confirmed a grant until then */
-	int open;
-	int up;
-	uint64_t want; /* number of the set of shards wanted */
+	usec end_here;	  /* latest expiry of all grants sent */
+	usec doubt_until; /* end_here when a message was not answered */
+	usec sent_end;	  /* expiry of the last grant sent */
+	usec sure_until;  /* expiry of the last grant that was accepted */
+	int open;	  /* a message awaits its answer */
+	int up;		  /* the last message was answered */
+	uint64_t want;	  /* the set to be granted */
 	uint64_t sent_set;
-	uint64_t held; /* number of the set the target confirmed */
+	uint64_t held; /* the set that the target has accepted; 0: none */
 };
 
 void grant_init(
--- a/decide/once.c
+++ b/decide/once.c
@@ -8,8 +8,9 @@
 enum { FREE, RUNNING, ENDED };
 
 /*
- * Makes a table that remembers `size` tickets.  `table` must be a random
- * number no other table ever had; drop frees what an ended entry holds.
+ * Initializes a table with room for `size` tickets; returns 0, or -1 if out of
+ * memory.  `table` must be a random number that no other table ever had; drop
+ * frees the value of an ended entry.
  */
 int
 once_init(struct once *o, uint64_t table, size_t size, void (*drop)(void *))
@@ -26,7 +27,7 @@
 	return (0);
 }
 
-/* Empties an entry. */
+/* Clears an entry and frees its value. */
 static void
 clear(struct once *o, struct once_entry *e)
 {
@@ -35,7 +36,7 @@
 	memset(e, 0, sizeof(*e));
 }
 
-/* Frees the table and what it remembers. */
+/* Frees the table and the values in it. */
 void
 once_free(struct once *o)
 {
@@ -47,7 +48,7 @@
 	o->entries = NULL;
 }
 
-/* Issues a ticket; none is remembered until it is used. */
+/* Issues a ticket, which takes no entry until it is used. */
 void
 once_ticket(struct once *o, char out[TICKET_TEXT])
 {
@@ -55,7 +56,7 @@
 	    o->next++);
 }
 
-/* The entry where a number is remembered. */
+/* Returns the entry for a number. */
 static struct once_entry *
 slot(struct once *o, uint64_t number)
 {
@@ -63,14 +64,15 @@
 }
 
 /*
- * Decides what a request with this ticket gets.  Sets the ticket's number,
- * and for ONCE_JOIN and ONCE_REPLAY the value remembered.
+ * Decides how to handle a request with this ticket.  Sets *number to the
+ * ticket's number and, for ONCE_JOIN and ONCE_REPLAY, *value to the stored
+ * value.
  *
- * A ticket under the floor may have been used and forgotten, one of another
- * table may have been used there: running it could bill a family twice, so
- * the caller gets "unknown".  Every number from the floor on that is not in
- * the table was never used here, for an entry is only overwritten after the
- * floor has moved past it.
+ * A ticket below the floor may have been used and evicted, and one of another
+ * table may have been used there.  Running it could bill a family twice, so
+ * the caller gets the outcome "unknown".  A number from the floor on that is
+ * not in the table was never used, as an entry is only overwritten once the
+ * floor is above it.
  */
 enum once_verdict
 once_ask(struct once *o, const char *ticket, uint64_t *number, void **value)
@@ -99,7 +101,7 @@
 	return (ONCE_RUN);
 }
 
-/* Remembers that a ticket's request runs; value is who runs it. */
+/* Records that a ticket's request runs; value identifies the run. */
 void
 once_running(struct once *o, uint64_t number, void *value)
 {
@@ -113,7 +115,7 @@
 	e->value = value;
 }
 
-/* Remembers a ticket's answer, which the table frees with drop. */
+/* Stores the answer to a ticket's request; the table takes ownership. */
 void
 once_ended(struct once *o, uint64_t number, void *value)
 {
@@ -128,7 +130,7 @@
 	e->value = value;
 }
 
-/* Takes a ticket back to unused: its request is known not to have run. */
+/* Marks a ticket as unused again: its request certainly did not run. */
 void
 once_forget(struct once *o, uint64_t number)
 {
--- a/decide/once.h
+++ b/decide/once.h
@@ -1,9 +1,11 @@
 /*
- * At most once: the table of tickets that one dispatcher keeps for a target.
+ * At-most-once execution: the table of tickets that a dispatcher keeps for a
+ * target.
  *
- * A ticket names the table that issued it and a number in it.  A table knows
- * of each of its tickets whether it was used; a ticket of another table it
- * cannot vouch for, and says so.  No clock of a caller takes part.
+ * A ticket consists of the id of the table that issued it and a number.  A
+ * table knows whether each of its own tickets was used.  It cannot know that
+ * of a ticket of another table, and reports it as unknown.  This does not
+ * depend on the clocks of callers.
  */
 #ifndef ONCE_H
 #define ONCE_H
@@ -16,12 +18,12 @@
 #define TICKET_TEXT 48
 
 enum once_verdict {
-	ONCE_RUN,     /* first seen: run it */
-	ONCE_JOIN,    /* runs already: wait for the same answer */
-	ONCE_REPLAY,  /* ended: give the same answer */
-	ONCE_STRANGE, /* issued by another table, or forgotten */
-	ONCE_BAD,     /* no ticket at all */
-	ONCE_FULL     /* no room to remember one more that runs */
+	ONCE_RUN,     /* unused: run the request */
+	ONCE_JOIN,    /* running: wait for the same answer */
+	ONCE_REPLAY,  /* finished: send the same answer again */
+	ONCE_STRANGE, /* issued by another table, or evicted */
+	ONCE_BAD,     /* not a ticket, or never issued */
+	ONCE_FULL     /* its entry is taken by a request that runs */
 };
 
 struct once_entry {
@@ -31,12 +33,12 @@
 };
 
 struct once {
-	uint64_t table;
+	uint64_t table; /* id, part of each ticket */
 	uint64_t next;
-	uint64_t floor;
+	uint64_t floor; /* lower numbers may have been evicted */
 	struct once_entry *entries;
 	size_t size;
-	void (*drop)(void *value);
+	void (*drop)(void *value); /* frees the value of an ended entry */
 };
 
 int once_init(struct once *, uint64_t table, size_t size, void (*)(void *));
--- a/decide/queue.c
+++ b/decide/queue.c
@@ -3,14 +3,14 @@
 #include "queue.h"
 #include "result.h"
 
-/* Weight of one new sample in the mean run time, as 1 / MEAN_PART. */
+/* Inverse weight of a new sample in the smoothed run time. */
 #define MEAN_PART 8
 #define FIRST_MEAN MS(5)
 #define RETRY_MIN MS(50)
-/* A job may wait for one part in so many of its time. */
+/* A job may wait for 1 / WAIT_PART of the time to its deadline. */
 #define WAIT_PART 4
 
-/* Makes a queue for a target of `slots`, holding `limit` jobs at most. */
+/* Initializes the queue of a target with `slots` slots, for `limit` jobs. */
 void
 queue_init(struct queue *q, unsigned slots, unsigned limit)
 {
@@ -20,22 +20,22 @@
 	q->mean[1] = FIRST_MEAN;
 }
 
-/* Changes the bounds; what runs or waits already stays. */
+/* Changes the bounds; jobs that run or wait already are not affected. */
 void
 queue_resize(struct queue *q, unsigned slots, unsigned limit)
 {
 	q->slots = slots;
 	q->limit = limit;
 	/*
-	 * Long exports may not fill the last slot: with all slots under
-	 * exports, a lookup of a millisecond waits for seconds.
+	 * Long jobs may not use the last slot: if exports occupied all slots,
+	 * a lookup of a millisecond would wait for seconds.
 	 */
 	q->long_max = slots > 1 ? slots - 1 : 1;
 }
 
 /*
- * How long a job of a kind that arrives now is expected to wait for a slot:
- * the work of its kind that waits, over the share of the slots it gets.
+ * Returns how long a short or long job that arrives now is expected to wait
+ * for a slot: the waiting work of its kind, divided by the slots it gets.
  */
 usec
 queue_wait(const struct queue *q, int is_long)
@@ -47,15 +47,16 @@
 	if (q->busy < q->slots && q->waiting[k] == 0)
 		return (0);
 	work = q->mean[k] * (usec)(q->waiting[k] + 1);
-	/* Half the slot time goes to the other kind while that waits. */
+	/* The other kind gets half of the slot time while it has jobs. */
 	if (q->waiting[!k] > 0 || q->busy_long > 0)
 		work *= 2;
 	return (work / (usec)slots);
 }
 
 /*
- * The fairness tag of a job: the caller's jobs are spaced one apart, so a
- * caller that asks a thousand times does not push others to the end.
+ * Returns the tag of a caller's next job.  The tags of a caller's jobs are one
+ * apart, so a caller with a thousand jobs does not delay other callers' jobs
+ * until after all of its own.
  */
 static uint64_t
 tag_of(struct queue *q, uint64_t caller)
@@ -79,10 +80,11 @@
 }
 
 /*
- * Takes a job in, or refuses it at once with the code and, in *retry, when to
- * come back.  A job that would wait for more than a share of its time is
- * refused on arrival: under overload all that is served would otherwise be
- * served just before its deadline, and what is misjudged after it.
+ * Adds a job and returns GS_OK, or refuses it with another result code; *retry
+ * is the time after which to retry.  The queue links the job but does not own
+ * it.  A job that would wait for too much of the time to its deadline is
+ * refused on arrival: otherwise, under overload, all jobs would be served just
+ * before their deadlines, and those with too low an estimate after them.
  */
 int
 queue_add(struct queue *q, struct job *j, usec now, usec *retry)
@@ -105,13 +107,13 @@
 	j->next = *at;
 	*at = j;
 	q->count++;
-	/* A kind that was idle does not get the time it left unused. */
+	/* A kind that had no jobs is not credited for unused time. */
 	if (q->waiting[k]++ == 0 && q->used[k] < q->used[!k])
 		q->used[k] = q->used[!k];
 	return (GS_OK);
 }
 
-/* Unlinks the job at `at`. */
+/* Unlinks and returns the job at `at`. */
 static struct job *
 unlink_job(struct queue *q, struct job **at)
 {
@@ -124,7 +126,7 @@
 	return (j);
 }
 
-/* Takes the first job of a kind that `is` names, or NULL. */
+/* Removes and returns the first matching short or long job, or NULL. */
 static struct job *
 pull_kind(struct queue *q, int k, job_ok_fn is, void *arg)
 {
@@ -137,14 +139,14 @@
 	return (NULL);
 }
 
-/* What queue_next passes through pull_kind. */
+/* Argument of may_start(). */
 struct startable {
 	usec now;
 	job_ok_fn ok;
 	void *arg;
 };
 
-/* True where a job may start now. */
+/* True if a job's deadline has not passed and the caller's check allows it. */
 static int
 may_start(const struct job *j, void *arg)
 {
@@ -154,8 +156,9 @@
 }
 
 /*
- * Takes out the next job that may start, counting its slot, or NULL.  `ok`
- * holds back jobs of shards that are on their way to another target.
+ * Removes and returns the next job that may start, and occupies a slot for it;
+ * NULL if there is none.  `ok` is false for jobs that must wait, such as those
+ * of a moving shard.
  */
 struct job *
 queue_next(struct queue *q, usec now, job_ok_fn ok, void *arg)
@@ -182,21 +185,21 @@
 	return (j);
 }
 
-/* True where a job's deadline has passed. */
+/* True if a job's deadline has passed. */
 static int
 is_late(const struct job *j, void *arg)
 {
 	return (j->deadline <= *(usec *)arg);
 }
 
-/* Takes out a job whose deadline has passed, or NULL. */
+/* Removes and returns a job whose deadline has passed, or NULL. */
 struct job *
 queue_late(struct queue *q, usec now)
 {
 	return (queue_pull(q, is_late, &now));
 }
 
-/* Takes out the first job that `is` names, or NULL. */
+/* Removes and returns the first matching job, short jobs first, or NULL. */
 struct job *
 queue_pull(struct queue *q, job_ok_fn is, void *arg)
 {
@@ -206,7 +209,7 @@
 	return (j != NULL ? j : pull_kind(q, 1, is, arg));
 }
 
-/* Gives a job's slot back; took is its run time, or 0 where it did not run. */
+/* Frees a job's slot; took is its run time, or 0 if it did not run. */
 void
 queue_done(struct queue *q, const struct job *j, usec took)
 {
--- a/decide/queue.h
+++ b/decide/queue.h
@@ -1,6 +1,7 @@
 /*
- * The queue of one target: bounded, fair among callers and between short and
- * long work, aware of deadlines, with a slot that long work may not fill.
+ * The queue of jobs of one target.  It is bounded, shares the target's slots
+ * fairly among callers and between short and long jobs, observes deadlines,
+ * and keeps one slot free of long jobs.
  */
 #ifndef QUEUE_H
 #define QUEUE_H
@@ -11,34 +12,34 @@
 
 struct job {
 	struct job *next;
-	void *what;
+	void *what; /* the request, set by the user of the queue */
 	usec arrived;
 	usec deadline;
 	uint64_t caller;
-	uint64_t tag;
+	uint64_t tag; /* virtual finish time; orders the queue */
 	int is_long;
 	int shard;
 };
 
 struct queue {
-	struct job *head[2]; /* short work, long work */
+	struct job *head[2]; /* short and long jobs */
 	unsigned count;
 	unsigned waiting[2]; /* of count, short and long */
 	unsigned limit;
 	unsigned slots;
 	unsigned busy;
 	unsigned busy_long;
-	unsigned long_max;
-	usec mean[2];
-	usec used[2]; /* slot time taken, to share it between the two */
-	uint64_t vtime;
+	unsigned long_max; /* slots that long jobs may use */
+	usec mean[2];	   /* run time, smoothed */
+	usec used[2];	   /* slot time, shared equally between the two */
+	uint64_t vtime;	   /* virtual time: tag of the last job started */
 	struct {
 		uint64_t caller;
-		uint64_t last;
+		uint64_t last; /* tag of the caller's last job */
 	} callers[64];
 };
 
-/* True where a job may start now; used to hold back moving shards. */
+/* True if the job matches, or may start now. */
 typedef int (*job_ok_fn)(const struct job *, void *);
 
 void queue_init(struct queue *, unsigned slots, unsigned limit);
