--- a/regress/unit/t_cell.c
+++ b/regress/unit/t_cell.c
@@ -1,6 +1,6 @@
 /*
- * The controller of a cell in virtual time: one service of 8 shards, two
- * targets, hosts that report; a platform that can lose answers.
+ * Tests the controller of a cell in virtual time: a service of 8 shards on two
+ * targets, hosts that report, and a platform whose answers may be lost.
  */
 #include <stdlib.h>
 #include <string.h>
@@ -16,7 +16,7 @@
 	"{\"name\":\"t2\",\"dc\":\"a\",\"address\":\"127.0.0.1:2\","           \
 	"\"slots\":4}]}]}"
 
-/* The platform's one object, and what was asked of it. */
+/* The object in the platform, and the pending requests for it. */
 static struct {
 	uint64_t version;
 	char *json;
@@ -43,7 +43,7 @@
 	plat.base = base;
 }
 
-static char balance[400]; /* what was last told of it */
+static char balance[400]; /* last event about balancing */
 
 static void
 on_changed(void *arg)
@@ -60,7 +60,7 @@
 
 static const struct cell_out out = {on_get, on_put, on_changed, on_event};
 
-/* Takes the open write into the platform; true where its base fits. */
+/* Applies the pending write; false if its base version is outdated. */
 static int
 land(void)
 {
@@ -73,7 +73,7 @@
 	return (1);
 }
 
-/* The platform works off what was asked, and answers. */
+/* Lets the platform handle and answer all pending requests. */
 static void
 serve(usec now)
 {
@@ -91,14 +91,14 @@
 	}
 }
 
-/* One host's report on both targets, and its lease. */
+/* A host's report on both targets, and its duties. */
 struct say {
 	const char *host;
 	uint64_t boot;
 	int down[2];	  /* reported down and dormant */
 	int dormant[2];	  /* answering again, nothing granted */
-	int silent[2];	  /* not spoken of */
-	uint32_t busy[2]; /* thousandths of a slot; 0 is not told */
+	int silent[2];	  /* not reported */
+	uint32_t busy[2]; /* thousandths of a slot; 0: not reported */
 	uint64_t epoch[2];
 	uint64_t ack;
 	int stopping;
@@ -106,6 +106,7 @@
 	int nduties;
 };
 
+/* Sends a host's report, runs the controller and stores the duties. */
 static void
 report(struct say *h, usec now)
 {
@@ -149,7 +150,7 @@
 	h->ack = seq;
 }
 
-/* Takes the entry in force; leaving marks t1. */
+/* Applies the entry; leaving is inserted into the object of t1. */
 static void
 configure(const char *leaving)
 {
@@ -163,7 +164,8 @@
 	entry_free(e);
 }
 
-/* A cell that has placed its shards, with host h dispatching for both. */
+/* Starts a cell whose shards are placed, with h dispatching for both targets.
+ */
 static void
 start(struct say *h)
 {
@@ -200,7 +202,7 @@
 	return (n);
 }
 
-/* At first the shards are spread evenly, each with a fence. */
+/* The first placement spreads the shards evenly and gives them fences. */
 static void
 places_evenly(void)
 {
@@ -214,8 +216,8 @@
 }
 
 /*
- * A target is reported down with nothing granted: its shards go to the other
- * under higher fences, and stay there when it comes back.
+ * The shards of a target that is down and holds no grant are assigned to the
+ * other one under higher fences, and stay there when the first comes back.
  */
 static void
 lost_target_is_replaced(void)
@@ -241,8 +243,8 @@
 }
 
 /*
- * The dispatcher of t1 dies unheard.  Only once its lease has surely lapsed
- * does another host get the target.
+ * The dispatcher of both targets dies.  They are given to another host only
+ * after its lease has lapsed.
  */
 static void
 dead_host_is_waited_for(void)
@@ -264,7 +266,7 @@
 	CU_ASSERT(last > 0);
 }
 
-/* A host whose lease lapsed in an outage is given work again afterwards. */
+/* A host whose lease lapsed in an outage gets duties again afterwards. */
 static void
 lapsed_host_comes_back(void)
 {
@@ -278,7 +280,10 @@
 	CU_ASSERT_EQUAL(h.nduties, 2);
 }
 
-/* Silence before the duty was read is no release; after it, it is. */
+/*
+ * A report without a target releases it only if the host has received the
+ * reply that assigned it; a request sent before that does not release it.
+ */
 static void
 early_silence_is_no_release(void)
 {
@@ -295,7 +300,7 @@
 	CU_ASSERT(c.targets[0].disp == NOBODY || h2.nduties >= 0);
 }
 
-/* A host that stops has its targets handed to another, without a lapse. */
+/* The targets of a stopping host are handed over before its lease lapses. */
 static void
 stopping_host_hands_over(void)
 {
@@ -313,14 +318,14 @@
 	report(&h, MS(3200));
 	CU_ASSERT(!cell_handed_over(&c));
 	report(&h2, MS(3210));
-	/* Given, but h2 has not said that it has them. */
+	/* Assigned, but h2 has not reported them yet. */
 	CU_ASSERT(!cell_handed_over(&c));
 	report(&h2, MS(3211));
 	CU_ASSERT_EQUAL(h2.nduties, 2);
 	CU_ASSERT(cell_handed_over(&c));
 }
 
-/* A leaving target's shards move once released, not before. */
+/* The shards of a leaving target move only after they are released. */
 static void
 leaving_target_drains(void)
 {
@@ -337,7 +342,7 @@
 	f.service = (char *)"s";
 	f.shards = shards;
 	f.n_shards = 8;
-	/* A release under an older view does not count. */
+	/* A release under an older view is ignored. */
 	f.view = c.term << 32 | (c.view_seq - 1);
 	h.freed = &f;
 	report(&h, MS(3150));
@@ -348,7 +353,7 @@
 	CU_ASSERT_EQUAL(owned_by("t2"), 8);
 }
 
-/* The write took effect, its answer was lost: found by its id, not repeated. */
+/* A write whose answer was lost is recognized by its id and not repeated. */
 static void
 lost_answer(void)
 {
@@ -373,8 +378,8 @@
 }
 
 /*
- * An earlier controller wakes in the middle of a move and its write arrives
- * after this one's claim: the platform refuses it, whatever it held.
+ * A new controller's claim changes the version of the assignment, so that the
+ * platform refuses a delayed write of an earlier controller.
  */
 static void
 claim_kills_earlier_writes(void)
@@ -393,16 +398,16 @@
 	serve(MS(4310));
 	CU_ASSERT(cell_ready(&c));
 	CU_ASSERT(plat.version > base);
-	/* The hosts' word is taken over; no shard has moved. */
+	/* The reported dispatchers are kept; no shard has moved. */
 	plat.changes = 0;
 	report(&h, MS(4320));
-	/* And routers are told: without a view they would know no way. */
+	/* Routers are notified: without a view they have no routes. */
 	CU_ASSERT(plat.changes > 0);
 	CU_ASSERT_EQUAL(h.nduties, 2);
 	CU_ASSERT_EQUAL(owned_by("t1"), 4);
 }
 
-/* Another service may not use a target's name: reports would be mixed up. */
+/* Reports name only the target, so no two services may share its name. */
 static void
 names_are_of_one_service(void)
 {
@@ -424,7 +429,7 @@
 	CU_ASSERT_EQUAL(cell_configure(&c, &e), 0);
 }
 
-/* A host of a data centre, heard now. */
+/* Lets a host of a data centre send a report without targets. */
 static void
 heard_in(const char *host, uint64_t boot, const char *dc, usec now)
 {
@@ -436,8 +441,8 @@
 }
 
 /*
- * The controller's data centre has hosts enough, but one standby is taken
- * elsewhere: cut off with all its standbys it would never be replaced.
+ * One standby is in another data centre even if the controller's has enough
+ * hosts: a controller cut off with all its standbys would never be replaced.
  */
 static void
 one_standby_elsewhere(void)
@@ -458,14 +463,14 @@
 	CU_ASSERT_EQUAL(cell_standbys(&c, MS(3010), "h1", "a", &r, got), 2);
 	CU_ASSERT_STRING_EQUAL(got[0].host, "h4");
 	CU_ASSERT_STRING_EQUAL(got[1].host, "h2");
-	/* Those it has stay. */
+	/* Present standbys are kept. */
 	r.standby[0] = (struct member){"h5", 5, ""};
 	CU_ASSERT_EQUAL(cell_standbys(&c, MS(3010), "h1", "a", &r, got), 2);
 	CU_ASSERT_STRING_EQUAL(got[0].host, "h5");
 	CU_ASSERT_STRING_EQUAL(got[1].host, "h3");
 }
 
-/* Shards cannot be renumbered under running owners. */
+/* The shards of a service in use cannot be changed. */
 static void
 shards_are_fixed(void)
 {
@@ -484,7 +489,7 @@
 	CU_ASSERT_EQUAL(cell_configure(&c, &e), -1);
 }
 
-/* The log says why balance moved a shard. */
+/* The log tells why a shard was moved for balance. */
 static void
 balance_is_told(void)
 {
--- a/regress/unit/t_grant.c
+++ b/regress/unit/t_grant.c
@@ -1,10 +1,10 @@
-/* The grant of a target: never past the host's lease, never revived. */
+/* Tests that a grant never outlives the host's lease and is never revived. */
 #include "grant.h"
 #include "unit.h"
 
 static const struct grant_conf conf = {MS(900), MS(200)};
 
-/* A target answers what is sent, at once. */
+/* Sends the next message, which the target answers at once. */
 static enum grant_step
 step(struct grant *g, usec now, usec lease, int64_t *until)
 {
@@ -15,7 +15,7 @@
 	return (s);
 }
 
-/* Clock first, then the whole grant, then renewals. */
+/* Reads the clock first, then grants all shards, then renews. */
 static void
 in_order(void)
 {
@@ -35,7 +35,7 @@
 	CU_ASSERT_EQUAL(step(&g, MS(502), MS(9000), &until), STEP_FULL);
 }
 
-/* No grant ends after the lease it hangs from; none without a lease. */
+/* No grant outlives the host's lease, and none is sent after it. */
 static void
 within_the_lease(void)
 {
@@ -51,8 +51,8 @@
 }
 
 /*
- * The target freezes; its grant lapses and it is reported so.  It thaws and
- * answers: nothing is granted again until a later epoch allows it.
+ * A target freezes until its grant has lapsed, then answers again.  Nothing is
+ * granted to it before a later epoch.
  */
 static void
 thawed_target_gets_nothing(void)
@@ -82,7 +82,7 @@
 	CU_ASSERT(grant_serves(&g, MS(3901)));
 }
 
-/* A restarted target has forgotten its shards and is told them whole. */
+/* A restarted target has lost its shards and gets a full grant. */
 static void
 restart_is_noticed(void)
 {
@@ -99,8 +99,9 @@
 }
 
 /*
- * A dispatcher lets a target go when its lease lapses and gets it back under
- * the same epoch: its messages must still count as newer than those before.
+ * A dispatcher releases a target when its lease lapses and is assigned it
+ * again in the same epoch.  Its messages must have higher numbers than before,
+ * or the target refuses them as old.
  */
 static void
 duty_taken_on_again(void)
@@ -118,7 +119,7 @@
 	CU_ASSERT(b.seq > a.seq);
 }
 
-/* A grant that was not answered may still arrive: no release is sure yet. */
+/* While an unanswered grant may still arrive, no release is certain. */
 static void
 lost_grant_leaves_doubt(void)
 {
--- a/regress/unit/t_once.c
+++ b/regress/unit/t_once.c
@@ -1,4 +1,7 @@
-/* Tickets: a request runs once, and what nobody can vouch for is unknown. */
+/*
+ * Tests tickets: a request runs at most once, and a ticket whose use is not
+ * known is refused as unknown.
+ */
 #include <stdio.h>
 #include <string.h>
 
@@ -13,7 +16,7 @@
 	dropped++;
 }
 
-/* First seen runs, a repeat joins, a repeat of the ended replays. */
+/* The first request runs; a repeat joins the run or replays its answer. */
 static void
 runs_joins_replays(void)
 {
@@ -36,7 +39,7 @@
 	CU_ASSERT_EQUAL(dropped, 1);
 }
 
-/* Known not to have run: the ticket may be used again. */
+/* The ticket of a request that did not run may be used again. */
 static void
 not_run_may_run(void)
 {
@@ -55,8 +58,8 @@
 }
 
 /*
- * The table died with its host; the next one did not issue the ticket and
- * cannot know whether it was used: never a second run.
+ * The table was lost with its host.  The next one cannot know whether a ticket
+ * of the old one was used, and must not run its request again.
  */
 static void
 strange_table_cannot_vouch(void)
@@ -75,7 +78,7 @@
 	once_free(&b);
 }
 
-/* What was forgotten for want of room is not run again either. */
+/* The request of an evicted ticket is not run again either. */
 static void
 forgotten_is_strange(void)
 {
@@ -98,7 +101,7 @@
 	once_free(&o);
 }
 
-/* No room while the older of two still runs: refused, not forgotten. */
+/* A running request is never evicted: a new one for its entry is refused. */
 static void
 running_is_never_forgotten(void)
 {
@@ -118,7 +121,7 @@
 	once_free(&o);
 }
 
-/* What is no ticket, or none this table ever issued, is told so. */
+/* Malformed tickets and tickets that were never issued are recognized. */
 static void
 bad_tickets(void)
 {
--- a/regress/unit/t_queue.c
+++ b/regress/unit/t_queue.c
@@ -1,4 +1,4 @@
-/* The queue of a target: bounds, deadlines, fairness, the slot kept free. */
+/* Tests a target's queue: bounds, deadlines, fairness, the reserved slot. */
 #include <string.h>
 
 #include "queue.h"
@@ -29,7 +29,7 @@
 	return (j);
 }
 
-/* Full: refused on arrival, with when to come back. */
+/* A full queue refuses a job on arrival, with a time to retry after. */
 static void
 bounded(void)
 {
@@ -45,7 +45,7 @@
 	CU_ASSERT(retry > 0);
 }
 
-/* What cannot start in time is refused at once, not held to its deadline. */
+/* A job that cannot start in time is refused at once, not at its deadline. */
 static void
 refuses_what_cannot_start(void)
 {
@@ -65,7 +65,7 @@
 	CU_ASSERT(retry >= MS(1000));
 }
 
-/* Long work never fills the last slot. */
+/* Long jobs never occupy the last slot. */
 static void
 keeps_a_slot(void)
 {
@@ -89,7 +89,7 @@
 	CU_ASSERT_PTR_EQUAL(queue_next(&q, 0, any, NULL), &l[1]);
 }
 
-/* Both kinds wait: each gets half of the slot time, whoever came first. */
+/* Waiting short and long jobs get half of the slot time each, in any order. */
 static void
 shares_slot_time(void)
 {
@@ -118,7 +118,7 @@
 	CU_ASSERT(used[1] >= MS(90) && used[1] <= MS(110));
 }
 
-/* Patience: what would wait over a quarter of its time is refused at once. */
+/* A job that would wait over a quarter of its time is refused at once. */
 static void
 waits_a_share_of_its_time(void)
 {
@@ -133,11 +133,11 @@
 		j[i] = job(1, MS(400), 0);
 		n += queue_add(&q, &j[i], 0, &retry) == GS_OK;
 	}
-	/* The first found the slot free; 100 ms hold nine more of 10 ms. */
+	/* The first has a free slot; nine more of 10 ms fit into 100 ms. */
 	CU_ASSERT(n >= 9 && n <= 11);
 }
 
-/* A caller that asks a hundred times waits behind another's first. */
+/* A caller's hundred jobs do not delay the first job of another caller. */
 static void
 fair_among_callers(void)
 {
@@ -163,7 +163,7 @@
 	CU_ASSERT(first >= 0 && first <= 2);
 }
 
-/* A moving shard's jobs wait; the others pass them. */
+/* Jobs of a moving shard wait; later jobs of other shards overtake them. */
 static void
 moving_shards_wait(void)
 {
@@ -182,7 +182,7 @@
 	CU_ASSERT_PTR_EQUAL(queue_next(&q, 0, any, NULL), &a);
 }
 
-/* Past its deadline a job never starts, and is found to be ended. */
+/* A job past its deadline never starts and is returned as expired. */
 static void
 late_jobs_do_not_start(void)
 {
