--- a/decide/cell.c
+++ b/decide/cell.c
@@ -8,21 +8,21 @@
 #include "lease.h"
 
 /* Time in addition to a host lease that the first placement waits. */
-#define PATIENCE MS(700)
+#define PLACEMENT_WAIT MS(700)
 /* A host silent for this many renewal intervals gets no new duty. */
-#define QUIET_RENEWALS 2
+#define MAX_MISSED_RENEWALS 2
 /* Low bits of an epoch, which count within a term. */
 #define EPOCH_BITS 24
 
-/* Initializes an inactive cell; out must outlive it. */
+/* Initializes an inactive cell; cb must outlive it. */
 void
 cell_init(struct cell *c, const char *name, const struct cell_conf_times *times,
-    const struct cell_out *out, void *arg, uint64_t seed)
+    const struct cell_out *cb, void *arg, uint64_t seed)
 {
 	memset(c, 0, sizeof(*c));
 	name_copy(c->name, sizeof(c->name), name);
 	c->times = *times;
-	c->out = out;
+	c->cb = cb;
 	c->arg = arg;
 	c->seed = seed;
 }
@@ -40,7 +40,7 @@
 		free(s->fence);
 		free(s->next);
 		free(s->next_fence);
-		free(s->flag_seq);
+		free(s->move_seq);
 		free(s->freed);
 		free(s->load);
 		free(s->write.owner);
@@ -110,14 +110,14 @@
 	name_copy(t->conf.name, sizeof(t->conf.name), name);
 	t->conf.slots = 1;
 	t->service = service;
-	t->gone = 1;
+	t->removed = 1;
 	t->disp = NOBODY;
 	return (c->ntargets++);
 }
 
 /* Allocates a service's arrays; returns 0, or -1 if out of memory. */
 static int
-make_service(
+init_service(
     struct cell_service *s, const char *name, uint32_t first, uint32_t shards)
 {
 	uint32_t i;
@@ -129,7 +129,7 @@
 	s->fence = calloc(shards, sizeof(*s->fence));
 	s->next = calloc(shards, sizeof(*s->next));
 	s->next_fence = calloc(shards, sizeof(*s->next_fence));
-	s->flag_seq = calloc(shards, sizeof(*s->flag_seq));
+	s->move_seq = calloc(shards, sizeof(*s->move_seq));
 	s->freed = calloc(shards, sizeof(*s->freed));
 	s->load = calloc(shards, sizeof(*s->load));
 	s->write.owner = calloc(shards, sizeof(*s->write.owner));
@@ -137,7 +137,7 @@
 	s->write.next = calloc(shards, sizeof(*s->write.next));
 	s->write.next_fence = calloc(shards, sizeof(*s->write.next_fence));
 	if (s->owner == NULL || s->fence == NULL || s->next == NULL ||
-	    s->next_fence == NULL || s->flag_seq == NULL || s->freed == NULL ||
+	    s->next_fence == NULL || s->move_seq == NULL || s->freed == NULL ||
 	    s->load == NULL || s->write.owner == NULL ||
 	    s->write.fence == NULL || s->write.next == NULL ||
 	    s->write.next_fence == NULL)
@@ -156,7 +156,8 @@
 	int i;
 
 	for (i = 0; i < c->ntargets; i++) {
-		if (c->targets[i].service != service && !c->targets[i].gone &&
+		if (c->targets[i].service != service &&
+		    !c->targets[i].removed &&
 		    cell_conf_target(cc, c->targets[i].conf.name) != NULL)
 			return (1);
 	}
@@ -190,7 +191,7 @@
 		if (c->nservices == CELL_SERVICES)
 			return (-1);
 		s = &c->services[c->nservices++];
-		if (make_service(
+		if (init_service(
 			s, e->name, cc->first, cc->last - cc->first + 1) != 0)
 			return (-1);
 	}
@@ -202,14 +203,14 @@
 	k = (int)(s - c->services);
 	for (i = 0; i < c->ntargets; i++) {
 		if (c->targets[i].service == k)
-			c->targets[i].gone = 1;
+			c->targets[i].removed = 1;
 	}
 	for (i = 0; i < cc->ntargets; i++) {
 		t = cell_add_target(c, k, cc->targets[i].name);
 		if (t == NOBODY)
 			return (-1);
 		c->targets[t].conf = cc->targets[i];
-		c->targets[t].gone = 0;
+		c->targets[t].removed = 0;
 	}
 	return (0);
 }
@@ -232,11 +233,11 @@
 	c->epochs = 0;
 	c->nhosts = 0;
 	c->settled = 0;
-	c->patient_until = now + c->times.host_lease + PATIENCE;
+	c->placement_wait_until = now + c->times.host_lease + PLACEMENT_WAIT;
 	for (i = 0; i < c->ntargets; i++) {
 		t = &c->targets[i];
 		t->disp = NOBODY;
-		t->handed = 0;
+		t->handover = 0;
 		t->epoch = 0;
 		t->reported = 0;
 		t->confirmed = 0;
@@ -248,16 +249,17 @@
 		 * The dispatcher may have changed under an earlier controller
 		 * just before.
 		 */
-		t->clear_at = lease_granter_end(now, c->times.host_lease);
+		t->grants_lapse_at =
+		    lease_granter_end(now, c->times.host_lease);
 	}
 	for (i = 0; i < c->nservices; i++) {
 		s = &c->services[i];
 		s->known = 0;
 		s->claimed = 0;
-		s->get_open = 0;
+		s->get_pending = 0;
 		s->next_try = now;
-		s->write.open = 0;
-		s->write.lost = 0;
+		s->write.pending = 0;
+		s->write.unknown = 0;
 		for (k = 0; k < s->shards; k++)
 			s->freed[k] = 0;
 	}
@@ -297,7 +299,7 @@
 
 	for (i = 0; i < c->ntargets; i++) {
 		t = &c->targets[i];
-		if (t->gone)
+		if (t->removed)
 			continue;
 		if (t->disp == NOBODY || !t->reported ||
 		    c->hosts[t->disp].stopping)
@@ -316,10 +318,10 @@
 
 	if (s == NULL || !c->active)
 		return;
-	s->get_open = 0;
-	if (s->write.open && !s->write.lost)
+	s->get_pending = 0;
+	if (s->write.pending && !s->write.unknown)
 		return;
-	if (!s->write.lost) {
+	if (!s->write.unknown) {
 		plan_load(c, s, found ? json : NULL, n, &id);
 		s->version = found ? version : 0;
 		s->known = 1;
@@ -338,8 +340,8 @@
 		 * The lost write may still take effect; repeating it
 		 * resolves the outcome.
 		 */
-		s->write.lost = 0;
-		c->out->put(c->arg, s->name, s->version, plan_json(c, s));
+		s->write.unknown = 0;
+		c->cb->put(c->arg, s->name, s->version, plan_json(c, s));
 		return;
 	}
 	/*
@@ -347,11 +349,11 @@
 	 * the pending write can no longer take effect, and the local copy is
 	 * out of date.
 	 */
-	s->write.open = 0;
-	s->write.lost = 0;
+	s->write.pending = 0;
+	s->write.unknown = 0;
 	s->known = 0;
 	s->claimed = 0;
-	c->out->event(c->arg,
+	c->cb->event(c->arg,
 	    "assignment was written by another controller, reading it again");
 }
 
@@ -362,7 +364,7 @@
 	struct cell_service *s = cell_service(c, service);
 
 	if (s != NULL)
-		s->get_open = 0;
+		s->get_pending = 0;
 }
 
 /* Handles the outcome of the write of an assignment. */
@@ -372,12 +374,12 @@
 {
 	struct cell_service *s = cell_service(c, service);
 
-	if (s == NULL || !c->active || !s->write.open)
+	if (s == NULL || !c->active || !s->write.pending)
 		return;
 	if (res == PUT_DONE)
 		plan_commit(c, s, version);
 	else
-		s->write.lost = 1;
+		s->write.unknown = 1;
 	s->next_try = now;
 }
 
@@ -390,12 +392,12 @@
 
 /* True if the host may be given duties. */
 int
-cell_host_fit(const struct cell *c, int h, usec now)
+cell_host_available(const struct cell *c, int h, usec now)
 {
 	const struct cell_host *p = &c->hosts[h];
 
-	return (p->seen && !p->stopping &&
-	    now - p->heard < QUIET_RENEWALS * c->times.renew);
+	return (p->in_use && !p->stopping &&
+	    now - p->last_heard < MAX_MISSED_RENEWALS * c->times.renew);
 }
 
 /*
@@ -408,7 +410,7 @@
 	int h, i, n, score, best = NOBODY, best_score = 0;
 
 	for (h = 0; h < c->nhosts; h++) {
-		if (!cell_host_fit(c, h, now))
+		if (!cell_host_available(c, h, now))
 			continue;
 		n = 0;
 		for (i = 0; i < c->ntargets; i++)
@@ -432,8 +434,8 @@
 
 	for (i = 0; i < c->nhosts; i++) {
 		h = &c->hosts[i];
-		if (!h->seen || (h->lease_end != 0 && now < h->lease_end) ||
-		    (h->lease_end == 0 && now - h->heard < MS(5000)))
+		if (!h->in_use || (h->lease_end != 0 && now < h->lease_end) ||
+		    (h->lease_end == 0 && now - h->last_heard < MS(5000)))
 			continue;
 		used = 0;
 		for (k = 0; k < c->ntargets; k++) {
@@ -441,17 +443,17 @@
 				continue;
 			used++;
 			c->targets[k].disp = NOBODY;
-			c->targets[k].handed = 0;
+			c->targets[k].handover = 0;
 			c->targets[k].reported = 0;
 			c->targets[k].confirmed = 0;
 			c->targets[k].granted = 0;
-			c->targets[k].clear_at = now;
+			c->targets[k].grants_lapse_at = now;
 		}
 		snprintf(text, sizeof(text),
 		    "lease of %s lapsed, %d targets without dispatcher",
 		    h->who.host, used);
-		c->out->event(c->arg, text);
-		h->seen = 0;
+		c->cb->event(c->arg, text);
+		h->in_use = 0;
 	}
 }
 
@@ -467,29 +469,29 @@
 	int h;
 
 	if (t->disp != NOBODY) {
-		if (c->hosts[t->disp].stopping && !t->handed &&
+		if (c->hosts[t->disp].stopping && !t->handover &&
 		    pick_host(c, t->conf.dc, now) != NOBODY)
-			t->handed = 1;
+			t->handover = 1;
 		return;
 	}
 	/* Until then a host that has not reported yet may dispatch for it. */
-	if ((t->epoch == 0 && !may_dispatch) || t->gone)
+	if ((t->epoch == 0 && !may_dispatch) || t->removed)
 		return;
 	h = pick_host(c, t->conf.dc, now);
 	if (h == NOBODY)
 		return;
 	t->disp = h;
-	t->handed = 0;
+	t->handover = 0;
 	t->epoch = new_epoch(c);
 	t->min_view = c->term << 32 | c->view_seq;
-	t->given_seq = 0;
+	t->duty_seq = 0;
 	t->granted = 1;
 	t->up = 0;
 	t->reported = 0;
 	*changed = 1;
 	snprintf(text, sizeof(text), "%s dispatches for %s",
 	    c->hosts[h].who.host, t->conf.name);
-	c->out->event(c->arg, text);
+	c->cb->event(c->arg, text);
 }
 
 /*
@@ -498,12 +500,12 @@
  * that it lost are assigned elsewhere.
  */
 static void
-tick_dormant(struct cell *c, int i)
+tick_regrant(struct cell *c, int i)
 {
 	struct cell_target *t = &c->targets[i];
 
 	if (t->disp == NOBODY || !t->reported || t->granted || !t->up ||
-	    c->services[t->service].write.open)
+	    c->services[t->service].write.pending)
 		return;
 	t->epoch = new_epoch(c);
 	t->min_view = c->term << 32 | c->view_seq;
@@ -537,14 +539,14 @@
 static void
 tick_claim(struct cell *c, struct cell_service *s, usec now)
 {
-	if (s->get_open || now < s->next_try)
+	if (s->get_pending || now < s->next_try)
 		return;
-	if (s->write.open && !s->write.lost)
+	if (s->write.pending && !s->write.unknown)
 		return;
 	s->next_try = now + c->times.renew;
-	if (s->write.lost || !s->known) {
-		s->get_open = 1;
-		c->out->get(c->arg, s->name);
+	if (s->write.unknown || !s->known) {
+		s->get_pending = 1;
+		c->cb->get(c->arg, s->name);
 		return;
 	}
 	/*
@@ -555,7 +557,7 @@
 	 * owners.
 	 */
 	if (!s->claimed)
-		plan_write(c, s);
+		plan_claim(c, s);
 }
 
 /*
@@ -582,7 +584,7 @@
 		tick_shares(c, i);
 	}
 	for (i = 0; i < c->ntargets; i++)
-		tick_dormant(c, i);
+		tick_regrant(c, i);
 	if (changed)
-		plan_changed(c);
+		plan_view_changed(c);
 }
--- a/decide/cell.h
+++ b/decide/cell.h
@@ -26,35 +26,36 @@
 	struct member who;
 	char dc[NAME_MAX_GS];
 	char addr[64];
-	usec heard;
+	usec last_heard;
 	usec lease_end; /* as granter; 0 if none was granted */
 	int stopping;
-	int seen; /* 0: the slot is free */
+	int in_use; /* 0: the slot is free */
 };
 
 /* One target, its dispatcher and what the dispatcher last reported of it. */
 struct cell_target {
 	struct target_conf conf;
 	int service;
-	int gone;   /* no longer in the catalogue */
-	int disp;   /* index of the dispatching host, or NOBODY */
-	int handed; /* the dispatcher was asked to hand the target over */
+	int removed;  /* no longer in the catalogue */
+	int disp;     /* index of the dispatching host, or NOBODY */
+	int handover; /* the dispatcher was asked to hand the target over */
 	uint64_t epoch;
-	uint64_t min_view;  /* grants must be based on this view or later */
-	uint64_t given_seq; /* request whose reply first held the duty */
+	uint64_t min_view; /* grants must be based on this view or later */
+	uint64_t duty_seq; /* request whose reply first held the duty */
 	int granted;
 	int up;
 	int leaving;
 	int reported;
 	int confirmed; /* has accepted a grant of this term */
 	struct share share;
-	usec clear_at; /* when all grants of earlier dispatchers have lapsed */
+	usec grants_lapse_at; /* when all grants of earlier dispatchers have
+				 lapsed */
 };
 
 /* A write of an assignment that is in progress or of unknown outcome. */
 struct cell_write {
-	int open;
-	int lost;
+	int pending;
+	int unknown; /* whether it took effect */
 	uint64_t id;
 	int *owner;
 	uint64_t *fence;
@@ -78,14 +79,14 @@
 	uint64_t *fence;
 	int *next; /* target index or NOBODY */
 	uint64_t *next_fence;
-	uint64_t *flag_seq; /* first view that announces the move */
+	uint64_t *move_seq; /* first view that announces the move */
 	uint8_t *freed;	    /* the owner has released it in this term */
 	double *load;	    /* slots busy with the shard, smoothed */
 	uint64_t version;
 	uint64_t top_fence;
 	int known;
 	int claimed;
-	int get_open;
+	int get_pending;
 	usec next_try;
 	struct cell_write write;
 	usec budget_at; /* last refill of budget */
@@ -109,11 +110,11 @@
 struct cell {
 	char name[CELL_NAME];
 	struct cell_conf_times times;
-	const struct cell_out *out;
+	const struct cell_out *cb;
 	void *arg;
 	int active;
-	int settled;	    /* leases of earlier controllers have lapsed */
-	usec patient_until; /* first placement waits for all targets */
+	int settled; /* leases of earlier controllers have lapsed */
+	usec placement_wait_until; /* first placement waits for all targets */
 	uint64_t term;
 	uint64_t view_seq;
 	uint64_t epochs;
@@ -145,8 +146,8 @@
 void cell_tick(struct cell *, usec now, int settled, int may_dispatch);
 int cell_ready(const struct cell *);
 int cell_handed_over(const struct cell *);
-int cell_live_hosts(
-    const struct cell *, usec now, struct member *, int max, const char *but);
+int cell_live_hosts(const struct cell *, usec now, struct member *, int max,
+    const char *except);
 int cell_standbys(const struct cell *, usec now, const char *host,
     const char *dc, const struct record *, struct member out[STANDBYS]);
 int ask_speaks_of(const Gspar__LeaseAsk *, const char *target);
--- a/decide/cell_host.c
+++ b/decide/cell_host.c
@@ -13,7 +13,7 @@
  * one service only.
  */
 static int
-any_target(const struct cell *c, const char *name)
+find_any_target(const struct cell *c, const char *name)
 {
 	int i;
 
@@ -29,27 +29,27 @@
 find_host(struct cell *c, const char *host, uint64_t boot)
 {
 	struct cell_host *h;
-	int i, spare = NOBODY;
+	int i, free_slot = NOBODY;
 
 	for (i = 0; i < c->nhosts; i++) {
 		h = &c->hosts[i];
-		if (h->seen && h->who.boot == boot &&
+		if (h->in_use && h->who.boot == boot &&
 		    strcmp(h->who.host, host) == 0)
 			return (i);
-		if (!h->seen)
-			spare = i;
+		if (!h->in_use)
+			free_slot = i;
 	}
-	if (spare == NOBODY) {
+	if (free_slot == NOBODY) {
 		if (c->nhosts == CELL_HOSTS)
 			return (NOBODY);
-		spare = c->nhosts++;
+		free_slot = c->nhosts++;
 	}
-	h = &c->hosts[spare];
+	h = &c->hosts[free_slot];
 	memset(h, 0, sizeof(*h));
 	name_copy(h->who.host, sizeof(h->who.host), host);
 	h->who.boot = boot;
-	h->seen = 1;
-	return (spare);
+	h->in_use = 1;
+	return (free_slot);
 }
 
 /*
@@ -58,7 +58,7 @@
  * lapsed, as the target may still hold shards under those.
  */
 static int
-note_freed(struct cell *c, int t, const Gspar__TargetState *ts, usec now)
+update_released(struct cell *c, int t, const Gspar__TargetState *ts, usec now)
 {
 	struct cell_service *s;
 	const Gspar__Freed *f;
@@ -66,7 +66,7 @@
 	size_t i, n;
 	int any = 0;
 
-	if (now < c->targets[t].clear_at)
+	if (now < c->targets[t].grants_lapse_at)
 		return (0);
 	for (i = 0; i < ts->n_freed; i++) {
 		f = ts->freed[i];
@@ -83,7 +83,7 @@
 			 * belongs to an earlier one, and a grant since then
 			 * may have reverted it.
 			 */
-			if ((f->view & 0xffffffff) < s->flag_seq[k])
+			if ((f->view & 0xffffffff) < s->move_seq[k])
 				continue;
 			s->freed[k] = 1;
 			any = 1;
@@ -98,19 +98,20 @@
  * smoothed, as noise would cause shards to be moved.
  */
 static void
-note_loads(struct cell *c, int t, const Gspar__TargetState *ts)
+update_loads(struct cell *c, int t, const Gspar__TargetState *ts)
 {
 	struct cell_service *s = &c->services[c->targets[t].service];
-	uint32_t i, n, others = 0;
+	uint32_t i, n, unreported = 0;
 	double rest;
 	size_t k;
 
 	for (i = 0; i < s->shards; i++) {
 		if (cell_serves(s, i, NULL) == t)
-			others++;
+			unreported++;
 	}
-	others -= ts->n_loads < others ? (uint32_t)ts->n_loads : others;
-	rest = others > 0 ? ts->rest_busy / 1000.0 / others : 0;
+	unreported -=
+	    ts->n_loads < unreported ? (uint32_t)ts->n_loads : unreported;
+	rest = unreported > 0 ? ts->rest_busy / 1000.0 / unreported : 0;
 	for (i = 0; i < s->shards; i++) {
 		if (cell_serves(s, i, NULL) == t)
 			s->load[i] += (rest - s->load[i]) * LOAD_WEIGHT;
@@ -128,7 +129,7 @@
  * rate it reports, or the one it was given if the reply has arrived since.
  */
 static void
-note_share(struct share *s, const Gspar__TargetState *ts)
+update_share(struct share *s, const Gspar__TargetState *ts)
 {
 	double rate = ts->rate / 1000.0;
 
@@ -139,12 +140,12 @@
 
 /* Applies a host's report on one target; true if the view changes. */
 static int
-note_target(struct cell *c, int h, const Gspar__TargetState *ts, usec now)
+update_target(struct cell *c, int h, const Gspar__TargetState *ts, usec now)
 {
 	struct cell_target *t;
 	int i, changed = 0;
 
-	i = any_target(c, ts->target);
+	i = find_any_target(c, ts->target);
 	if (i == NOBODY)
 		return (0);
 	t = &c->targets[i];
@@ -155,7 +156,7 @@
 		 */
 		t->disp = h;
 		t->epoch = ts->epoch;
-		t->given_seq = 0;
+		t->duty_seq = 0;
 		t->share.given = ts->rate / 1000.0;
 		changed = 1;
 	}
@@ -164,23 +165,23 @@
 	t->granted = ts->granted;
 	t->up = ts->up;
 	t->leaving = ts->leaving;
-	note_share(&t->share, ts);
+	update_share(&t->share, ts);
 	t->reported = 1;
 	if (ts->granted && ts->up)
 		t->confirmed = 1;
 	if (ts->has_loads)
-		note_loads(c, i, ts);
-	return (note_freed(c, i, ts, now) || changed);
+		update_loads(c, i, ts);
+	return (update_released(c, i, ts, now) || changed);
 }
 
 /* True if the lease request reports on the target. */
 int
-ask_speaks_of(const Gspar__LeaseAsk *ask, const char *target)
+ask_speaks_of(const Gspar__LeaseAsk *req, const char *target)
 {
 	size_t i;
 
-	for (i = 0; i < ask->n_targets; i++) {
-		if (strcmp(ask->targets[i]->target, target) == 0)
+	for (i = 0; i < req->n_targets; i++) {
+		if (strcmp(req->targets[i]->target, target) == 0)
 			return (1);
 	}
 	return (0);
@@ -189,23 +190,23 @@
 /* Handles a host's lease request, which reports on its targets. */
 void
 cell_asked(
-    struct cell *c, usec now, const char *host, const Gspar__LeaseAsk *ask)
+    struct cell *c, usec now, const char *host, const Gspar__LeaseAsk *req)
 {
 	struct cell_target *t;
 	size_t i;
 	int h, k, changed = 0;
 
-	h = find_host(c, host, ask->boot);
+	h = find_host(c, host, req->boot);
 	if (h == NOBODY)
 		return;
-	c->hosts[h].heard = now;
-	c->hosts[h].stopping = ask->stopping;
-	name_copy(c->hosts[h].dc, sizeof(c->hosts[h].dc), ask->dc);
-	name_copy(c->hosts[h].addr, sizeof(c->hosts[h].addr), ask->addr);
-	for (i = 0; i < ask->n_targets; i++)
-		changed |= note_target(c, h, ask->targets[i], now);
+	c->hosts[h].last_heard = now;
+	c->hosts[h].stopping = req->stopping;
+	name_copy(c->hosts[h].dc, sizeof(c->hosts[h].dc), req->dc);
+	name_copy(c->hosts[h].addr, sizeof(c->hosts[h].addr), req->addr);
+	for (i = 0; i < req->n_targets; i++)
+		changed |= update_target(c, h, req->targets[i], now);
 	if (changed)
-		plan_changed(c);
+		plan_view_changed(c);
 	for (k = 0; k < c->ntargets; k++) {
 		t = &c->targets[k];
 		/*
@@ -213,15 +214,16 @@
 		 * the host has received the reply that assigned it: a request
 		 * sent before that does not report it either.
 		 */
-		if (t->disp != h || t->given_seq == 0 ||
-		    ask->ack < t->given_seq || ask_speaks_of(ask, t->conf.name))
+		if (t->disp != h || t->duty_seq == 0 ||
+		    req->ack < t->duty_seq || ask_speaks_of(req, t->conf.name))
 			continue;
 		t->disp = NOBODY;
-		t->handed = 0;
+		t->handover = 0;
 		t->reported = 0;
 		t->confirmed = 0;
 		/* Its last grant to the target may not have lapsed yet. */
-		t->clear_at = lease_granter_end(now, c->times.host_lease);
+		t->grants_lapse_at =
+		    lease_granter_end(now, c->times.host_lease);
 	}
 }
 
@@ -232,21 +234,21 @@
  */
 int
 cell_give(struct cell *c, usec now, const char *host,
-    const Gspar__LeaseAsk *ask, Gspar__LeaseGive *give, Gspar__Duty *duties,
+    const Gspar__LeaseAsk *req, Gspar__LeaseGive *reply, Gspar__Duty *duties,
     int max)
 {
 	struct cell_target *t;
 	int h, i, n = 0;
 
-	h = find_host(c, host, ask->boot);
+	h = find_host(c, host, req->boot);
 	if (h == NOBODY)
 		return (-1);
 	for (i = 0; i < c->ntargets && n < max; i++) {
 		t = &c->targets[i];
-		if (t->disp != h || t->handed)
+		if (t->disp != h || t->handover)
 			continue;
-		if (t->given_seq == 0)
-			t->given_seq = ask->seq;
+		if (t->duty_seq == 0)
+			t->duty_seq = req->seq;
 		gspar__duty__init(&duties[n]);
 		duties[n].target = t->conf.name;
 		duties[n].epoch = t->epoch;
@@ -256,7 +258,7 @@
 		n++;
 	}
 	c->hosts[h].lease_end = lease_granter_end(now, c->times.host_lease);
-	give->lease_ms = (uint32_t)(c->times.host_lease / 1000);
-	give->given = 1;
+	reply->lease_ms = (uint32_t)(c->times.host_lease / 1000);
+	reply->given = 1;
 	return (n);
 }
--- a/decide/cell_plan.c
+++ b/decide/cell_plan.c
@@ -8,10 +8,10 @@
 #include "cell_plan.h"
 
 /* Maximum number of shards of a service that move at the same time. */
-#define MOVES_AT_ONCE 8
+#define MAX_CONCURRENT_MOVES 8
 
 /* When shards are moved for balance, and how often. */
-struct weighing {
+struct balance_policy {
 	double tolerance; /* highest load allowed, relative to the mean */
 	double moves_per_s;
 	double burst;
@@ -21,7 +21,7 @@
  * By enum weigh: an organisation chooses for each service whether imbalance
  * costs it more, or the short unavailability of a shard that moves.
  */
-static const struct weighing weighings[] = {
+static const struct balance_policy balance_policies[] = {
     [WEIGH_IMBALANCE] = {1.15, 2.0, 16},
     [WEIGH_UNAVAILABLE] = {1.5, 0.25, 4},
 };
@@ -44,7 +44,7 @@
 
 /* Returns element i of an array of numbers in an assignment. */
 static uint64_t
-number_at(json_t *o, const char *key, size_t i)
+json_number_at(json_t *o, const char *key, size_t i)
 {
 	return ((uint64_t)json_integer_value(
 	    json_array_get(json_object_get(o, key), i)));
@@ -52,7 +52,7 @@
 
 /* Maps a target number of an assignment to a target index; 0 is no target. */
 static int
-target_at(const int *map, size_t ntargets, uint64_t number)
+map_target(const int *map, size_t ntargets, uint64_t number)
 {
 	return (number == 0 || number > ntargets ? NOBODY : map[number]);
 }
@@ -89,12 +89,12 @@
 		map[i + 1] = cell_add_target(c, (int)(s - c->services),
 		    json_string_value(json_array_get(names, i)));
 	for (i = 0; i < s->shards; i++) {
-		s->owner[i] = target_at(map, k, number_at(o, "owner", i));
-		s->next[i] = target_at(map, k, number_at(o, "next", i));
-		s->fence[i] = number_at(o, "fence", i);
-		s->next_fence[i] = number_at(o, "next_fence", i);
+		s->owner[i] = map_target(map, k, json_number_at(o, "owner", i));
+		s->next[i] = map_target(map, k, json_number_at(o, "next", i));
+		s->fence[i] = json_number_at(o, "fence", i);
+		s->next_fence[i] = json_number_at(o, "next_fence", i);
 		/* All views of this term announce moves begun earlier. */
-		s->flag_seq[i] = 0;
+		s->move_seq[i] = 0;
 	}
 	*id = plan_write_id(json, n);
 	free(map);
@@ -103,20 +103,21 @@
 
 /* Converts target indexes to the JSON array of target numbers. */
 static json_t *
-places(const int *target, const int *place, uint32_t n)
+json_targets(const int *target, const int *number_of, uint32_t n)
 {
 	json_t *a = json_array();
 	uint32_t i;
 
 	for (i = 0; i < n; i++)
 		json_array_append_new(a,
-		    json_integer(target[i] == NOBODY ? 0 : place[target[i]]));
+		    json_integer(
+			target[i] == NOBODY ? 0 : number_of[target[i]]));
 	return (a);
 }
 
 /* Converts fences to a JSON array. */
 static json_t *
-fences(const uint64_t *fence, uint32_t n)
+json_fences(const uint64_t *fence, uint32_t n)
 {
 	json_t *a = json_array();
 	uint32_t i;
@@ -133,45 +134,45 @@
 	const struct cell_write *w = &s->write;
 	json_t *o, *names;
 	char id[20], *text;
-	int *place, i, k = (int)(s - c->services);
+	int *number_of, i, k = (int)(s - c->services);
 
 	names = json_array();
-	place = calloc((size_t)c->ntargets + 1, sizeof(*place));
+	number_of = calloc((size_t)c->ntargets + 1, sizeof(*number_of));
 	for (i = 0; i < c->ntargets; i++) {
 		if (c->targets[i].service != k)
 			continue;
 		json_array_append_new(
 		    names, json_string(c->targets[i].conf.name));
-		place[i] = (int)json_array_size(names);
+		number_of[i] = (int)json_array_size(names);
 	}
 	snprintf(id, sizeof(id), "%016" PRIx64, w->id);
 	o = json_pack("{s:I, s:s, s:I, s:o, s:o, s:o, s:o, s:o}", "term",
 	    (json_int_t)c->term, "write", id, "top_fence",
 	    (json_int_t)s->top_fence + 1, "targets", names, "owner",
-	    places(w->owner, place, s->shards), "next",
-	    places(w->next, place, s->shards), "fence",
-	    fences(w->fence, s->shards), "next_fence",
-	    fences(w->next_fence, s->shards));
+	    json_targets(w->owner, number_of, s->shards), "next",
+	    json_targets(w->next, number_of, s->shards), "fence",
+	    json_fences(w->fence, s->shards), "next_fence",
+	    json_fences(w->next_fence, s->shards));
 	text = json_dumps(o, JSON_COMPACT);
-	free(place);
+	free(number_of);
 	json_decref(o);
 	return (text);
 }
 
 /* Sends s->write to the platform under a new id. */
 static void
-open_write(struct cell *c, struct cell_service *s)
+send_write(struct cell *c, struct cell_service *s)
 {
 	c->seed = c->seed * 6364136223846793005u + 1442695040888963407u;
 	s->write.id = c->seed | 1;
-	s->write.open = 1;
-	s->write.lost = 0;
-	c->out->put(c->arg, s->name, s->version, plan_json(c, s));
+	s->write.pending = 1;
+	s->write.unknown = 0;
+	c->cb->put(c->arg, s->name, s->version, plan_json(c, s));
 }
 
 /* Initializes the write with the assignment in force. */
 static void
-start_write(struct cell_service *s)
+init_write(struct cell_service *s)
 {
 	memcpy(s->write.owner, s->owner, s->shards * sizeof(*s->owner));
 	memcpy(s->write.fence, s->fence, s->shards * sizeof(*s->fence));
@@ -182,18 +183,18 @@
 
 /* Claims the assignment: writes it unchanged, under this term. */
 void
-plan_write(struct cell *c, struct cell_service *s)
+plan_claim(struct cell *c, struct cell_service *s)
 {
-	start_write(s);
-	open_write(c, s);
+	init_write(s);
+	send_write(c, s);
 }
 
 /* Starts a new view and notifies the publisher of views. */
 void
-plan_changed(struct cell *c)
+plan_view_changed(struct cell *c)
 {
 	c->view_seq++;
-	c->out->changed(c->arg);
+	c->cb->changed(c->arg);
 }
 
 /* Applies the write, which is known to have taken effect. */
@@ -209,7 +210,7 @@
 			moved++;
 		if (w->next[i] != NOBODY && w->next[i] != s->next[i]) {
 			begun++;
-			s->flag_seq[i] = c->view_seq + 1;
+			s->move_seq[i] = c->view_seq + 1;
 		}
 		if (w->next[i] != s->next[i])
 			s->freed[i] = 0;
@@ -221,40 +222,40 @@
 	    s->next_fence, w->next_fence, s->shards * sizeof(*s->next_fence));
 	s->version = version;
 	s->top_fence++;
-	w->open = 0;
-	w->lost = 0;
+	w->pending = 0;
+	w->unknown = 0;
 	s->moved += moved;
 	snprintf(text, sizeof(text),
 	    "%s: %s, %" PRIu32 " shards placed, %" PRIu32 " begin to move",
 	    s->name, s->claimed ? "assignment written" : "assignment claimed",
 	    moved, begun);
 	if (!s->claimed || moved + begun > 0)
-		c->out->event(c->arg, text);
+		c->cb->event(c->arg, text);
 	s->claimed = 1;
-	plan_changed(c);
+	plan_view_changed(c);
 }
 
 /* True if the target may be given shards. */
 static int
-usable(const struct cell *c, int i)
+target_usable(const struct cell *c, int i)
 {
 	const struct cell_target *t = &c->targets[i];
 
-	return (!t->gone && !t->conf.leaving && !t->leaving &&
+	return (!t->removed && !t->conf.leaving && !t->leaving &&
 	    t->disp != NOBODY && t->reported && t->up && t->granted);
 }
 
 /*
  * True if the shards of a target may be assigned elsewhere: it certainly holds
  * no grant, and gets none before a later epoch.  The dispatcher reports on its
- * own grants; those of earlier dispatchers have lapsed at clear_at.
+ * own grants; those of earlier dispatchers have lapsed at grants_lapse_at.
  */
 static int
-lost(const struct cell *c, int i, usec now)
+may_reassign(const struct cell *c, int i, usec now)
 {
 	const struct cell_target *t = &c->targets[i];
 
-	if (now < t->clear_at)
+	if (now < t->grants_lapse_at)
 		return (0);
 	/*
 	 * Dispatchers that this controller does not know may send grants until
@@ -264,13 +265,13 @@
 	if (!c->settled && !(t->confirmed && t->conf.checks))
 		return (0);
 	if (t->disp == NOBODY)
-		return (t->gone);
-	return (t->reported && !t->granted && (!t->up || t->gone));
+		return (t->removed);
+	return (t->reported && !t->granted && (!t->up || t->removed));
 }
 
 /* Collects the state of all targets for place.c. */
 static void
-survey(
+collect_targets(
     const struct cell *c, const struct cell_service *s, struct place_target *pt)
 {
 	int i, o, k = (int)(s - c->services);
@@ -279,7 +280,8 @@
 	for (i = 0; i < c->ntargets; i++) {
 		memset(&pt[i], 0, sizeof(pt[i]));
 		pt[i].slots = c->targets[i].conf.slots;
-		pt[i].usable = c->targets[i].service == k && usable(c, i);
+		pt[i].usable =
+		    c->targets[i].service == k && target_usable(c, i);
 	}
 	for (n = 0; n < s->shards; n++) {
 		o = s->next[n] != NOBODY ? s->next[n] : s->owner[n];
@@ -296,15 +298,15 @@
  * to answer would get all shards.
  */
 static int
-may_fill(const struct cell *c, const struct cell_service *s, usec now)
+may_place(const struct cell *c, const struct cell_service *s, usec now)
 {
 	int i, k = (int)(s - c->services);
 
-	if (now >= c->patient_until)
+	if (now >= c->placement_wait_until)
 		return (1);
 	for (i = 0; i < c->ntargets; i++) {
-		if (c->targets[i].service == k && !c->targets[i].gone &&
-		    !c->targets[i].conf.leaving && !usable(c, i))
+		if (c->targets[i].service == k && !c->targets[i].removed &&
+		    !c->targets[i].conf.leaving && !target_usable(c, i))
 			return (0);
 	}
 	return (1);
@@ -313,7 +315,7 @@
 /* Plans the least loaded target as owner of a shard; false if there is none.
  */
 static int
-put_on(
+assign_shard(
     struct cell *c, struct cell_service *s, struct place_target *pt, uint32_t n)
 {
 	int to = place_pick(pt, c->ntargets);
@@ -334,15 +336,15 @@
  * owner must not get it back.
  */
 static int
-plan_moving(struct cell *c, struct cell_service *s, struct place_target *pt,
+plan_move(struct cell *c, struct cell_service *s, struct place_target *pt,
     uint32_t n, usec now)
 {
-	if (!s->freed[n] && lost(c, s->owner[n], now))
+	if (!s->freed[n] && may_reassign(c, s->owner[n], now))
 		s->freed[n] = 1;
 	if (!s->freed[n])
 		return (0);
-	if (lost(c, s->next[n], now))
-		return (put_on(c, s, pt, n));
+	if (may_reassign(c, s->next[n], now))
+		return (assign_shard(c, s, pt, n));
 	s->write.owner[n] = s->next[n];
 	s->write.fence[n] = s->next_fence[n];
 	s->write.next[n] = NOBODY;
@@ -350,7 +352,7 @@
 }
 
 /*
- * Plans owners for shards that have none or whose owner is lost, and completes
+ * Plans owners for shards that have none or may be reassigned, and completes
  * moves.  True if anything is to change.
  */
 static int
@@ -358,22 +360,23 @@
     struct cell *c, struct cell_service *s, struct place_target *pt, usec now)
 {
 	uint32_t n;
-	int o, any = 0, fill = may_fill(c, s, now);
+	int o, any = 0, placing = may_place(c, s, now);
 
 	for (n = 0; n < s->shards; n++) {
 		o = s->owner[n];
-		if (o == NOBODY ? fill
-				: s->next[n] == NOBODY && lost(c, o, now))
-			any |= put_on(c, s, pt, n);
+		if (o == NOBODY
+			? placing
+			: s->next[n] == NOBODY && may_reassign(c, o, now))
+			any |= assign_shard(c, s, pt, n);
 		else if (s->next[n] != NOBODY)
-			any |= plan_moving(c, s, pt, n, now);
+			any |= plan_move(c, s, pt, n, now);
 	}
 	return (any);
 }
 
 /* Counts the moving shards in the planned assignment. */
 static int
-moving(const struct cell_service *s)
+count_moving(const struct cell_service *s)
 {
 	uint32_t n;
 	int k = 0;
@@ -410,7 +413,7 @@
 		if (s->write.owner[n] == NOBODY || s->write.next[n] != NOBODY)
 			continue;
 		t = &c->targets[s->write.owner[n]];
-		if (!t->gone && !t->conf.leaving && !t->leaving)
+		if (!t->removed && !t->conf.leaving && !t->leaving)
 			continue;
 		to = place_pick(pt, c->ntargets);
 		if (to == NOBODY)
@@ -427,7 +430,7 @@
  * shard whose owner is neither lost nor leaving.
  */
 static void
-tell_moves(const struct cell *c, const struct cell_service *s,
+log_moves(const struct cell *c, const struct cell_service *s,
     const struct place_target *pt, const struct place_move *m, int n)
 {
 	const struct place_target *from = &pt[m->from], *to = &pt[m->to];
@@ -440,17 +443,17 @@
 	    s->name, n, m->shard + s->first, c->targets[m->from].conf.name,
 	    from->load, from->slots, from->shards, c->targets[m->to].conf.name,
 	    to->load, to->slots, to->shards, place_imbalance(pt, c->ntargets));
-	c->out->event(c->arg, text);
+	c->cb->event(c->arg, text);
 }
 
 /* Plans moves that balance the load, within the budget; true if any. */
 static int
 plan_balance(struct cell *c, struct cell_service *s, struct place_target *pt,
-    usec now, int room)
+    usec now, int max_moves)
 {
-	const struct weighing *w = &weighings[s->weigh];
-	struct place_target seen[CELL_TARGETS];
-	struct place_move moves[MOVES_AT_ONCE];
+	const struct balance_policy *w = &balance_policies[s->weigh];
+	struct place_target before[CELL_TARGETS];
+	struct place_move moves[MAX_CONCURRENT_MOVES];
 	uint8_t *fixed;
 	uint32_t k;
 	int i, n;
@@ -459,20 +462,20 @@
 	s->budget_at = now;
 	if (s->budget > w->burst)
 		s->budget = w->burst;
-	if (room > (int)s->budget)
-		room = (int)s->budget;
-	if (room <= 0)
+	if (max_moves > (int)s->budget)
+		max_moves = (int)s->budget;
+	if (max_moves <= 0)
 		return (0);
 	fixed = calloc(s->shards, 1);
 	for (k = 0; k < s->shards; k++)
 		fixed[k] = s->write.next[k] != NOBODY;
-	memcpy(seen, pt, sizeof(*pt) * (size_t)c->ntargets);
+	memcpy(before, pt, sizeof(*pt) * (size_t)c->ntargets);
 	n = place_balance(pt, c->ntargets, s->write.owner, s->load, fixed,
-	    s->shards, w->tolerance, moves, room);
+	    s->shards, w->tolerance, moves, max_moves);
 	for (i = 0; i < n; i++)
 		begin_move(s, moves[i].shard, moves[i].to);
 	if (n > 0)
-		tell_moves(c, s, seen, moves, n);
+		log_moves(c, s, before, moves, n);
 	s->budget -= n;
 	free(fixed);
 	return (n > 0);
@@ -483,17 +486,17 @@
 plan_tick(struct cell *c, struct cell_service *s, usec now)
 {
 	struct place_target pt[CELL_TARGETS];
-	int any, room;
+	int any, max_moves;
 
-	if (s->write.open)
+	if (s->write.pending)
 		return;
-	survey(c, s, pt);
-	start_write(s);
+	collect_targets(c, s, pt);
+	init_write(s);
 	any = plan_owners(c, s, pt, now);
 	any |= plan_leaving(c, s, pt);
-	room = MOVES_AT_ONCE - moving(s);
-	if (!any && room > 0)
-		any = plan_balance(c, s, pt, now, room);
+	max_moves = MAX_CONCURRENT_MOVES - count_moving(s);
+	if (!any && max_moves > 0)
+		any = plan_balance(c, s, pt, now, max_moves);
 	if (any)
-		open_write(c, s);
+		send_write(c, s);
 }
--- a/decide/cell_standby.c
+++ b/decide/cell_standby.c
@@ -10,13 +10,13 @@
  */
 int
 cell_live_hosts(const struct cell *c, usec now, struct member *out, int max,
-    const char *but)
+    const char *except)
 {
 	int i, n = 0;
 
 	for (i = 0; i < c->nhosts && n < max; i++) {
-		if (cell_host_fit(c, i, now) &&
-		    strcmp(c->hosts[i].who.host, but) != 0)
+		if (cell_host_available(c, i, now) &&
+		    strcmp(c->hosts[i].who.host, except) != 0)
 			out[n++] = c->hosts[i].who;
 	}
 	return (n);
@@ -24,17 +24,18 @@
 
 /*
  * Rates a host as a standby: hosts that are one already and hosts in another
- * data centre score higher; want_elsewhere tells which counts more.
+ * data centre score higher; prefer_other_dc tells which counts more.
  */
 static int
 standby_score(const struct cell *c, int h, const char *dc,
-    const struct record *r, int want_elsewhere)
+    const struct record *r, int prefer_other_dc)
 {
-	int i, is = 0, elsewhere = strcmp(c->hosts[h].dc, dc) != 0;
+	int i, is_standby = 0, other_dc = strcmp(c->hosts[h].dc, dc) != 0;
 
 	for (i = 0; i < r->nstandby; i++)
-		is |= r->standby[i].boot == c->hosts[h].who.boot;
-	return (want_elsewhere ? 2 * elsewhere + is : 2 * is + elsewhere);
+		is_standby |= r->standby[i].boot == c->hosts[h].who.boot;
+	return (prefer_other_dc ? 2 * other_dc + is_standby
+				: 2 * is_standby + other_dc);
 }
 
 /*
@@ -48,13 +49,13 @@
 cell_standbys(const struct cell *c, usec now, const char *host, const char *dc,
     const struct record *r, struct member out[STANDBYS])
 {
-	int h, best, score, best_score, n, first = NOBODY;
+	int h, best, score, best_score, n, chosen = NOBODY;
 
 	for (n = 0; n < STANDBYS; n++) {
 		best = NOBODY;
 		best_score = -1;
 		for (h = 0; h < c->nhosts; h++) {
-			if (h == first || !cell_host_fit(c, h, now) ||
+			if (h == chosen || !cell_host_available(c, h, now) ||
 			    strcmp(c->hosts[h].who.host, host) == 0)
 				continue;
 			score = standby_score(c, h, dc, r, n == 0);
@@ -65,7 +66,7 @@
 		}
 		if (best == NOBODY)
 			break;
-		first = best;
+		chosen = best;
 		out[n] = c->hosts[best].who;
 	}
 	return (n);
--- a/decide/grant.c
+++ b/decide/grant.c
@@ -7,7 +7,7 @@
  * A new target that has not answered for this long is considered down.  Grants
  * of an earlier dispatcher may still be valid; the controller allows for them.
  */
-#define PROBE_PATIENCE MS(320)
+#define PROBE_TIMEOUT MS(320)
 
 /* Initializes the grant of a target that this host starts to dispatch for. */
 void
@@ -32,7 +32,7 @@
 {
 	g->epoch = epoch;
 	g->phase = GRANT_PROBE;
-	g->began = now;
+	g->epoch_start = now;
 	g->held = 0;
 }
 
@@ -40,21 +40,22 @@
 int
 grant_live(const struct grant *g, usec now)
 {
-	return (g->end_here != 0 && now < lease_granter_end(g->end_here, 0));
+	return (
+	    g->last_expiry != 0 && now < lease_granter_end(g->last_expiry, 0));
 }
 
 /*
- * Makes the grant dormant if the target does not answer and the grant has
+ * Makes the grant inactive if the target does not answer and the grant has
  * lapsed.  From then on nothing is granted in this epoch: the controller may
  * already be assigning the shards to others, and a target that was frozen and
  * answers again must not get them back under the old view.
  */
 static void
-maybe_sleep(struct grant *g, usec now)
+check_lapsed(struct grant *g, usec now)
 {
 	if (grant_live(g, now))
 		return;
-	if (g->phase == GRANT_PROBE && now - g->began < PROBE_PATIENCE)
+	if (g->phase == GRANT_PROBE && now - g->epoch_start < PROBE_TIMEOUT)
 		return;
 	if (g->phase == GRANT_ACTIVE && g->up)
 		return;
@@ -74,8 +75,8 @@
 	enum grant_step step;
 	usec end;
 
-	maybe_sleep(g, now);
-	if (g->open)
+	check_lapsed(g, now);
+	if (g->pending)
 		return (STEP_NONE);
 	/*
 	 * A target that did not answer is only asked for its clock: each
@@ -98,13 +99,13 @@
 		*until_there = grant_expiry(g->clock_there, g->heard, end);
 		if (end <= now || *until_there == 0)
 			return (STEP_NONE);
-		if (end > g->end_here)
-			g->end_here = end;
-		g->sent_end = end;
+		if (end > g->last_expiry)
+			g->last_expiry = end;
+		g->sent_expiry = end;
 		g->seq++;
 		g->sent_set = g->want;
 	}
-	g->open = 1;
+	g->pending = 1;
 	g->sent = now;
 	return (step);
 }
@@ -114,7 +115,7 @@
 grant_heard(struct grant *g, usec now, enum grant_step step, int accepted,
     int64_t clock_there, int64_t boot)
 {
-	g->open = 0;
+	g->pending = 0;
 	g->up = 1;
 	g->clock_there = clock_there;
 	g->heard = now;
@@ -130,10 +131,10 @@
 		return;
 	if (!accepted) {
 		g->held = 0;
-		g->sure_until = 0;
+		g->valid_until = 0;
 		return;
 	}
-	g->sure_until = g->sent_end;
+	g->valid_until = g->sent_expiry;
 	if (step == STEP_FULL)
 		g->held = g->sent_set;
 }
@@ -143,7 +144,7 @@
 grant_serves(const struct grant *g, usec now)
 {
 	return (g->phase == GRANT_ACTIVE && g->held == g->want &&
-	    now < g->sure_until);
+	    now < g->valid_until);
 }
 
 /*
@@ -155,9 +156,9 @@
 void
 grant_failed(struct grant *g, usec now)
 {
-	g->open = 0;
+	g->pending = 0;
 	g->up = 0;
-	g->doubt_until = g->end_here;
+	g->uncertain_until = g->last_expiry;
 }
 
 /* True if the target certainly holds the wanted set and no other shards. */
@@ -165,6 +166,6 @@
 grant_exact(const struct grant *g, usec now)
 {
 	return (g->held == g->want &&
-	    (g->doubt_until == 0 ||
-		now >= lease_granter_end(g->doubt_until, 0)));
+	    (g->uncertain_until == 0 ||
+		now >= lease_granter_end(g->uncertain_until, 0)));
 }
--- a/decide/grant.h
+++ b/decide/grant.h
@@ -29,15 +29,15 @@
 	int64_t boot;	     /* of the target; changes when it restarts */
 	int64_t clock_there; /* the target's clock in its last answer */
 	usec heard;	     /* when that answer arrived */
-	usec began;
+	usec epoch_start;
 	usec sent;
-	usec end_here;	  /* latest expiry of all grants sent */
-	usec doubt_until; /* end_here when a message was not answered */
-	usec sent_end;	  /* expiry of the last grant sent */
-	usec sure_until;  /* expiry of the last grant that was accepted */
-	int open;	  /* a message awaits its answer */
-	int up;		  /* the last message was answered */
-	uint64_t want;	  /* the set to be granted */
+	usec last_expiry;     /* latest expiry of all grants sent */
+	usec uncertain_until; /* last_expiry when a message was not answered */
+	usec sent_expiry;     /* expiry of the last grant sent */
+	usec valid_until;     /* expiry of the last grant that was accepted */
+	int pending;	      /* a message awaits its answer */
+	int up;		      /* the last message was answered */
+	uint64_t want;	      /* the set to be granted */
 	uint64_t sent_set;
 	uint64_t held; /* the set that the target has accepted; 0: none */
 };
--- a/decide/once.c
+++ b/decide/once.c
@@ -9,30 +9,31 @@
 
 /*
  * Initializes a table with room for `size` tickets; returns 0, or -1 if out of
- * memory.  `table` must be a random number that no other table ever had; drop
- * frees the value of an ended entry.
+ * memory.  `table_id` must be a random number that no other table ever had;
+ * free_value frees the value of an ended entry.
  */
 int
-once_init(struct once *o, uint64_t table, size_t size, void (*drop)(void *))
+once_init(
+    struct once *o, uint64_t table_id, size_t size, void (*free_value)(void *))
 {
 	memset(o, 0, sizeof(*o));
 	o->entries = calloc(size, sizeof(*o->entries));
 	if (o->entries == NULL)
 		return (-1);
 	o->size = size;
-	o->table = table;
+	o->table_id = table_id;
 	o->next = 1;
-	o->floor = 1;
-	o->drop = drop;
+	o->min_number = 1;
+	o->free_value = free_value;
 	return (0);
 }
 
 /* Clears an entry and frees its value. */
 static void
-clear(struct once *o, struct once_entry *e)
+clear_entry(struct once *o, struct once_entry *e)
 {
-	if (e->state == ENDED && e->value != NULL && o->drop != NULL)
-		o->drop(e->value);
+	if (e->state == ENDED && e->value != NULL && o->free_value != NULL)
+		o->free_value(e->value);
 	memset(e, 0, sizeof(*e));
 }
 
@@ -43,7 +44,7 @@
 	size_t i;
 
 	for (i = 0; o->entries != NULL && i < o->size; i++)
-		clear(o, &o->entries[i]);
+		clear_entry(o, &o->entries[i]);
 	free(o->entries);
 	o->entries = NULL;
 }
@@ -52,13 +53,13 @@
 void
 once_ticket(struct once *o, char out[TICKET_TEXT])
 {
-	snprintf(out, TICKET_TEXT, "gs1-%016" PRIx64 "-%" PRIu64, o->table,
+	snprintf(out, TICKET_TEXT, "gs1-%016" PRIx64 "-%" PRIu64, o->table_id,
 	    o->next++);
 }
 
 /* Returns the entry for a number. */
 static struct once_entry *
-slot(struct once *o, uint64_t number)
+entry_for(struct once *o, uint64_t number)
 {
 	return (&o->entries[number % o->size]);
 }
@@ -68,28 +69,28 @@
  * ticket's number and, for ONCE_JOIN and ONCE_REPLAY, *value to the stored
  * value.
  *
- * A ticket below the floor may have been used and evicted, and one of another
+ * A ticket below min_number may have been used and evicted, and one of another
  * table may have been used there.  Running it could bill a family twice, so
- * the caller gets the outcome "unknown".  A number from the floor on that is
- * not in the table was never used, as an entry is only overwritten once the
- * floor is above it.
+ * the caller gets the outcome "unknown".  A number from min_number on that is
+ * not in the table was never used, as an entry is only overwritten once
+ * min_number is above it.
  */
-enum once_verdict
+enum once_result
 once_ask(struct once *o, const char *ticket, uint64_t *number, void **value)
 {
 	struct once_entry *e;
-	uint64_t table;
+	uint64_t table_id;
 	int end = 0;
 
-	if (sscanf(ticket, "gs1-%16" SCNx64 "-%" SCNu64 "%n", &table, number,
+	if (sscanf(ticket, "gs1-%16" SCNx64 "-%" SCNu64 "%n", &table_id, number,
 		&end) != 2 ||
 	    ticket[end] != '\0')
 		return (ONCE_BAD);
-	if (table != o->table || *number < o->floor)
+	if (table_id != o->table_id || *number < o->min_number)
 		return (ONCE_STRANGE);
 	if (*number >= o->next)
 		return (ONCE_BAD);
-	e = slot(o, *number);
+	e = entry_for(o, *number);
 	if (e->state != FREE && e->number == *number) {
 		*value = e->value;
 		return (e->state == RUNNING ? ONCE_JOIN : ONCE_REPLAY);
@@ -105,11 +106,11 @@
 void
 once_running(struct once *o, uint64_t number, void *value)
 {
-	struct once_entry *e = slot(o, number);
+	struct once_entry *e = entry_for(o, number);
 
-	if (e->state == ENDED && e->number >= o->floor)
-		o->floor = e->number + 1;
-	clear(o, e);
+	if (e->state == ENDED && e->number >= o->min_number)
+		o->min_number = e->number + 1;
+	clear_entry(o, e);
 	e->number = number;
 	e->state = RUNNING;
 	e->value = value;
@@ -119,11 +120,11 @@
 void
 once_ended(struct once *o, uint64_t number, void *value)
 {
-	struct once_entry *e = slot(o, number);
+	struct once_entry *e = entry_for(o, number);
 
 	if (e->state != RUNNING || e->number != number) {
-		if (o->drop != NULL)
-			o->drop(value);
+		if (o->free_value != NULL)
+			o->free_value(value);
 		return;
 	}
 	e->state = ENDED;
@@ -134,7 +135,7 @@
 void
 once_forget(struct once *o, uint64_t number)
 {
-	struct once_entry *e = slot(o, number);
+	struct once_entry *e = entry_for(o, number);
 
 	if (e->state == RUNNING && e->number == number)
 		memset(e, 0, sizeof(*e));
--- a/decide/once.h
+++ b/decide/once.h
@@ -17,7 +17,7 @@
 
 #define TICKET_TEXT 48
 
-enum once_verdict {
+enum once_result {
 	ONCE_RUN,     /* unused: run the request */
 	ONCE_JOIN,    /* running: wait for the same answer */
 	ONCE_REPLAY,  /* finished: send the same answer again */
@@ -33,18 +33,18 @@
 };
 
 struct once {
-	uint64_t table; /* id, part of each ticket */
+	uint64_t table_id; /* id, part of each ticket */
 	uint64_t next;
-	uint64_t floor; /* lower numbers may have been evicted */
+	uint64_t min_number; /* lower numbers may have been evicted */
 	struct once_entry *entries;
 	size_t size;
-	void (*drop)(void *value); /* frees the value of an ended entry */
+	void (*free_value)(void *value); /* frees the value of an ended entry */
 };
 
-int once_init(struct once *, uint64_t table, size_t size, void (*)(void *));
+int once_init(struct once *, uint64_t table_id, size_t size, void (*)(void *));
 void once_free(struct once *);
 void once_ticket(struct once *, char out[TICKET_TEXT]);
-enum once_verdict once_ask(struct once *, const char *, uint64_t *, void **);
+enum once_result once_ask(struct once *, const char *, uint64_t *, void **);
 void once_running(struct once *, uint64_t number, void *value);
 void once_ended(struct once *, uint64_t number, void *value);
 void once_forget(struct once *, uint64_t number);
--- a/decide/queue.c
+++ b/decide/queue.c
@@ -4,11 +4,11 @@
 #include "result.h"
 
 /* Inverse weight of a new sample in the smoothed run time. */
-#define MEAN_PART 8
-#define FIRST_MEAN MS(5)
+#define MEAN_DIVISOR 8
+#define INITIAL_MEAN MS(5)
 #define RETRY_MIN MS(50)
-/* A job may wait for 1 / WAIT_PART of the time to its deadline. */
-#define WAIT_PART 4
+/* A job may wait for 1 / WAIT_DIVISOR of the time to its deadline. */
+#define WAIT_DIVISOR 4
 
 /* Initializes the queue of a target with `slots` slots, for `limit` jobs. */
 void
@@ -16,8 +16,8 @@
 {
 	memset(q, 0, sizeof(*q));
 	queue_resize(q, slots, limit);
-	q->mean[0] = FIRST_MEAN;
-	q->mean[1] = FIRST_MEAN;
+	q->mean[0] = INITIAL_MEAN;
+	q->mean[1] = INITIAL_MEAN;
 }
 
 /* Changes the bounds; jobs that run or wait already are not affected. */
@@ -59,24 +59,24 @@
  * until after all of its own.
  */
 static uint64_t
-tag_of(struct queue *q, uint64_t caller)
+next_tag(struct queue *q, uint64_t caller)
 {
 	size_t i, oldest = 0;
 
 	for (i = 0; i < 64; i++) {
 		if (q->callers[i].caller == caller)
 			break;
-		if (q->callers[i].last < q->callers[oldest].last)
+		if (q->callers[i].last_tag < q->callers[oldest].last_tag)
 			oldest = i;
 	}
 	if (i == 64) {
 		i = oldest;
 		q->callers[i].caller = caller;
-		q->callers[i].last = 0;
+		q->callers[i].last_tag = 0;
 	}
-	if (q->callers[i].last < q->vtime)
-		q->callers[i].last = q->vtime;
-	return (++q->callers[i].last);
+	if (q->callers[i].last_tag < q->virtual_time)
+		q->callers[i].last_tag = q->virtual_time;
+	return (++q->callers[i].last_tag);
 }
 
 /*
@@ -97,10 +97,10 @@
 	*retry = wait > RETRY_MIN ? wait : RETRY_MIN;
 	if (q->count >= q->limit)
 		return (GS_BUSY);
-	if (wait > 0 && wait >= (j->deadline - now) / WAIT_PART)
+	if (wait > 0 && wait >= (j->deadline - now) / WAIT_DIVISOR)
 		return (GS_TOO_LATE);
 	j->arrived = now;
-	j->tag = tag_of(q, j->caller);
+	j->tag = next_tag(q, j->caller);
 	for (at = &q->head[k]; *at != NULL && (*at)->tag <= j->tag;
 	     at = &(*at)->next)
 		;
@@ -108,8 +108,8 @@
 	*at = j;
 	q->count++;
 	/* A kind that had no jobs is not credited for unused time. */
-	if (q->waiting[k]++ == 0 && q->used[k] < q->used[!k])
-		q->used[k] = q->used[!k];
+	if (q->waiting[k]++ == 0 && q->used_time[k] < q->used_time[!k])
+		q->used_time[k] = q->used_time[!k];
 	return (GS_OK);
 }
 
@@ -128,12 +128,12 @@
 
 /* Removes and returns the first matching short or long job, or NULL. */
 static struct job *
-pull_kind(struct queue *q, int k, job_ok_fn is, void *arg)
+remove_first(struct queue *q, int k, job_match_fn match, void *arg)
 {
 	struct job **at;
 
 	for (at = &q->head[k]; *at != NULL; at = &(*at)->next) {
-		if (is(*at, arg))
+		if (match(*at, arg))
 			return (unlink_job(q, at));
 	}
 	return (NULL);
@@ -142,7 +142,7 @@
 /* Argument of may_start(). */
 struct startable {
 	usec now;
-	job_ok_fn ok;
+	job_match_fn ok;
 	void *arg;
 };
 
@@ -161,7 +161,7 @@
  * of a moving shard.
  */
 struct job *
-queue_next(struct queue *q, usec now, job_ok_fn ok, void *arg)
+queue_next(struct queue *q, usec now, job_match_fn ok, void *arg)
 {
 	struct startable s = {now, ok, arg};
 	struct job *j = NULL;
@@ -169,17 +169,17 @@
 
 	if (q->busy >= q->slots)
 		return (NULL);
-	first = q->used[1] < q->used[0];
+	first = q->used_time[1] < q->used_time[0];
 	for (i = 0; i < 2 && j == NULL; i++) {
 		k = i == 0 ? first : !first;
 		if (k == 0 || q->busy_long < q->long_max)
-			j = pull_kind(q, k, may_start, &s);
+			j = remove_first(q, k, may_start, &s);
 	}
 	if (j == NULL)
 		return (NULL);
 	k = j->is_long != 0;
-	q->vtime = j->tag;
-	q->used[k] += q->mean[k];
+	q->virtual_time = j->tag;
+	q->used_time[k] += q->mean[k];
 	q->busy++;
 	q->busy_long += (unsigned)k;
 	return (j);
@@ -187,7 +187,7 @@
 
 /* True if a job's deadline has passed. */
 static int
-is_late(const struct job *j, void *arg)
+is_expired(const struct job *j, void *arg)
 {
 	return (j->deadline <= *(usec *)arg);
 }
@@ -196,17 +196,17 @@
 struct job *
 queue_late(struct queue *q, usec now)
 {
-	return (queue_pull(q, is_late, &now));
+	return (queue_pull(q, is_expired, &now));
 }
 
 /* Removes and returns the first matching job, short jobs first, or NULL. */
 struct job *
-queue_pull(struct queue *q, job_ok_fn is, void *arg)
+queue_pull(struct queue *q, job_match_fn match, void *arg)
 {
 	struct job *j;
 
-	j = pull_kind(q, 0, is, arg);
-	return (j != NULL ? j : pull_kind(q, 1, is, arg));
+	j = remove_first(q, 0, match, arg);
+	return (j != NULL ? j : remove_first(q, 1, match, arg));
 }
 
 /* Frees a job's slot; took is its run time, or 0 if it did not run. */
@@ -219,5 +219,5 @@
 	if (j->is_long)
 		q->busy_long--;
 	if (took > 0)
-		*mean += (took - *mean) / MEAN_PART;
+		*mean += (took - *mean) / MEAN_DIVISOR;
 }
--- a/decide/queue.h
+++ b/decide/queue.h
@@ -29,25 +29,25 @@
 	unsigned slots;
 	unsigned busy;
 	unsigned busy_long;
-	unsigned long_max; /* slots that long jobs may use */
-	usec mean[2];	   /* run time, smoothed */
-	usec used[2];	   /* slot time, shared equally between the two */
-	uint64_t vtime;	   /* virtual time: tag of the last job started */
+	unsigned long_max;     /* slots that long jobs may use */
+	usec mean[2];	       /* run time, smoothed */
+	usec used_time[2];     /* slot time, shared equally between the two */
+	uint64_t virtual_time; /* tag of the last job started */
 	struct {
 		uint64_t caller;
-		uint64_t last; /* tag of the caller's last job */
+		uint64_t last_tag; /* tag of the caller's last job */
 	} callers[64];
 };
 
 /* True if the job matches, or may start now. */
-typedef int (*job_ok_fn)(const struct job *, void *);
+typedef int (*job_match_fn)(const struct job *, void *);
 
 void queue_init(struct queue *, unsigned slots, unsigned limit);
 void queue_resize(struct queue *, unsigned slots, unsigned limit);
 int queue_add(struct queue *, struct job *, usec now, usec *retry);
-struct job *queue_next(struct queue *, usec now, job_ok_fn, void *);
+struct job *queue_next(struct queue *, usec now, job_match_fn, void *);
 struct job *queue_late(struct queue *, usec now);
-struct job *queue_pull(struct queue *, job_ok_fn, void *);
+struct job *queue_pull(struct queue *, job_match_fn, void *);
 void queue_done(struct queue *, const struct job *, usec took);
 usec queue_wait(const struct queue *, int is_long);
 
