--- a/regress/unit/t_cell.c
+++ b/regress/unit/t_cell.c
@@ -24,7 +24,7 @@
 	char *put;
 	uint64_t base;
 	int changes;
-} plat;
+} platform;
 
 static struct cell c;
 static uint64_t seq;
@@ -32,73 +32,75 @@
 static void
 on_get(void *arg, const char *service)
 {
-	plat.gets++;
+	platform.gets++;
 }
 
 static void
 on_put(void *arg, const char *service, uint64_t base, char *json)
 {
-	free(plat.put);
-	plat.put = json;
-	plat.base = base;
+	free(platform.put);
+	platform.put = json;
+	platform.base = base;
 }
 
-static char balance[400]; /* last event about balancing */
+static char balance_event[400]; /* last event about balancing */
 
 static void
 on_changed(void *arg)
 {
-	plat.changes++;
+	platform.changes++;
 }
 
 static void
 on_event(void *arg, const char *what)
 {
 	if (strstr(what, "balance") != NULL)
-		name_copy(balance, sizeof(balance), what);
+		name_copy(balance_event, sizeof(balance_event), what);
 }
 
 static const struct cell_out out = {on_get, on_put, on_changed, on_event};
 
 /* Applies the pending write; false if its base version is outdated. */
 static int
-land(void)
+apply_write(void)
 {
-	if (plat.put == NULL || plat.base != plat.version)
+	if (platform.put == NULL || platform.base != platform.version)
 		return (0);
-	free(plat.json);
-	plat.json = plat.put;
-	plat.put = NULL;
-	plat.version++;
+	free(platform.json);
+	platform.json = platform.put;
+	platform.put = NULL;
+	platform.version++;
 	return (1);
 }
 
 /* Lets the platform handle and answer all pending requests. */
 static void
-serve(usec now)
+platform_answer(usec now)
 {
-	if (plat.gets > 0) {
-		plat.gets = 0;
-		cell_got(&c, now, "s", plat.json != NULL, plat.version,
-		    plat.json, plat.json == NULL ? 0 : strlen(plat.json));
+	if (platform.gets > 0) {
+		platform.gets = 0;
+		cell_got(&c, now, "s", platform.json != NULL, platform.version,
+		    platform.json,
+		    platform.json == NULL ? 0 : strlen(platform.json));
 	}
-	if (plat.put != NULL) {
-		if (land())
-			cell_put_ended(&c, now, "s", PUT_DONE, plat.version);
+	if (platform.put != NULL) {
+		if (apply_write())
+			cell_put_ended(
+			    &c, now, "s", PUT_DONE, platform.version);
 		else
 			cell_put_ended(
-			    &c, now, "s", PUT_CONFLICT, plat.version);
+			    &c, now, "s", PUT_CONFLICT, platform.version);
 	}
 }
 
 /* A host's report on both targets, and its duties. */
-struct say {
+struct host_report {
 	const char *host;
 	uint64_t boot;
-	int down[2];	  /* reported down and dormant */
-	int dormant[2];	  /* answering again, nothing granted */
-	int silent[2];	  /* not reported */
-	uint32_t busy[2]; /* thousandths of a slot; 0: not reported */
+	int down[2];	   /* reported down and inactive */
+	int inactive[2];   /* answering again, nothing granted */
+	int unreported[2]; /* not reported */
+	uint32_t busy[2];  /* thousandths of a slot; 0: not reported */
 	uint64_t epoch[2];
 	uint64_t ack;
 	int stopping;
@@ -108,7 +110,7 @@
 
 /* Sends a host's report, runs the controller and stores the duties. */
 static void
-report(struct say *h, usec now)
+report(struct host_report *h, usec now)
 {
 	static char *names[] = {(char *)"t1", (char *)"t2"};
 	Gspar__LeaseAsk ask = GSPAR__LEASE_ASK__INIT;
@@ -125,12 +127,12 @@
 	ask.stopping = h->stopping;
 	ask.targets = list;
 	for (i = 0; i < 2; i++) {
-		if (h->silent[i] || h->epoch[i] == 0)
+		if (h->unreported[i] || h->epoch[i] == 0)
 			continue;
 		gspar__target_state__init(&ts[i]);
 		ts[i].target = names[i];
 		ts[i].epoch = h->epoch[i];
-		ts[i].granted = !h->down[i] && !h->dormant[i];
+		ts[i].granted = !h->down[i] && !h->inactive[i];
 		ts[i].up = !h->down[i];
 		ts[i].has_loads = h->busy[i] > 0;
 		ts[i].rest_busy = h->busy[i];
@@ -142,7 +144,7 @@
 	}
 	cell_asked(&c, now, h->host, &ask);
 	cell_tick(&c, now, 1, 1);
-	serve(now);
+	platform_answer(now);
 	n = cell_give(&c, now, h->host, &ask, &give, duties, 4);
 	h->nduties = n;
 	for (i = 0; i < n; i++)
@@ -167,28 +169,28 @@
 /* Starts a cell whose shards are placed, with h dispatching for both targets.
  */
 static void
-start(struct say *h)
+start(struct host_report *h)
 {
 	struct cell_conf_times times = {MS(1300), MS(200)};
 	usec now;
 
-	free(plat.json);
-	free(plat.put);
-	memset(&plat, 0, sizeof(plat));
+	free(platform.json);
+	free(platform.put);
+	memset(&platform, 0, sizeof(platform));
 	cell_free(&c);
 	cell_init(&c, "a", &times, &out, NULL, 99);
 	configure("");
 	cell_begin(&c, 1, 0);
 	for (now = MS(10); now < MS(3000); now += MS(50)) {
 		cell_tick(&c, now, now > MS(1400), now > MS(1400));
-		serve(now);
+		platform_answer(now);
 		if (now > MS(1400))
 			report(h, now);
 	}
 }
 
 static int
-owned_by(const char *target)
+count_owned(const char *target)
 {
 	uint32_t i;
 	int n = 0;
@@ -206,12 +208,12 @@
 static void
 places_evenly(void)
 {
-	struct say h = {.host = "h1", .boot = 1};
+	struct host_report h = {.host = "h1", .boot = 1};
 
 	start(&h);
 	CU_ASSERT_EQUAL(h.nduties, 2);
-	CU_ASSERT_EQUAL(owned_by("t1"), 4);
-	CU_ASSERT_EQUAL(owned_by("t2"), 4);
+	CU_ASSERT_EQUAL(count_owned("t1"), 4);
+	CU_ASSERT_EQUAL(count_owned("t2"), 4);
 	CU_ASSERT(c.services[0].fence[0] > 0);
 }
 
@@ -220,9 +222,9 @@
  * other one under higher fences, and stay there when the first comes back.
  */
 static void
-lost_target_is_replaced(void)
+lost_target_reassigned(void)
 {
-	struct say h = {.host = "h1", .boot = 1};
+	struct host_report h = {.host = "h1", .boot = 1};
 	uint64_t fence, epoch;
 	usec now;
 
@@ -232,13 +234,13 @@
 	h.down[0] = 1;
 	report(&h, MS(3100));
 	report(&h, MS(3150));
-	CU_ASSERT_EQUAL(owned_by("t2"), 8);
+	CU_ASSERT_EQUAL(count_owned("t2"), 8);
 	CU_ASSERT(c.services[0].top_fence > fence);
 	h.down[0] = 0;
-	h.dormant[0] = 1;
+	h.inactive[0] = 1;
 	for (now = MS(3200); now < MS(3400); now += MS(50))
 		report(&h, now);
-	CU_ASSERT_EQUAL(owned_by("t1"), 0);
+	CU_ASSERT_EQUAL(count_owned("t1"), 0);
 	CU_ASSERT(h.epoch[0] > epoch);
 }
 
@@ -247,10 +249,10 @@
  * after its lease has lapsed.
  */
 static void
-dead_host_is_waited_for(void)
+dead_host_lease_awaited(void)
 {
-	struct say h = {.host = "h1", .boot = 1};
-	struct say h2 = {.host = "h2", .boot = 2};
+	struct host_report h = {.host = "h1", .boot = 1};
+	struct host_report h2 = {.host = "h2", .boot = 2};
 	usec now, last = 0;
 
 	start(&h);
@@ -268,14 +270,14 @@
 
 /* A host whose lease lapsed in an outage gets duties again afterwards. */
 static void
-lapsed_host_comes_back(void)
+lapsed_host_gets_duties(void)
 {
-	struct say h = {.host = "h1", .boot = 1};
+	struct host_report h = {.host = "h1", .boot = 1};
 
 	start(&h);
 	cell_tick(&c, MS(9000), 1, 1);
 	CU_ASSERT_EQUAL(c.targets[0].disp, NOBODY);
-	h.silent[0] = h.silent[1] = 1;
+	h.unreported[0] = h.unreported[1] = 1;
 	report(&h, MS(9100));
 	CU_ASSERT_EQUAL(h.nduties, 2);
 }
@@ -285,13 +287,13 @@
  * reply that assigned it; a request sent before that does not release it.
  */
 static void
-early_silence_is_no_release(void)
+early_request_is_no_release(void)
 {
-	struct say h = {.host = "h1", .boot = 1};
-	struct say h2 = {.host = "h2", .boot = 2};
+	struct host_report h = {.host = "h1", .boot = 1};
+	struct host_report h2 = {.host = "h2", .boot = 2};
 
 	start(&h);
-	h.silent[0] = h.silent[1] = 1;
+	h.unreported[0] = h.unreported[1] = 1;
 	h.ack = 0;
 	report(&h, MS(3100));
 	report(&h2, MS(3110));
@@ -304,8 +306,8 @@
 static void
 stopping_host_hands_over(void)
 {
-	struct say h = {.host = "h1", .boot = 1};
-	struct say h2 = {.host = "h2", .boot = 2};
+	struct host_report h = {.host = "h1", .boot = 1};
+	struct host_report h2 = {.host = "h2", .boot = 2};
 
 	start(&h);
 	CU_ASSERT(cell_handed_over(&c));
@@ -314,7 +316,7 @@
 	report(&h, MS(3100));
 	report(&h, MS(3150));
 	CU_ASSERT_EQUAL(h.nduties, 0);
-	h.silent[0] = h.silent[1] = 1;
+	h.unreported[0] = h.unreported[1] = 1;
 	report(&h, MS(3200));
 	CU_ASSERT(!cell_handed_over(&c));
 	report(&h2, MS(3210));
@@ -329,14 +331,14 @@
 static void
 leaving_target_drains(void)
 {
-	struct say h = {.host = "h1", .boot = 1};
+	struct host_report h = {.host = "h1", .boot = 1};
 	Gspar__Freed f = GSPAR__FREED__INIT;
 	uint32_t shards[8], i;
 
 	start(&h);
 	configure(",\"leaving\":true");
 	report(&h, MS(3100));
-	CU_ASSERT_EQUAL(owned_by("t1"), 4);
+	CU_ASSERT_EQUAL(count_owned("t1"), 4);
 	for (i = 0; i < 8; i++)
 		shards[i] = i;
 	f.service = (char *)"s";
@@ -346,35 +348,35 @@
 	f.view = c.term << 32 | (c.view_seq - 1);
 	h.freed = &f;
 	report(&h, MS(3150));
-	CU_ASSERT_EQUAL(owned_by("t1"), 4);
+	CU_ASSERT_EQUAL(count_owned("t1"), 4);
 	f.view = c.term << 32 | c.view_seq;
 	report(&h, MS(3200));
 	report(&h, MS(3250));
-	CU_ASSERT_EQUAL(owned_by("t2"), 8);
+	CU_ASSERT_EQUAL(count_owned("t2"), 8);
 }
 
 /* A write whose answer was lost is recognized by its id and not repeated. */
 static void
-lost_answer(void)
+lost_write_answer(void)
 {
-	struct say h = {.host = "h1", .boot = 1};
+	struct host_report h = {.host = "h1", .boot = 1};
 	uint64_t version;
 
 	start(&h);
-	version = plat.version;
+	version = platform.version;
 	h.down[0] = 1;
 	c.targets[0].granted = 0;
 	c.targets[0].up = 0;
 	c.targets[0].reported = 1;
 	cell_tick(&c, MS(3100), 1, 1);
-	CU_ASSERT_PTR_NOT_NULL(plat.put);
-	CU_ASSERT(land());
+	CU_ASSERT_PTR_NOT_NULL(platform.put);
+	CU_ASSERT(apply_write());
 	cell_put_ended(&c, MS(3110), "s", PUT_LOST, 0);
-	CU_ASSERT_EQUAL(owned_by("t2"), 4);
+	CU_ASSERT_EQUAL(count_owned("t2"), 4);
 	cell_tick(&c, MS(3400), 1, 1);
-	serve(MS(3410));
-	CU_ASSERT_EQUAL(owned_by("t2"), 8);
-	CU_ASSERT_EQUAL(plat.version, version + 1);
+	platform_answer(MS(3410));
+	CU_ASSERT_EQUAL(count_owned("t2"), 8);
+	CU_ASSERT_EQUAL(platform.version, version + 1);
 }
 
 /*
@@ -382,36 +384,36 @@
  * platform refuses a delayed write of an earlier controller.
  */
 static void
-claim_kills_earlier_writes(void)
+claim_blocks_earlier_writes(void)
 {
-	struct say h = {.host = "h1", .boot = 1};
+	struct host_report h = {.host = "h1", .boot = 1};
 	uint64_t base;
 
 	start(&h);
-	base = plat.version;
+	base = platform.version;
 	cell_end(&c);
 	cell_begin(&c, 2, MS(4000));
 	CU_ASSERT(!cell_ready(&c));
 	cell_tick(&c, MS(4010), 0, 0);
-	serve(MS(4020));
+	platform_answer(MS(4020));
 	cell_tick(&c, MS(4300), 0, 0);
-	serve(MS(4310));
+	platform_answer(MS(4310));
 	CU_ASSERT(cell_ready(&c));
-	CU_ASSERT(plat.version > base);
+	CU_ASSERT(platform.version > base);
 	/* The reported dispatchers are kept; no shard has moved. */
-	plat.changes = 0;
+	platform.changes = 0;
 	report(&h, MS(4320));
 	/* Routers are notified: without a view they have no routes. */
-	CU_ASSERT(plat.changes > 0);
+	CU_ASSERT(platform.changes > 0);
 	CU_ASSERT_EQUAL(h.nduties, 2);
-	CU_ASSERT_EQUAL(owned_by("t1"), 4);
+	CU_ASSERT_EQUAL(count_owned("t1"), 4);
 }
 
 /* Reports name only the target, so no two services may share its name. */
 static void
-names_are_of_one_service(void)
+target_names_are_unique(void)
 {
-	struct say h = {.host = "h1", .boot = 1};
+	struct host_report h = {.host = "h1", .boot = 1};
 	struct entry e;
 	struct target_conf t = {.name = "t1"};
 
@@ -431,7 +433,7 @@
 
 /* Lets a host of a data centre send a report without targets. */
 static void
-heard_in(const char *host, uint64_t boot, const char *dc, usec now)
+report_from(const char *host, uint64_t boot, const char *dc, usec now)
 {
 	Gspar__LeaseAsk ask = GSPAR__LEASE_ASK__INIT;
 
@@ -445,18 +447,18 @@
  * hosts: a controller cut off with all its standbys would never be replaced.
  */
 static void
-one_standby_elsewhere(void)
+standby_in_other_dc(void)
 {
-	struct say h = {.host = "h1", .boot = 1};
+	struct host_report h = {.host = "h1", .boot = 1};
 	struct member got[STANDBYS];
 	struct record r = {.term = 1};
 
 	start(&h);
 	report(&h, MS(3000));
-	heard_in("h2", 2, "a", MS(3000));
-	heard_in("h3", 3, "a", MS(3000));
-	heard_in("h4", 4, "b", MS(3000));
-	heard_in("h5", 5, "b", MS(3000));
+	report_from("h2", 2, "a", MS(3000));
+	report_from("h3", 3, "a", MS(3000));
+	report_from("h4", 4, "b", MS(3000));
+	report_from("h5", 5, "b", MS(3000));
 	r.nstandby = 2;
 	r.standby[0] = (struct member){"h2", 2, ""};
 	r.standby[1] = (struct member){"h3", 3, ""};
@@ -474,7 +476,7 @@
 static void
 shards_are_fixed(void)
 {
-	struct say h = {.host = "h1", .boot = 1};
+	struct host_report h = {.host = "h1", .boot = 1};
 	struct entry e;
 	struct target_conf t = {.name = "t1"};
 
@@ -491,42 +493,42 @@
 
 /* The log tells why a shard was moved for balance. */
 static void
-balance_is_told(void)
+balance_is_logged(void)
 {
-	struct say h = {.host = "h1", .boot = 1};
+	struct host_report h = {.host = "h1", .boot = 1};
 	usec now;
 
 	start(&h);
-	balance[0] = '\0';
+	balance_event[0] = '\0';
 	h.busy[0] = 1;
 	h.busy[1] = 1;
 	for (now = MS(3000); now < MS(4000); now += MS(50))
 		report(&h, now);
-	CU_ASSERT_STRING_EQUAL(balance, "");
+	CU_ASSERT_STRING_EQUAL(balance_event, "");
 	h.busy[0] = 900;
-	for (; now < MS(6000) && balance[0] == '\0'; now += MS(50))
+	for (; now < MS(6000) && balance_event[0] == '\0'; now += MS(50))
 		report(&h, now);
 	CU_ASSERT_PTR_NOT_NULL(
-	    strstr(balance, "s: balance moves 1, first shard "));
-	CU_ASSERT_PTR_NOT_NULL(strstr(balance, " from t1 ("));
-	CU_ASSERT_PTR_NOT_NULL(strstr(balance, " to t2 (0.00 of "));
-	CU_ASSERT_PTR_NOT_NULL(strstr(balance, " times the mean"));
+	    strstr(balance_event, "s: balance moves 1, first shard "));
+	CU_ASSERT_PTR_NOT_NULL(strstr(balance_event, " from t1 ("));
+	CU_ASSERT_PTR_NOT_NULL(strstr(balance_event, " to t2 (0.00 of "));
+	CU_ASSERT_PTR_NOT_NULL(strstr(balance_event, " times the mean"));
 }
 
 static const struct unit_test tests[] = {
     {"places evenly", places_evenly},
-    {"lost target is replaced", lost_target_is_replaced},
-    {"dead host is waited for", dead_host_is_waited_for},
-    {"lapsed host comes back", lapsed_host_comes_back},
-    {"early silence is no release", early_silence_is_no_release},
+    {"lost target reassigned", lost_target_reassigned},
+    {"dead host lease awaited", dead_host_lease_awaited},
+    {"lapsed host gets duties", lapsed_host_gets_duties},
+    {"early request is no release", early_request_is_no_release},
     {"stopping host hands over", stopping_host_hands_over},
     {"leaving target drains", leaving_target_drains},
-    {"lost answer", lost_answer},
-    {"claim kills earlier writes", claim_kills_earlier_writes},
-    {"names are of one service", names_are_of_one_service},
-    {"one standby elsewhere", one_standby_elsewhere},
+    {"lost write answer", lost_write_answer},
+    {"claim blocks earlier writes", claim_blocks_earlier_writes},
+    {"target names are unique", target_names_are_unique},
+    {"standby in other dc", standby_in_other_dc},
     {"shards are fixed", shards_are_fixed},
-    {"balance is told", balance_is_told},
+    {"balance is logged", balance_is_logged},
 };
 
 int
@@ -535,7 +537,7 @@
 	int res = unit_run("cell", tests, sizeof(tests) / sizeof(tests[0]));
 
 	cell_free(&c);
-	free(plat.json);
-	free(plat.put);
+	free(platform.json);
+	free(platform.put);
 	return (res);
 }
--- a/regress/unit/t_grant.c
+++ b/regress/unit/t_grant.c
@@ -6,7 +6,7 @@
 
 /* Sends the next message, which the target answers at once. */
 static enum grant_step
-step(struct grant *g, usec now, usec lease, int64_t *until)
+send_next(struct grant *g, usec now, usec lease, int64_t *until)
 {
 	enum grant_step s = grant_next(g, now, lease, until);
 
@@ -17,22 +17,22 @@
 
 /* Reads the clock first, then grants all shards, then renews. */
 static void
-in_order(void)
+message_order(void)
 {
 	struct grant g;
 	int64_t until = 0;
 
 	grant_init(&g, &conf, 1, MS(0));
-	CU_ASSERT_EQUAL(step(&g, MS(300), MS(9000), &until), STEP_CLOCK);
-	CU_ASSERT_EQUAL(step(&g, MS(301), MS(9000), &until), STEP_FULL);
+	CU_ASSERT_EQUAL(send_next(&g, MS(300), MS(9000), &until), STEP_CLOCK);
+	CU_ASSERT_EQUAL(send_next(&g, MS(301), MS(9000), &until), STEP_FULL);
 	CU_ASSERT(until > 1000000 + MS(301));
 	CU_ASSERT(until <= 1000000 + MS(301 + 900));
 	CU_ASSERT(grant_serves(&g, MS(302)));
-	CU_ASSERT_EQUAL(step(&g, MS(302), MS(9000), &until), STEP_NONE);
-	CU_ASSERT_EQUAL(step(&g, MS(501), MS(9000), &until), STEP_RENEW);
+	CU_ASSERT_EQUAL(send_next(&g, MS(302), MS(9000), &until), STEP_NONE);
+	CU_ASSERT_EQUAL(send_next(&g, MS(501), MS(9000), &until), STEP_RENEW);
 	g.want++;
 	CU_ASSERT(!grant_serves(&g, MS(502)));
-	CU_ASSERT_EQUAL(step(&g, MS(502), MS(9000), &until), STEP_FULL);
+	CU_ASSERT_EQUAL(send_next(&g, MS(502), MS(9000), &until), STEP_FULL);
 }
 
 /* No grant outlives the host's lease, and none is sent after it. */
@@ -43,10 +43,10 @@
 	int64_t until = 0;
 
 	grant_init(&g, &conf, 1, 0);
-	step(&g, MS(300), MS(1000), &until);
-	CU_ASSERT_EQUAL(step(&g, MS(700), MS(1000), &until), STEP_FULL);
+	send_next(&g, MS(300), MS(1000), &until);
+	CU_ASSERT_EQUAL(send_next(&g, MS(700), MS(1000), &until), STEP_FULL);
 	CU_ASSERT(until <= 1000000 + MS(1000));
-	CU_ASSERT_EQUAL(step(&g, MS(1001), MS(1000), &until), STEP_NONE);
+	CU_ASSERT_EQUAL(send_next(&g, MS(1001), MS(1000), &until), STEP_NONE);
 	CU_ASSERT(!grant_serves(&g, MS(1001)));
 }
 
@@ -55,15 +55,15 @@
  * granted to it before a later epoch.
  */
 static void
-thawed_target_gets_nothing(void)
+thawed_target_stays_inactive(void)
 {
 	struct grant g;
 	int64_t until = 0;
 	usec now;
 
 	grant_init(&g, &conf, 1, 0);
-	step(&g, MS(300), MS(99000), &until);
-	step(&g, MS(301), MS(99000), &until);
+	send_next(&g, MS(300), MS(99000), &until);
+	send_next(&g, MS(301), MS(99000), &until);
 	for (now = MS(501); now < MS(2000); now += MS(50)) {
 		if (grant_next(&g, now, MS(99000), &until) != STEP_NONE)
 			grant_failed(&g, now);
@@ -73,12 +73,12 @@
 	CU_ASSERT_EQUAL(g.phase, GRANT_DORMANT);
 	CU_ASSERT(!grant_live(&g, now));
 	CU_ASSERT(now > MS(301 + 890));
-	CU_ASSERT_EQUAL(step(&g, MS(3000), MS(99000), &until), STEP_CLOCK);
-	CU_ASSERT_EQUAL(step(&g, MS(3300), MS(99000), &until), STEP_CLOCK);
+	CU_ASSERT_EQUAL(send_next(&g, MS(3000), MS(99000), &until), STEP_CLOCK);
+	CU_ASSERT_EQUAL(send_next(&g, MS(3300), MS(99000), &until), STEP_CLOCK);
 	CU_ASSERT(!grant_serves(&g, MS(3300)));
 	grant_epoch(&g, 2, MS(3400));
-	step(&g, MS(3600), MS(99000), &until);
-	CU_ASSERT_EQUAL(step(&g, MS(3900), MS(99000), &until), STEP_FULL);
+	send_next(&g, MS(3600), MS(99000), &until);
+	CU_ASSERT_EQUAL(send_next(&g, MS(3900), MS(99000), &until), STEP_FULL);
 	CU_ASSERT(grant_serves(&g, MS(3901)));
 }
 
@@ -90,12 +90,12 @@
 	int64_t until = 0;
 
 	grant_init(&g, &conf, 1, 0);
-	step(&g, MS(300), MS(99000), &until);
-	step(&g, MS(301), MS(99000), &until);
+	send_next(&g, MS(300), MS(99000), &until);
+	send_next(&g, MS(301), MS(99000), &until);
 	CU_ASSERT_EQUAL(grant_next(&g, MS(600), MS(99000), &until), STEP_RENEW);
 	grant_heard(&g, MS(600), STEP_RENEW, 0, 77, 6);
 	CU_ASSERT(!grant_serves(&g, MS(601)));
-	CU_ASSERT_EQUAL(step(&g, MS(801), MS(99000), &until), STEP_FULL);
+	CU_ASSERT_EQUAL(send_next(&g, MS(801), MS(99000), &until), STEP_FULL);
 }
 
 /*
@@ -104,47 +104,47 @@
  * or the target refuses them as old.
  */
 static void
-duty_taken_on_again(void)
+duty_given_again(void)
 {
 	struct grant a, b;
 	int64_t until = 0;
 
 	grant_init(&a, &conf, 1, MS(0));
-	step(&a, MS(300), MS(99000), &until);
-	step(&a, MS(301), MS(99000), &until);
-	step(&a, MS(601), MS(99000), &until);
+	send_next(&a, MS(300), MS(99000), &until);
+	send_next(&a, MS(301), MS(99000), &until);
+	send_next(&a, MS(601), MS(99000), &until);
 	grant_init(&b, &conf, 1, MS(700));
-	step(&b, MS(950), MS(99000), &until);
-	CU_ASSERT_EQUAL(step(&b, MS(951), MS(99000), &until), STEP_FULL);
+	send_next(&b, MS(950), MS(99000), &until);
+	CU_ASSERT_EQUAL(send_next(&b, MS(951), MS(99000), &until), STEP_FULL);
 	CU_ASSERT(b.seq > a.seq);
 }
 
 /* While an unanswered grant may still arrive, no release is certain. */
 static void
-lost_grant_leaves_doubt(void)
+lost_grant_delays_release(void)
 {
 	struct grant g;
 	int64_t until = 0;
 
 	grant_init(&g, &conf, 1, 0);
-	step(&g, MS(300), MS(99000), &until);
-	step(&g, MS(301), MS(99000), &until);
+	send_next(&g, MS(300), MS(99000), &until);
+	send_next(&g, MS(301), MS(99000), &until);
 	CU_ASSERT(grant_exact(&g, MS(302)));
 	g.want++;
 	CU_ASSERT_EQUAL(grant_next(&g, MS(600), MS(99000), &until), STEP_FULL);
 	grant_failed(&g, MS(900));
-	CU_ASSERT_EQUAL(step(&g, MS(901), MS(99000), &until), STEP_CLOCK);
-	CU_ASSERT_EQUAL(step(&g, MS(902), MS(99000), &until), STEP_FULL);
+	CU_ASSERT_EQUAL(send_next(&g, MS(901), MS(99000), &until), STEP_CLOCK);
+	CU_ASSERT_EQUAL(send_next(&g, MS(902), MS(99000), &until), STEP_FULL);
 	CU_ASSERT(!grant_exact(&g, MS(903)));
 	CU_ASSERT(grant_exact(&g, MS(1502)));
 }
 
 static const struct unit_test tests[] = {
-    {"in order", in_order},
+    {"message order", message_order},
     {"within the lease", within_the_lease},
-    {"thawed target gets nothing", thawed_target_gets_nothing},
+    {"thawed target stays inactive", thawed_target_stays_inactive},
     {"restart is noticed", restart_is_noticed},
-    {"duty taken on again", duty_taken_on_again},
-    {"lost grant leaves doubt", lost_grant_leaves_doubt},
+    {"duty given again", duty_given_again},
+    {"lost grant delays release", lost_grant_delays_release},
 };
 UNIT_MAIN("grant", tests)
--- a/regress/unit/t_once.c
+++ b/regress/unit/t_once.c
@@ -41,7 +41,7 @@
 
 /* The ticket of a request that did not run may be used again. */
 static void
-not_run_may_run(void)
+unused_again_after_no_run(void)
 {
 	struct once o;
 	char t[TICKET_TEXT];
@@ -62,7 +62,7 @@
  * of the old one was used, and must not run its request again.
  */
 static void
-strange_table_cannot_vouch(void)
+ticket_of_another_table(void)
 {
 	struct once a, b;
 	char t[TICKET_TEXT];
@@ -80,7 +80,7 @@
 
 /* The request of an evicted ticket is not run again either. */
 static void
-forgotten_is_strange(void)
+evicted_is_unknown(void)
 {
 	struct once o;
 	char t[20][TICKET_TEXT];
@@ -103,7 +103,7 @@
 
 /* A running request is never evicted: a new one for its entry is refused. */
 static void
-running_is_never_forgotten(void)
+running_is_never_evicted(void)
 {
 	struct once o;
 	char t[9][TICKET_TEXT];
@@ -140,10 +140,10 @@
 
 static const struct unit_test tests[] = {
     {"runs, joins, replays", runs_joins_replays},
-    {"not run may run", not_run_may_run},
-    {"strange table cannot vouch", strange_table_cannot_vouch},
-    {"forgotten is strange", forgotten_is_strange},
-    {"running is never forgotten", running_is_never_forgotten},
+    {"unused again after no run", unused_again_after_no_run},
+    {"ticket of another table", ticket_of_another_table},
+    {"evicted is unknown", evicted_is_unknown},
+    {"running is never evicted", running_is_never_evicted},
     {"bad tickets", bad_tickets},
 };
 UNIT_MAIN("once", tests)
--- a/regress/unit/t_queue.c
+++ b/regress/unit/t_queue.c
@@ -6,7 +6,7 @@
 #include "unit.h"
 
 static int
-any(const struct job *j, void *arg)
+accept_any(const struct job *j, void *arg)
 {
 	return (1);
 }
@@ -18,7 +18,7 @@
 }
 
 static struct job
-job(uint64_t caller, usec deadline, int is_long)
+make_job(uint64_t caller, usec deadline, int is_long)
 {
 	struct job j;
 
@@ -34,8 +34,8 @@
 bounded(void)
 {
 	struct queue q;
-	struct job j[3] = {
-	    job(1, MS(9999), 0), job(1, MS(9999), 0), job(1, MS(9999), 0)};
+	struct job j[3] = {make_job(1, MS(9999), 0), make_job(1, MS(9999), 0),
+	    make_job(1, MS(9999), 0)};
 	usec retry;
 
 	queue_init(&q, 1, 2);
@@ -47,7 +47,7 @@
 
 /* A job that cannot start in time is refused at once, not at its deadline. */
 static void
-refuses_what_cannot_start(void)
+refuses_late_starts(void)
 {
 	struct queue q;
 	struct job j[12];
@@ -57,22 +57,22 @@
 	queue_init(&q, 1, 100);
 	q.mean[0] = MS(100);
 	for (i = 0; i < 10; i++) {
-		j[i] = job(1, MS(99999), 0);
+		j[i] = make_job(1, MS(99999), 0);
 		CU_ASSERT_EQUAL(queue_add(&q, &j[i], 0, &retry), GS_OK);
 	}
-	j[10] = job(1, MS(500), 0);
+	j[10] = make_job(1, MS(500), 0);
 	CU_ASSERT_EQUAL(queue_add(&q, &j[10], 0, &retry), GS_TOO_LATE);
 	CU_ASSERT(retry >= MS(1000));
 }
 
 /* Long jobs never occupy the last slot. */
 static void
-keeps_a_slot(void)
+reserves_a_slot(void)
 {
 	struct queue q;
-	struct job l[3] = {
-	    job(1, MS(9999), 1), job(1, MS(9999), 1), job(1, MS(9999), 1)};
-	struct job s = job(2, MS(9999), 0);
+	struct job l[3] = {make_job(1, MS(9999), 1), make_job(1, MS(9999), 1),
+	    make_job(1, MS(9999), 1)};
+	struct job s = make_job(2, MS(9999), 0);
 	usec retry;
 	int i;
 
@@ -80,13 +80,13 @@
 	for (i = 0; i < 3; i++)
 		queue_add(&q, &l[i], 0, &retry);
 	queue_add(&q, &s, 0, &retry);
-	CU_ASSERT_PTR_EQUAL(queue_next(&q, 0, any, NULL), &s);
-	CU_ASSERT_PTR_EQUAL(queue_next(&q, 0, any, NULL), &l[0]);
-	CU_ASSERT_PTR_NULL(queue_next(&q, 0, any, NULL));
+	CU_ASSERT_PTR_EQUAL(queue_next(&q, 0, accept_any, NULL), &s);
+	CU_ASSERT_PTR_EQUAL(queue_next(&q, 0, accept_any, NULL), &l[0]);
+	CU_ASSERT_PTR_NULL(queue_next(&q, 0, accept_any, NULL));
 	queue_done(&q, &s, MS(1));
-	CU_ASSERT_PTR_NULL(queue_next(&q, 0, any, NULL));
+	CU_ASSERT_PTR_NULL(queue_next(&q, 0, accept_any, NULL));
 	queue_done(&q, &l[0], MS(1));
-	CU_ASSERT_PTR_EQUAL(queue_next(&q, 0, any, NULL), &l[1]);
+	CU_ASSERT_PTR_EQUAL(queue_next(&q, 0, accept_any, NULL), &l[1]);
 }
 
 /* Waiting short and long jobs get half of the slot time each, in any order. */
@@ -102,15 +102,15 @@
 	q.mean[0] = MS(1);
 	q.mean[1] = MS(10);
 	for (i = 0; i < 20; i++) {
-		l[i] = job(1, MS(99999), 1);
+		l[i] = make_job(1, MS(99999), 1);
 		queue_add(&q, &l[i], 0, &retry);
 	}
 	for (i = 0; i < 200; i++) {
-		s[i] = job(2, MS(99999), 0);
+		s[i] = make_job(2, MS(99999), 0);
 		queue_add(&q, &s[i], 0, &retry);
 	}
 	for (i = 0; i < 110; i++) {
-		j = queue_next(&q, 0, any, NULL);
+		j = queue_next(&q, 0, accept_any, NULL);
 		used[j->is_long] += j->is_long ? MS(10) : MS(1);
 		queue_done(&q, j, 0);
 	}
@@ -120,7 +120,7 @@
 
 /* A job that would wait over a quarter of its time is refused at once. */
 static void
-waits_a_share_of_its_time(void)
+limits_the_wait(void)
 {
 	struct queue q;
 	struct job j[40];
@@ -130,7 +130,7 @@
 	queue_init(&q, 1, 1000);
 	q.mean[0] = MS(10);
 	for (i = 0; i < 40; i++) {
-		j[i] = job(1, MS(400), 0);
+		j[i] = make_job(1, MS(400), 0);
 		n += queue_add(&q, &j[i], 0, &retry) == GS_OK;
 	}
 	/* The first has a free slot; nine more of 10 ms fit into 100 ms. */
@@ -142,19 +142,19 @@
 fair_among_callers(void)
 {
 	struct queue q;
-	struct job a[100], b = job(2, MS(9999), 0);
+	struct job a[100], b = make_job(2, MS(9999), 0);
 	usec retry;
 	int i, first = -1;
 
 	queue_init(&q, 1, 200);
 	q.mean[0] = 1;
 	for (i = 0; i < 100; i++) {
-		a[i] = job(1, MS(9999), 0);
+		a[i] = make_job(1, MS(9999), 0);
 		queue_add(&q, &a[i], 0, &retry);
 	}
 	queue_add(&q, &b, 0, &retry);
 	for (i = 0; i < 101 && first < 0; i++) {
-		struct job *j = queue_next(&q, 0, any, NULL);
+		struct job *j = queue_next(&q, 0, accept_any, NULL);
 
 		if (j == &b)
 			first = i;
@@ -165,10 +165,10 @@
 
 /* Jobs of a moving shard wait; later jobs of other shards overtake them. */
 static void
-moving_shards_wait(void)
+jobs_of_moving_shards_wait(void)
 {
 	struct queue q;
-	struct job a = job(1, MS(9999), 0), b = job(1, MS(9999), 0);
+	struct job a = make_job(1, MS(9999), 0), b = make_job(1, MS(9999), 0);
 	int moving = 5;
 	usec retry;
 
@@ -179,33 +179,33 @@
 	queue_add(&q, &b, 0, &retry);
 	CU_ASSERT_PTR_EQUAL(queue_next(&q, 0, not_shard, &moving), &b);
 	CU_ASSERT_PTR_NULL(queue_next(&q, 0, not_shard, &moving));
-	CU_ASSERT_PTR_EQUAL(queue_next(&q, 0, any, NULL), &a);
+	CU_ASSERT_PTR_EQUAL(queue_next(&q, 0, accept_any, NULL), &a);
 }
 
 /* A job past its deadline never starts and is returned as expired. */
 static void
-late_jobs_do_not_start(void)
+expired_jobs_do_not_start(void)
 {
 	struct queue q;
-	struct job a = job(1, MS(100), 0);
+	struct job a = make_job(1, MS(100), 0);
 	usec retry;
 
 	queue_init(&q, 4, 10);
 	queue_add(&q, &a, 0, &retry);
 	CU_ASSERT_PTR_NULL(queue_late(&q, MS(99)));
-	CU_ASSERT_PTR_NULL(queue_next(&q, MS(100), any, NULL));
+	CU_ASSERT_PTR_NULL(queue_next(&q, MS(100), accept_any, NULL));
 	CU_ASSERT_PTR_EQUAL(queue_late(&q, MS(100)), &a);
 	CU_ASSERT_EQUAL(q.count, 0);
 }
 
 static const struct unit_test tests[] = {
     {"bounded", bounded},
-    {"refuses what cannot start", refuses_what_cannot_start},
-    {"keeps a slot", keeps_a_slot},
+    {"refuses late starts", refuses_late_starts},
+    {"reserves a slot", reserves_a_slot},
     {"shares slot time", shares_slot_time},
-    {"waits a share of its time", waits_a_share_of_its_time},
+    {"limits the wait", limits_the_wait},
     {"fair among callers", fair_among_callers},
-    {"moving shards wait", moving_shards_wait},
-    {"late jobs do not start", late_jobs_do_not_start},
+    {"jobs of moving shards wait", jobs_of_moving_shards_wait},
+    {"expired jobs do not start", expired_jobs_do_not_start},
 };
 UNIT_MAIN("queue", tests)
