--- a/decide/cell_plan.c
+++ b/decide/cell_plan.c
@@ -58,8 +58,8 @@
 }
 
 /*
- * Loads an assignment as read from the platform; *id is set to its write id.
- * If json is NULL there is none yet, and no shard has an owner.
+ * Loads an assignment as read from the platform and sets *id to its write id.
+ * If json is NULL there is none yet: no shard has an owner, *id stays as it is.
  */
 void
 plan_load(struct cell *c, struct cell_service *s, const char *json, size_t n,
