--- a/regress/unit/t_cell.c
+++ b/regress/unit/t_cell.c
@@ -97,10 +97,10 @@
 struct host_report {
 	const char *host;
 	uint64_t boot;
-	int down[2];	   /* reported down and inactive */
-	int inactive[2];   /* answering again, nothing granted */
-	int unreported[2]; /* not reported */
-	uint32_t busy[2];  /* thousandths of a slot; 0: not reported */
+	int down[2];	 /* reported down and inactive */
+	int inactive[2]; /* answering again, nothing granted */
+	int unreported[2];
+	uint32_t busy[2]; /* thousandths of a slot; 0: not reported */
 	uint64_t epoch[2];
 	uint64_t ack;
 	int stopping;
@@ -113,19 +113,19 @@
 report(struct host_report *h, usec now)
 {
 	static char *names[] = {(char *)"t1", (char *)"t2"};
-	Gspar__LeaseAsk ask = GSPAR__LEASE_ASK__INIT;
-	Gspar__LeaseGive give = GSPAR__LEASE_GIVE__INIT;
+	Gspar__LeaseAsk req = GSPAR__LEASE_ASK__INIT;
+	Gspar__LeaseGive reply = GSPAR__LEASE_GIVE__INIT;
 	Gspar__TargetState ts[2], *list[2];
 	Gspar__Freed *freed = (Gspar__Freed *)h->freed;
 	Gspar__Duty duties[4];
 	int i, n;
 
-	ask.boot = h->boot;
-	ask.dc = (char *)"a";
-	ask.seq = ++seq;
-	ask.ack = h->ack;
-	ask.stopping = h->stopping;
-	ask.targets = list;
+	req.boot = h->boot;
+	req.dc = (char *)"a";
+	req.seq = ++seq;
+	req.ack = h->ack;
+	req.stopping = h->stopping;
+	req.targets = list;
 	for (i = 0; i < 2; i++) {
 		if (h->unreported[i] || h->epoch[i] == 0)
 			continue;
@@ -140,12 +140,12 @@
 			ts[i].freed = &freed;
 			ts[i].n_freed = 1;
 		}
-		list[ask.n_targets++] = &ts[i];
+		list[req.n_targets++] = &ts[i];
 	}
-	cell_asked(&c, now, h->host, &ask);
+	cell_asked(&c, now, h->host, &req);
 	cell_tick(&c, now, 1, 1);
 	platform_answer(now);
-	n = cell_give(&c, now, h->host, &ask, &give, duties, 4);
+	n = cell_give(&c, now, h->host, &req, &reply, duties, 4);
 	h->nduties = n;
 	for (i = 0; i < n; i++)
 		h->epoch[strcmp(duties[i].target, "t2") == 0] = duties[i].epoch;
@@ -435,11 +435,11 @@
 static void
 report_from(const char *host, uint64_t boot, const char *dc, usec now)
 {
-	Gspar__LeaseAsk ask = GSPAR__LEASE_ASK__INIT;
+	Gspar__LeaseAsk req = GSPAR__LEASE_ASK__INIT;
 
-	ask.boot = boot;
-	ask.dc = (char *)dc;
-	cell_asked(&c, now, host, &ask);
+	req.boot = boot;
+	req.dc = (char *)dc;
+	cell_asked(&c, now, host, &req);
 }
 
 /*
