--- a/decide/cell.c
+++ b/decide/cell.c
@@ -7,27 +7,27 @@
 #include "cell_plan.h"
 #include "lease.h"
 
-/* How much longer than a host lease the first placement waits. */
-#define PATIENCE MS(700)
-/* A host unheard for so many renewals gets no new duty. */
-#define QUIET_RENEWALS 2
-/* Bits of an epoch below the term. */
+/* Time in addition to a host lease that the first placement waits. */
+#define PLACEMENT_WAIT MS(700)
+/* A host silent for this many renewal intervals gets no new duty. */
+#define MAX_MISSED_RENEWALS 2
+/* Low bits of an epoch, which count within a term. */
 #define EPOCH_BITS 24
 
-/* Prepares an inactive cell. */
+/* Initializes an inactive cell; cb must outlive it. */
 void
 cell_init(struct cell *c, const char *name, const struct cell_conf_times *times,
-    const struct cell_out *out, void *arg, uint64_t seed)
+    const struct cell_out *cb, void *arg, uint64_t seed)
 {
 	memset(c, 0, sizeof(*c));
 	name_copy(c->name, sizeof(c->name), name);
 	c->times = *times;
-	c->out = out;
+	c->cb = cb;
 	c->arg = arg;
 	c->seed = seed;
 }
 
-/* Frees what the services hold. */
+/* Frees the arrays of all services. */
 void
 cell_free(struct cell *c)
 {
@@ -40,7 +40,7 @@
 		free(s->fence);
 		free(s->next);
 		free(s->next_fence);
-		free(s->flag_seq);
+		free(s->move_seq);
 		free(s->freed);
 		free(s->load);
 		free(s->write.owner);
@@ -51,7 +51,7 @@
 	c->nservices = 0;
 }
 
-/* A service of the cell by name, or NULL. */
+/* Returns a service of the cell by name, or NULL. */
 struct cell_service *
 cell_service(struct cell *c, const char *name)
 {
@@ -65,8 +65,9 @@
 }
 
 /*
- * The target that serves a shard by what is in force, or NOBODY, and the
- * fence it serves under (where fence is not NULL).
+ * Returns the index of the target that serves a shard now, or NOBODY, and in
+ * *fence (unless NULL) the fence that it serves under.  A moving shard is
+ * served by the next target as soon as its owner has released it.
  */
 int
 cell_serves(const struct cell_service *s, uint32_t n, uint64_t *fence)
@@ -78,7 +79,7 @@
 	return (moved ? s->next[n] : s->owner[n]);
 }
 
-/* The index of a target of a service by name, or NOBODY. */
+/* Returns the index of a service's target by name, or NOBODY. */
 static int
 find_target(const struct cell *c, int service, const char *name)
 {
@@ -92,7 +93,7 @@
 	return (NOBODY);
 }
 
-/* Adds a target, or finds the one there is; NOBODY where there is no room. */
+/* Finds or adds a target; returns its index, or NOBODY if the table is full. */
 int
 cell_add_target(struct cell *c, int service, const char *name)
 {
@@ -109,14 +110,14 @@
 	name_copy(t->conf.name, sizeof(t->conf.name), name);
 	t->conf.slots = 1;
 	t->service = service;
-	t->gone = 1;
+	t->removed = 1;
 	t->disp = NOBODY;
 	return (c->ntargets++);
 }
 
-/* Makes room for a service's shards; 0, or -1 without memory. */
+/* Allocates a service's arrays; returns 0, or -1 if out of memory. */
 static int
-make_service(
+init_service(
     struct cell_service *s, const char *name, uint32_t first, uint32_t shards)
 {
 	uint32_t i;
@@ -128,7 +129,7 @@
 	s->fence = calloc(shards, sizeof(*s->fence));
 	s->next = calloc(shards, sizeof(*s->next));
 	s->next_fence = calloc(shards, sizeof(*s->next_fence));
-	s->flag_seq = calloc(shards, sizeof(*s->flag_seq));
+	s->move_seq = calloc(shards, sizeof(*s->move_seq));
 	s->freed = calloc(shards, sizeof(*s->freed));
 	s->load = calloc(shards, sizeof(*s->load));
 	s->write.owner = calloc(shards, sizeof(*s->write.owner));
@@ -136,7 +137,7 @@
 	s->write.next = calloc(shards, sizeof(*s->write.next));
 	s->write.next_fence = calloc(shards, sizeof(*s->write.next_fence));
 	if (s->owner == NULL || s->fence == NULL || s->next == NULL ||
-	    s->next_fence == NULL || s->flag_seq == NULL || s->freed == NULL ||
+	    s->next_fence == NULL || s->move_seq == NULL || s->freed == NULL ||
 	    s->load == NULL || s->write.owner == NULL ||
 	    s->write.fence == NULL || s->write.next == NULL ||
 	    s->write.next_fence == NULL)
@@ -148,14 +149,15 @@
 	return (0);
 }
 
-/* True where a target of the entry bears the name of another service's. */
+/* True if another service already uses a target name of the entry. */
 static int
 name_taken(const struct cell *c, int service, const struct cell_conf *cc)
 {
 	int i;
 
 	for (i = 0; i < c->ntargets; i++) {
-		if (c->targets[i].service != service && !c->targets[i].gone &&
+		if (c->targets[i].service != service &&
+		    !c->targets[i].removed &&
 		    cell_conf_target(cc, c->targets[i].conf.name) != NULL)
 			return (1);
 	}
@@ -163,11 +165,11 @@
 }
 
 /*
- * Takes a catalogue entry in force: its shards and targets in this cell.  0;
- * or -1 without room, where a target's name is another service's (hosts speak
- * of targets by name alone), or where the entry changes the shards of a
- * service in use, which would hash keys to new owners while the old ones still
- * serve.
+ * Applies a catalogue entry: its shards and targets in this cell.  Returns 0,
+ * or -1 if there is no room, if a target's name is used by another service
+ * (hosts report targets by name alone), or if the entry changes the shards of
+ * a service in use, which would hash keys to new owners while the old ones
+ * still serve them.
  */
 int
 cell_configure(struct cell *c, const struct entry *e)
@@ -189,33 +191,33 @@
 		if (c->nservices == CELL_SERVICES)
 			return (-1);
 		s = &c->services[c->nservices++];
-		if (make_service(
+		if (init_service(
 			s, e->name, cc->first, cc->last - cc->first + 1) != 0)
 			return (-1);
 	}
 	if (s->first != cc->first || s->shards != cc->last - cc->first + 1)
 		return (-1);
 	s->weigh = e->weigh;
-	/* Cells may be cut off from each other: each has a fixed part. */
+	/* Cells may lose contact with each other: each has a fixed share. */
 	s->limit = (double)e->rate * s->shards / e->shards;
 	k = (int)(s - c->services);
 	for (i = 0; i < c->ntargets; i++) {
 		if (c->targets[i].service == k)
-			c->targets[i].gone = 1;
+			c->targets[i].removed = 1;
 	}
 	for (i = 0; i < cc->ntargets; i++) {
 		t = cell_add_target(c, k, cc->targets[i].name);
 		if (t == NOBODY)
 			return (-1);
 		c->targets[t].conf = cc->targets[i];
-		c->targets[t].gone = 0;
+		c->targets[t].removed = 0;
 	}
 	return (0);
 }
 
 /*
- * Starts controlling under a term.  Nothing an earlier controller knew is
- * used: assignments are read and claimed, hosts report what they hold.
+ * Starts controlling the cell in a term.  No state of an earlier controller
+ * is used: assignments are read and claimed, and hosts report their targets.
  */
 void
 cell_begin(struct cell *c, uint64_t term, usec now)
@@ -231,11 +233,11 @@
 	c->epochs = 0;
 	c->nhosts = 0;
 	c->settled = 0;
-	c->patient_until = now + c->times.host_lease + PATIENCE;
+	c->placement_wait_until = now + c->times.host_lease + PLACEMENT_WAIT;
 	for (i = 0; i < c->ntargets; i++) {
 		t = &c->targets[i];
 		t->disp = NOBODY;
-		t->handed = 0;
+		t->handover = 0;
 		t->epoch = 0;
 		t->reported = 0;
 		t->confirmed = 0;
@@ -243,31 +245,34 @@
 		t->up = 0;
 		t->leaving = 0;
 		t->share = (struct share){0, 0, 0};
-		/* An earlier controller may just have changed its dispatcher.
+		/*
+		 * The dispatcher may have changed under an earlier controller
+		 * just before.
 		 */
-		t->clear_at = lease_granter_end(now, c->times.host_lease);
+		t->grants_lapse_at =
+		    lease_granter_end(now, c->times.host_lease);
 	}
 	for (i = 0; i < c->nservices; i++) {
 		s = &c->services[i];
 		s->known = 0;
 		s->claimed = 0;
-		s->get_open = 0;
+		s->get_pending = 0;
 		s->next_try = now;
-		s->write.open = 0;
-		s->write.lost = 0;
+		s->write.pending = 0;
+		s->write.unknown = 0;
 		for (k = 0; k < s->shards; k++)
 			s->freed[k] = 0;
 	}
 }
 
-/* Stops controlling. */
+/* Stops controlling the cell. */
 void
 cell_end(struct cell *c)
 {
 	c->active = 0;
 }
 
-/* True once each assignment is claimed, so that a view may be given out. */
+/* True once all assignments are claimed, so that views may be published. */
 int
 cell_ready(const struct cell *c)
 {
@@ -281,10 +286,10 @@
 }
 
 /*
- * True where each target has a dispatcher that spoke of it and stays.  A
- * controller that gave control back earlier would leave targets that no host
- * speaks of to the next one, which must wait a whole host lease for their
- * dispatchers: the keys would be refused for that long.
+ * True if each target has a dispatcher that has reported it and is not
+ * stopping.  If control were returned earlier, the next controller would find
+ * targets that no host reports and would have to wait a whole host lease
+ * before it assigned dispatchers; requests would be refused for that long.
  */
 int
 cell_handed_over(const struct cell *c)
@@ -294,7 +299,7 @@
 
 	for (i = 0; i < c->ntargets; i++) {
 		t = &c->targets[i];
-		if (t->gone)
+		if (t->removed)
 			continue;
 		if (t->disp == NOBODY || !t->reported ||
 		    c->hosts[t->disp].stopping)
@@ -303,7 +308,7 @@
 	return (1);
 }
 
-/* A read of an assignment was answered. */
+/* Handles the result of reading an assignment. */
 void
 cell_got(struct cell *c, usec now, const char *service, int found,
     uint64_t version, const char *json, size_t n)
@@ -313,14 +318,14 @@
 
 	if (s == NULL || !c->active)
 		return;
-	s->get_open = 0;
-	if (s->write.open && !s->write.lost)
+	s->get_pending = 0;
+	if (s->write.pending && !s->write.unknown)
 		return;
-	if (!s->write.lost) {
+	if (!s->write.unknown) {
 		plan_load(c, s, found ? json : NULL, n, &id);
 		s->version = found ? version : 0;
 		s->known = 1;
-		/* Claim at once: hosts' leases run out meanwhile. */
+		/* Claim at once: host leases run out in the meantime. */
 		s->next_try = now;
 		return;
 	}
@@ -331,73 +336,81 @@
 		return;
 	}
 	if ((found ? version : 0) == s->version) {
-		/* It may still land; the same write again settles it. */
-		s->write.lost = 0;
-		c->out->put(c->arg, s->name, s->version, plan_json(c, s));
+		/*
+		 * The lost write may still take effect; repeating it
+		 * resolves the outcome.
+		 */
+		s->write.unknown = 0;
+		c->cb->put(c->arg, s->name, s->version, plan_json(c, s));
 		return;
 	}
 	/*
-	 * Somebody else wrote: our write is dead.  Only another controller
-	 * writes here, so what we know is not to be used any more.
+	 * Another controller, the only other writer, has changed the record:
+	 * the pending write can no longer take effect, and the local copy is
+	 * out of date.
 	 */
-	s->write.open = 0;
-	s->write.lost = 0;
+	s->write.pending = 0;
+	s->write.unknown = 0;
 	s->known = 0;
 	s->claimed = 0;
-	c->out->event(c->arg, "assignment written by another, read again");
+	c->cb->event(c->arg,
+	    "assignment was written by another controller, reading it again");
 }
 
-/* A read failed; it is tried again. */
+/* Handles a failed read, which is retried. */
 void
 cell_get_failed(struct cell *c, const char *service)
 {
 	struct cell_service *s = cell_service(c, service);
 
 	if (s != NULL)
-		s->get_open = 0;
+		s->get_pending = 0;
 }
 
-/* The outcome of the open write of an assignment. */
+/* Handles the outcome of the write of an assignment. */
 void
 cell_put_ended(struct cell *c, usec now, const char *service,
     enum put_result res, uint64_t version)
 {
 	struct cell_service *s = cell_service(c, service);
 
-	if (s == NULL || !c->active || !s->write.open)
+	if (s == NULL || !c->active || !s->write.pending)
 		return;
 	if (res == PUT_DONE)
 		plan_commit(c, s, version);
 	else
-		s->write.lost = 1;
+		s->write.unknown = 1;
 	s->next_try = now;
 }
 
-/* The next epoch: above all of this and earlier terms. */
+/* Returns the next epoch, higher than all of this and earlier terms. */
 static uint64_t
 new_epoch(struct cell *c)
 {
 	return (c->term << EPOCH_BITS | ++c->epochs);
 }
 
-/* True where the host may be given duties. */
+/* True if the host may be given duties. */
 int
-cell_host_fit(const struct cell *c, int h, usec now)
+cell_host_available(const struct cell *c, int h, usec now)
 {
 	const struct cell_host *p = &c->hosts[h];
 
-	return (p->seen && !p->stopping &&
-	    now - p->heard < QUIET_RENEWALS * c->times.renew);
+	return (p->in_use && !p->stopping &&
+	    now - p->last_heard < MAX_MISSED_RENEWALS * c->times.renew);
 }
 
-/* The fit host with the fewest targets, rather one in the data centre. */
+/*
+ * Returns the available host with the fewest targets, preferring the given
+ * data centre; NOBODY if there is none.
+ */
 static int
 pick_host(const struct cell *c, const char *dc, usec now)
 {
 	int h, i, n, score, best = NOBODY, best_score = 0;
 
 	for (h = 0; h < c->nhosts; h++) {
-		if (!cell_host_fit(c, h, now))
+		if (!cell_host_available(c, h, now))
 			continue;
 		n = 0;
 		for (i = 0; i < c->ntargets; i++)
@@ -411,7 +424,7 @@
 	return (best);
 }
 
-/* Takes back the targets of hosts whose lease has lapsed. */
+/* Removes hosts whose lease has lapsed as dispatchers of their targets. */
 static void
 tick_hosts(struct cell *c, usec now)
 {
@@ -421,8 +434,8 @@
 
 	for (i = 0; i < c->nhosts; i++) {
 		h = &c->hosts[i];
-		if (!h->seen || (h->lease_end != 0 && now < h->lease_end) ||
-		    (h->lease_end == 0 && now - h->heard < MS(5000)))
+		if (!h->in_use || (h->lease_end != 0 && now < h->lease_end) ||
+		    (h->lease_end == 0 && now - h->last_heard < MS(5000)))
 			continue;
 		used = 0;
 		for (k = 0; k < c->ntargets; k++) {
@@ -430,21 +443,24 @@
 				continue;
 			used++;
 			c->targets[k].disp = NOBODY;
-			c->targets[k].handed = 0;
+			c->targets[k].handover = 0;
 			c->targets[k].reported = 0;
 			c->targets[k].confirmed = 0;
 			c->targets[k].granted = 0;
-			c->targets[k].clear_at = now;
+			c->targets[k].grants_lapse_at = now;
 		}
 		snprintf(text, sizeof(text),
 		    "lease of %s lapsed, %d targets without dispatcher",
 		    h->who.host, used);
-		c->out->event(c->arg, text);
-		h->seen = 0;
+		c->cb->event(c->arg, text);
+		h->in_use = 0;
 	}
 }
 
-/* Gives a target without dispatcher to a host. */
+/*
+ * Assigns a dispatcher to a target that has none, or starts the handover of a
+ * target whose dispatcher is stopping.
+ */
 static void
 tick_dispatch(struct cell *c, int i, usec now, int may_dispatch, int *changed)
 {
@@ -453,42 +469,43 @@
 	int h;
 
 	if (t->disp != NOBODY) {
-		if (c->hosts[t->disp].stopping && !t->handed &&
+		if (c->hosts[t->disp].stopping && !t->handover &&
 		    pick_host(c, t->conf.dc, now) != NOBODY)
-			t->handed = 1;
+			t->handover = 1;
 		return;
 	}
-	/* Until then, a host not heard yet may dispatch for it. */
-	if ((t->epoch == 0 && !may_dispatch) || t->gone)
+	/* Until then a host that has not reported yet may dispatch for it. */
+	if ((t->epoch == 0 && !may_dispatch) || t->removed)
 		return;
 	h = pick_host(c, t->conf.dc, now);
 	if (h == NOBODY)
 		return;
 	t->disp = h;
-	t->handed = 0;
+	t->handover = 0;
 	t->epoch = new_epoch(c);
 	t->min_view = c->term << 32 | c->view_seq;
-	t->given_seq = 0;
+	t->duty_seq = 0;
 	t->granted = 1;
 	t->up = 0;
 	t->reported = 0;
 	*changed = 1;
 	snprintf(text, sizeof(text), "%s dispatches for %s",
 	    c->hosts[h].who.host, t->conf.name);
-	c->out->event(c->arg, text);
+	c->cb->event(c->arg, text);
 }
 
 /*
- * Wakes a target that answers again after its grant had lapsed.  The new
- * epoch names the view to grant by, in which its lost shards are elsewhere.
+ * Allows grants again to a target that answers after its grant had lapsed.
+ * The new epoch comes with the lowest view to grant from, in which the shards
+ * that it lost are assigned elsewhere.
  */
 static void
-tick_dormant(struct cell *c, int i)
+tick_regrant(struct cell *c, int i)
 {
 	struct cell_target *t = &c->targets[i];
 
 	if (t->disp == NOBODY || !t->reported || t->granted || !t->up ||
-	    c->services[t->service].write.open)
+	    c->services[t->service].write.pending)
 		return;
 	t->epoch = new_epoch(c);
 	t->min_view = c->term << 32 | c->view_seq;
@@ -496,7 +513,7 @@
 	t->reported = 0;
 }
 
-/* Gives the targets of a service their shares of its limit. */
+/* Divides a service's rate limit among its targets. */
 static void
 tick_shares(struct cell *c, int k)
 {
@@ -508,7 +525,7 @@
 		t = &c->targets[i];
 		if (t->service != k)
 			continue;
-		/* Let go or lapsed: nobody uses its share any more. */
+		/* Released or lapsed: its share is no longer in use. */
 		if (t->disp == NOBODY && (c->settled || t->epoch != 0))
 			t->share = (struct share){0, 0, 0};
 		if (t->disp != NOBODY)
@@ -518,33 +535,34 @@
 		share_plan(list, n, c->services[k].limit, c->settled);
 }
 
-/* Reads and claims the assignments, one step at a time. */
+/* Performs the next step of reading and claiming an assignment. */
 static void
 tick_claim(struct cell *c, struct cell_service *s, usec now)
 {
-	if (s->get_open || now < s->next_try)
+	if (s->get_pending || now < s->next_try)
 		return;
-	if (s->write.open && !s->write.lost)
+	if (s->write.pending && !s->write.unknown)
 		return;
 	s->next_try = now + c->times.renew;
-	if (s->write.lost || !s->known) {
-		s->get_open = 1;
-		c->out->get(c->arg, s->name);
+	if (s->write.unknown || !s->known) {
+		s->get_pending = 1;
+		c->cb->get(c->arg, s->name);
 		return;
 	}
 	/*
-	 * The claim changes nothing but the version: writes of an earlier
-	 * controller that are still on their way are dead from here on.
-	 * Without it a move decided before a pause could land after we gave
-	 * the shard's present owner a new lease: two owners.
+	 * The claim changes only the version, so that delayed writes of an
+	 * earlier controller fail from now on.  Without it a move that a
+	 * controller decided before it was paused could take effect after the
+	 * shard's present owner got a new lease: the shard would have two
+	 * owners.
 	 */
 	if (!s->claimed)
-		plan_write(c, s);
+		plan_claim(c, s);
 }
 
 /*
- * Does what is due; settled and may_dispatch are term_settled() and
- * term_may_dispatch() of this moment.
+ * Runs all periodic work of the controller; settled and may_dispatch are the
+ * current results of term_settled() and term_may_dispatch().
  */
 void
 cell_tick(struct cell *c, usec now, int settled, int may_dispatch)
@@ -566,7 +584,7 @@
 		tick_shares(c, i);
 	}
 	for (i = 0; i < c->ntargets; i++)
-		tick_dormant(c, i);
+		tick_regrant(c, i);
 	if (changed)
-		plan_changed(c);
+		plan_view_changed(c);
 }
--- a/decide/cell.h
+++ b/decide/cell.h
@@ -1,6 +1,6 @@
 /*
- * What the controller of a cell decides: hosts' leases, which host dispatches
- * for which target, and which target owns which shard.
+ * The controller of a cell: leases of hosts, assignment of a dispatching host
+ * to each target, and assignment of shards to targets.
  */
 #ifndef CELL_H
 #define CELL_H
@@ -18,40 +18,44 @@
 #define CELL_SERVICES 16
 #define CELL_TARGETS 512
 #define CELL_HOSTS 128
+/* Index of a host or target where there is none. */
 #define NOBODY (-1)
 
+/* One process of a host, as the controller knows it. */
 struct cell_host {
 	struct member who;
 	char dc[NAME_MAX_GS];
 	char addr[64];
-	usec heard;
-	usec lease_end; /* as granter; 0 is none given */
+	usec last_heard;
+	usec lease_end; /* as granter; 0 if none was granted */
 	int stopping;
-	int seen;
+	int in_use; /* 0: the slot is free */
 };
 
+/* One target, its dispatcher and what the dispatcher last reported of it. */
 struct cell_target {
 	struct target_conf conf;
 	int service;
-	int gone;   /* no longer in the catalogue */
-	int disp;   /* index of the dispatching host, or NOBODY */
-	int handed; /* told to hand its dispatch over */
+	int removed;  /* no longer in the catalogue */
+	int disp;     /* index of the dispatching host, or NOBODY */
+	int handover; /* the dispatcher was asked to hand the target over */
 	uint64_t epoch;
-	uint64_t min_view;
-	uint64_t given_seq;
+	uint64_t min_view; /* grants must be based on this view or later */
+	uint64_t duty_seq; /* request whose reply first held the duty */
 	int granted;
 	int up;
 	int leaving;
 	int reported;
-	int confirmed; /* answered its dispatcher's grant in this term */
+	int confirmed; /* has accepted a grant of this term */
 	struct share share;
-	usec clear_at; /* grants of earlier dispatchers have lapsed by then */
+	usec grants_lapse_at; /* when all grants of earlier dispatchers have
+				 lapsed */
 };
 
-/* One write of an assignment that may be open or of unknown outcome. */
+/* A write of an assignment that is in progress or of unknown outcome. */
 struct cell_write {
-	int open;
-	int lost;
+	int pending;
+	int unknown; /* whether it took effect */
 	uint64_t id;
 	int *owner;
 	uint64_t *fence;
@@ -61,40 +65,41 @@
 
 /*
  * The shards of a service in this cell.  owner, fence, next and next_fence
- * are as the platform holds them.  A shard with a next is on its way: once
- * its owner has let go it is the next's, whether or not the platform can be
- * written at that moment.
+ * mirror the record in the platform.  A shard whose next is set is moving:
+ * once its owner has released it, it belongs to next, even if the platform
+ * cannot be written at that moment.
  */
 struct cell_service {
 	char name[NAME_MAX_GS];
 	uint32_t first;
 	uint32_t shards;
 	enum weigh weigh;
-	double limit; /* requests a second in this cell; 0 is none */
+	double limit; /* requests per second in this cell; 0: unlimited */
 	int *owner;   /* target index or NOBODY, per shard of the cell */
 	uint64_t *fence;
 	int *next; /* target index or NOBODY */
 	uint64_t *next_fence;
-	uint64_t *flag_seq; /* first view that tells of the move */
-	uint8_t *freed;	    /* the owner has let go, in this term */
-	double *load;
+	uint64_t *move_seq; /* first view that announces the move */
+	uint8_t *freed;	    /* the owner has released it in this term */
+	double *load;	    /* slots busy with the shard, smoothed */
 	uint64_t version;
 	uint64_t top_fence;
 	int known;
 	int claimed;
-	int get_open;
+	int get_pending;
 	usec next_try;
 	struct cell_write write;
-	usec budget_at;
-	double budget;
+	usec budget_at; /* last refill of budget */
+	double budget;	/* moves for balance that may start now */
 	uint64_t moved;
 };
 
 struct cell_conf_times {
 	usec host_lease;
-	usec renew;
+	usec renew; /* between two renewals by a host */
 };
 
+/* Functions that a cell calls; put takes ownership of json. */
 struct cell_out {
 	void (*get)(void *, const char *service);
 	void (*put)(void *, const char *service, uint64_t base, char *json);
@@ -105,11 +110,11 @@
 struct cell {
 	char name[CELL_NAME];
 	struct cell_conf_times times;
-	const struct cell_out *out;
+	const struct cell_out *cb;
 	void *arg;
 	int active;
-	int settled;	    /* leases of earlier controllers have lapsed */
-	usec patient_until; /* first placement waits for targets till then */
+	int settled; /* leases of earlier controllers have lapsed */
+	usec placement_wait_until; /* first placement waits for all targets */
 	uint64_t term;
 	uint64_t view_seq;
 	uint64_t epochs;
@@ -141,8 +146,8 @@
 void cell_tick(struct cell *, usec now, int settled, int may_dispatch);
 int cell_ready(const struct cell *);
 int cell_handed_over(const struct cell *);
-int cell_live_hosts(
-    const struct cell *, usec now, struct member *, int max, const char *but);
+int cell_live_hosts(const struct cell *, usec now, struct member *, int max,
+    const char *except);
 int cell_standbys(const struct cell *, usec now, const char *host,
     const char *dc, const struct record *, struct member out[STANDBYS]);
 int ask_speaks_of(const Gspar__LeaseAsk *, const char *target);
--- a/decide/grant.c
+++ b/decide/grant.c
@@ -4,12 +4,12 @@
 #include "lease.h"
 
 /*
- * A new target that has not answered for so long is taken for down.  What an
- * earlier dispatcher granted it may still run; the controller counts that.
+ * A new target that has not answered for this long is considered down.  Grants
+ * of an earlier dispatcher may still be valid; the controller allows for them.
  */
-#define PROBE_PATIENCE MS(320)
+#define PROBE_TIMEOUT MS(320)
 
-/* Starts a duty for a target. */
+/* Initializes the grant of a target that this host starts to dispatch for. */
 void
 grant_init(
     struct grant *g, const struct grant_conf *conf, uint64_t epoch, usec now)
@@ -18,42 +18,44 @@
 	g->conf = *conf;
 	g->want = 1;
 	/*
-	 * A duty let go and taken on again may keep its epoch.  Counting its
-	 * messages from nought again, the target would refuse them all as old.
+	 * A duty that is released and given to this host again may have the
+	 * same epoch.  If its messages were numbered from zero again, the
+	 * target would refuse them as old.
 	 */
 	g->seq = (uint64_t)now;
 	grant_epoch(g, epoch, now);
 }
 
-/* A later epoch allows grants again after a dormant one. */
+/* Starts a later epoch, which allows grants again. */
 void
 grant_epoch(struct grant *g, uint64_t epoch, usec now)
 {
 	g->epoch = epoch;
 	g->phase = GRANT_PROBE;
-	g->began = now;
+	g->epoch_start = now;
 	g->held = 0;
 }
 
-/* True while the target may still hold what this dispatcher granted. */
+/* True while a grant of this dispatcher may still be valid at the target. */
 int
 grant_live(const struct grant *g, usec now)
 {
-	return (g->end_here != 0 && now < lease_granter_end(g->end_here, 0));
+	return (
+	    g->last_expiry != 0 && now < lease_granter_end(g->last_expiry, 0));
 }
 
 /*
- * Goes dormant where the target has not answered and its grant has lapsed.
- * From then on nothing is granted in this epoch: the controller may already
- * be giving the shards to others, and a target that thaws and answers again
- * must not get them back under the old view.
+ * Makes the grant inactive if the target does not answer and the grant has
+ * lapsed.  From then on nothing is granted in this epoch: the controller may
+ * already be assigning the shards to others, and a target that was frozen and
+ * answers again must not get them back under the old view.
  */
 static void
-maybe_sleep(struct grant *g, usec now)
+check_lapsed(struct grant *g, usec now)
 {
 	if (grant_live(g, now))
 		return;
-	if (g->phase == GRANT_PROBE && now - g->began < PROBE_PATIENCE)
+	if (g->phase == GRANT_PROBE && now - g->epoch_start < PROBE_TIMEOUT)
 		return;
 	if (g->phase == GRANT_ACTIVE && g->up)
 		return;
@@ -62,9 +64,10 @@
 }
 
 /*
- * The next message to send, if one is due.  For a grant or a renewal sets its
- * expiry in the target's clock.  A grant never outlives this host's lease:
- * the controller counts this target's grants as lapsed with that lease.
+ * Returns the next message to send, or STEP_NONE.  For a grant or a renewal
+ * sets *until_there to its expiry in the target's clock.  A grant never
+ * outlives this host's lease: when the lease has lapsed, the controller
+ * considers this target's grants lapsed too.
  */
 enum grant_step
 grant_next(struct grant *g, usec now, usec lease_until, int64_t *until_there)
@@ -72,13 +75,13 @@
 	enum grant_step step;
 	usec end;
 
-	maybe_sleep(g, now);
-	if (g->open)
+	check_lapsed(g, now);
+	if (g->pending)
 		return (STEP_NONE);
 	/*
-	 * A target that did not answer is only asked for its clock: renewals
-	 * into a frozen target's socket, or to one whose answers are lost,
-	 * would push the moment at which its shards are free ever further.
+	 * A target that did not answer is only asked for its clock: each
+	 * renewal sent to a frozen target, or to one whose answers are lost,
+	 * would postpone the time at which its shards can be reassigned.
 	 */
 	if (g->phase != GRANT_ACTIVE || g->heard == 0 || !g->up)
 		step = STEP_CLOCK;
@@ -96,23 +99,23 @@
 		*until_there = grant_expiry(g->clock_there, g->heard, end);
 		if (end <= now || *until_there == 0)
 			return (STEP_NONE);
-		if (end > g->end_here)
-			g->end_here = end;
-		g->sent_end = end;
+		if (end > g->last_expiry)
+			g->last_expiry = end;
+		g->sent_expiry = end;
 		g->seq++;
 		g->sent_set = g->want;
 	}
-	g->open = 1;
+	g->pending = 1;
 	g->sent = now;
 	return (step);
 }
 
-/* The target answered a message of the kind. */
+/* Handles the target's answer to a message. */
 void
 grant_heard(struct grant *g, usec now, enum grant_step step, int accepted,
     int64_t clock_there, int64_t boot)
 {
-	g->open = 0;
+	g->pending = 0;
 	g->up = 1;
 	g->clock_there = clock_there;
 	g->heard = now;
@@ -128,40 +131,41 @@
 		return;
 	if (!accepted) {
 		g->held = 0;
-		g->sure_until = 0;
+		g->valid_until = 0;
 		return;
 	}
-	g->sure_until = g->sent_end;
+	g->valid_until = g->sent_expiry;
 	if (step == STEP_FULL)
 		g->held = g->sent_set;
 }
 
-/* True where requests may be sent: the target holds the wanted set now. */
+/* True if requests may be sent: the target holds the wanted set now. */
 int
 grant_serves(const struct grant *g, usec now)
 {
 	return (g->phase == GRANT_ACTIVE && g->held == g->want &&
-	    now < g->sure_until);
+	    now < g->valid_until);
 }
 
 /*
- * A message was not answered; the grant it carried may hold all the same, and
- * may still arrive after later ones.  Until it would have lapsed, no release
- * is sure: a server that checks no order would take the older set back.
+ * Handles a message that was not answered.  The grant in it may be valid all
+ * the same, and may arrive after later ones.  Until it has lapsed, no release
+ * of shards is certain: a server that does not check the order of grants would
+ * accept the older set again.
  */
 void
 grant_failed(struct grant *g, usec now)
 {
-	g->open = 0;
+	g->pending = 0;
 	g->up = 0;
-	g->doubt_until = g->end_here;
+	g->uncertain_until = g->last_expiry;
 }
 
-/* True where the target is known to hold the wanted set and no more. */
+/* True if the target certainly holds the wanted set and no other shards. */
 int
 grant_exact(const struct grant *g, usec now)
 {
 	return (g->held == g->want &&
-	    (g->doubt_until == 0 ||
-		now >= lease_granter_end(g->doubt_until, 0)));
+	    (g->uncertain_until == 0 ||
+		now >= lease_granter_end(g->uncertain_until, 0)));
 }
--- a/decide/once.h
+++ b/decide/once.h
@@ -1,9 +1,11 @@
 /*
- * At most once: the table of tickets that one dispatcher keeps for a target.
+ * At-most-once execution: the table of tickets that a dispatcher keeps for a
+ * target.
  *
- * A ticket names the table that issued it and a number in it.  A table knows
- * of each of its tickets whether it was used; a ticket of another table it
- * cannot vouch for, and says so.  No clock of a caller takes part.
+ * A ticket consists of the id of the table that issued it and a number.  A
+ * table knows whether each of its own tickets was used.  It cannot know that
+ * of a ticket of another table, and reports it as unknown.  This does not
+ * depend on the clocks of callers.
  */
 #ifndef ONCE_H
 #define ONCE_H
@@ -15,13 +17,13 @@
 
 #define TICKET_TEXT 48
 
-enum once_verdict {
-	ONCE_RUN,     /* first seen: run it */
-	ONCE_JOIN,    /* runs already: wait for the same answer */
-	ONCE_REPLAY,  /* ended: give the same answer */
-	ONCE_STRANGE, /* issued by another table, or forgotten */
-	ONCE_BAD,     /* no ticket at all */
-	ONCE_FULL     /* no room to remember one more that runs */
+enum once_result {
+	ONCE_RUN,     /* unused: run the request */
+	ONCE_JOIN,    /* running: wait for the same answer */
+	ONCE_REPLAY,  /* finished: send the same answer again */
+	ONCE_STRANGE, /* issued by another table, or evicted */
+	ONCE_BAD,     /* not a ticket, or never issued */
+	ONCE_FULL     /* its entry is taken by a request that runs */
 };
 
 struct once_entry {
@@ -31,18 +33,18 @@
 };
 
 struct once {
-	uint64_t table;
+	uint64_t table_id; /* id, part of each ticket */
 	uint64_t next;
-	uint64_t floor;
+	uint64_t min_number; /* lower numbers may have been evicted */
 	struct once_entry *entries;
 	size_t size;
-	void (*drop)(void *value);
+	void (*free_value)(void *value); /* frees the value of an ended entry */
 };
 
-int once_init(struct once *, uint64_t table, size_t size, void (*)(void *));
+int once_init(struct once *, uint64_t table_id, size_t size, void (*)(void *));
 void once_free(struct once *);
 void once_ticket(struct once *, char out[TICKET_TEXT]);
-enum once_verdict once_ask(struct once *, const char *, uint64_t *, void **);
+enum once_result once_ask(struct once *, const char *, uint64_t *, void **);
 void once_running(struct once *, uint64_t number, void *value);
 void once_ended(struct once *, uint64_t number, void *value);
 void once_forget(struct once *, uint64_t number);
--- a/decide/queue.c
+++ b/decide/queue.c
@@ -3,39 +3,39 @@
 #include "queue.h"
 #include "result.h"
 
-/* Weight of one new sample in the mean run time, as 1 / MEAN_PART. */
-#define MEAN_PART 8
-#define FIRST_MEAN MS(5)
+/* Inverse weight of a new sample in the smoothed run time. */
+#define MEAN_DIVISOR 8
+#define INITIAL_MEAN MS(5)
 #define RETRY_MIN MS(50)
-/* A job may wait for one part in so many of its time. */
-#define WAIT_PART 4
+/* A job may wait for 1 / WAIT_DIVISOR of the time to its deadline. */
+#define WAIT_DIVISOR 4
 
-/* Makes a queue for a target of `slots`, holding `limit` jobs at most. */
+/* Initializes the queue of a target with `slots` slots, for `limit` jobs. */
 void
 queue_init(struct queue *q, unsigned slots, unsigned limit)
 {
 	memset(q, 0, sizeof(*q));
 	queue_resize(q, slots, limit);
-	q->mean[0] = FIRST_MEAN;
-	q->mean[1] = FIRST_MEAN;
+	q->mean[0] = INITIAL_MEAN;
+	q->mean[1] = INITIAL_MEAN;
 }
 
-/* Changes the bounds; what runs or waits already stays. */
+/* Changes the bounds; jobs that run or wait already are not affected. */
 void
 queue_resize(struct queue *q, unsigned slots, unsigned limit)
 {
 	q->slots = slots;
 	q->limit = limit;
 	/*
-	 * Long exports may not fill the last slot: with all slots under
-	 * exports, a lookup of a millisecond waits for seconds.
+	 * Long jobs may not use the last slot: if exports occupied all slots,
+	 * a lookup of a millisecond would wait for seconds.
 	 */
 	q->long_max = slots > 1 ? slots - 1 : 1;
 }
 
 /*
- * How long a job of a kind that arrives now is expected to wait for a slot:
- * the work of its kind that waits, over the share of the slots it gets.
+ * Returns how long a short or long job that arrives now is expected to wait
+ * for a slot: the waiting work of its kind, divided by the slots it gets.
  */
 usec
 queue_wait(const struct queue *q, int is_long)
@@ -47,42 +47,44 @@
 	if (q->busy < q->slots && q->waiting[k] == 0)
 		return (0);
 	work = q->mean[k] * (usec)(q->waiting[k] + 1);
-	/* Half the slot time goes to the other kind while that waits. */
+	/* The other kind gets half of the slot time while it has jobs. */
 	if (q->waiting[!k] > 0 || q->busy_long > 0)
 		work *= 2;
 	return (work / (usec)slots);
 }
 
 /*
- * The fairness tag of a job: the caller's jobs are spaced one apart, so a
- * caller that asks a thousand times does not push others to the end.
+ * Returns the tag of a caller's next job.  The tags of a caller's jobs are one
+ * apart, so a caller with a thousand jobs does not delay other callers' jobs
+ * until after all of its own.
  */
 static uint64_t
-tag_of(struct queue *q, uint64_t caller)
+next_tag(struct queue *q, uint64_t caller)
 {
 	size_t i, oldest = 0;
 
 	for (i = 0; i < 64; i++) {
 		if (q->callers[i].caller == caller)
 			break;
-		if (q->callers[i].last < q->callers[oldest].last)
+		if (q->callers[i].last_tag < q->callers[oldest].last_tag)
 			oldest = i;
 	}
 	if (i == 64) {
 		i = oldest;
 		q->callers[i].caller = caller;
-		q->callers[i].last = 0;
+		q->callers[i].last_tag = 0;
 	}
-	if (q->callers[i].last < q->vtime)
-		q->callers[i].last = q->vtime;
-	return (++q->callers[i].last);
+	if (q->callers[i].last_tag < q->virtual_time)
+		q->callers[i].last_tag = q->virtual_time;
+	return (++q->callers[i].last_tag);
 }
 
 /*
- * Takes a job in, or refuses it at once with the code and, in *retry, when to
- * come back.  A job that would wait for more than a share of its time is
- * refused on arrival: under overload all that is served would otherwise be
- * served just before its deadline, and what is misjudged after it.
+ * Adds a job and returns GS_OK, or refuses it with another result code; *retry
+ * is the time after which to retry.  The queue links the job but does not own
+ * it.  A job that would wait for too much of the time to its deadline is
+ * refused on arrival: otherwise, under overload, all jobs would be served just
+ * before their deadlines, and those with too low an estimate after them.
  */
 int
 queue_add(struct queue *q, struct job *j, usec now, usec *retry)
@@ -95,23 +97,23 @@
 	*retry = wait > RETRY_MIN ? wait : RETRY_MIN;
 	if (q->count >= q->limit)
 		return (GS_BUSY);
-	if (wait > 0 && wait >= (j->deadline - now) / WAIT_PART)
+	if (wait > 0 && wait >= (j->deadline - now) / WAIT_DIVISOR)
 		return (GS_TOO_LATE);
 	j->arrived = now;
-	j->tag = tag_of(q, j->caller);
+	j->tag = next_tag(q, j->caller);
 	for (at = &q->head[k]; *at != NULL && (*at)->tag <= j->tag;
 	     at = &(*at)->next)
 		;
 	j->next = *at;
 	*at = j;
 	q->count++;
-	/* A kind that was idle does not get the time it left unused. */
-	if (q->waiting[k]++ == 0 && q->used[k] < q->used[!k])
-		q->used[k] = q->used[!k];
+	/* A kind that had no jobs is not credited for unused time. */
+	if (q->waiting[k]++ == 0 && q->used_time[k] < q->used_time[!k])
+		q->used_time[k] = q->used_time[!k];
 	return (GS_OK);
 }
 
-/* Unlinks the job at `at`. */
+/* Unlinks and returns the job at `at`. */
 static struct job *
 unlink_job(struct queue *q, struct job **at)
 {
@@ -124,27 +126,27 @@
 	return (j);
 }
 
-/* Takes the first job of a kind that `is` names, or NULL. */
+/* Removes and returns the first matching short or long job, or NULL. */
 static struct job *
-pull_kind(struct queue *q, int k, job_ok_fn is, void *arg)
+remove_first(struct queue *q, int k, job_match_fn match, void *arg)
 {
 	struct job **at;
 
 	for (at = &q->head[k]; *at != NULL; at = &(*at)->next) {
-		if (is(*at, arg))
+		if (match(*at, arg))
 			return (unlink_job(q, at));
 	}
 	return (NULL);
 }
 
-/* What queue_next passes through pull_kind. */
+/* Argument of may_start(). */
 struct startable {
 	usec now;
-	job_ok_fn ok;
+	job_match_fn ok;
 	void *arg;
 };
 
-/* True where a job may start now. */
+/* True if a job's deadline has not passed and the caller's check allows it. */
 static int
 may_start(const struct job *j, void *arg)
 {
@@ -154,11 +156,12 @@
 }
 
 /*
- * Takes out the next job that may start, counting its slot, or NULL.  `ok`
- * holds back jobs of shards that are on their way to another target.
+ * Removes and returns the next job that may start, and occupies a slot for it;
+ * NULL if there is none.  `ok` is false for jobs that must wait, such as those
+ * of a moving shard.
  */
 struct job *
-queue_next(struct queue *q, usec now, job_ok_fn ok, void *arg)
+queue_next(struct queue *q, usec now, job_match_fn ok, void *arg)
 {
 	struct startable s = {now, ok, arg};
 	struct job *j = NULL;
@@ -166,47 +169,47 @@
 
 	if (q->busy >= q->slots)
 		return (NULL);
-	first = q->used[1] < q->used[0];
+	first = q->used_time[1] < q->used_time[0];
 	for (i = 0; i < 2 && j == NULL; i++) {
 		k = i == 0 ? first : !first;
 		if (k == 0 || q->busy_long < q->long_max)
-			j = pull_kind(q, k, may_start, &s);
+			j = remove_first(q, k, may_start, &s);
 	}
 	if (j == NULL)
 		return (NULL);
 	k = j->is_long != 0;
-	q->vtime = j->tag;
-	q->used[k] += q->mean[k];
+	q->virtual_time = j->tag;
+	q->used_time[k] += q->mean[k];
 	q->busy++;
 	q->busy_long += (unsigned)k;
 	return (j);
 }
 
-/* True where a job's deadline has passed. */
+/* True if a job's deadline has passed. */
 static int
-is_late(const struct job *j, void *arg)
+is_expired(const struct job *j, void *arg)
 {
 	return (j->deadline <= *(usec *)arg);
 }
 
-/* Takes out a job whose deadline has passed, or NULL. */
+/* Removes and returns a job whose deadline has passed, or NULL. */
 struct job *
 queue_late(struct queue *q, usec now)
 {
-	return (queue_pull(q, is_late, &now));
+	return (queue_pull(q, is_expired, &now));
 }
 
-/* Takes out the first job that `is` names, or NULL. */
+/* Removes and returns the first matching job, short jobs first, or NULL. */
 struct job *
-queue_pull(struct queue *q, job_ok_fn is, void *arg)
+queue_pull(struct queue *q, job_match_fn match, void *arg)
 {
 	struct job *j;
 
-	j = pull_kind(q, 0, is, arg);
-	return (j != NULL ? j : pull_kind(q, 1, is, arg));
+	j = remove_first(q, 0, match, arg);
+	return (j != NULL ? j : remove_first(q, 1, match, arg));
 }
 
-/* Gives a job's slot back; took is its run time, or 0 where it did not run. */
+/* Frees a job's slot; took is its run time, or 0 if it did not run. */
 void
 queue_done(struct queue *q, const struct job *j, usec took)
 {
@@ -216,5 +219,5 @@
 	if (j->is_long)
 		q->busy_long--;
 	if (took > 0)
-		*mean += (took - *mean) / MEAN_PART;
+		*mean += (took - *mean) / MEAN_DIVISOR;
 }
--- a/regress/unit/t_once.c
+++ b/regress/unit/t_once.c
@@ -1,4 +1,7 @@
-/* Tickets: a request runs once, and what nobody can vouch for is unknown. */
+/*
+ * Tests tickets: a request runs at most once, and a ticket whose use is not
+ * known is refused as unknown.
+ */
 #include <stdio.h>
 #include <string.h>
 
@@ -13,7 +16,7 @@
 	dropped++;
 }
 
-/* First seen runs, a repeat joins, a repeat of the ended replays. */
+/* The first request runs; a repeat joins the run or replays its answer. */
 static void
 runs_joins_replays(void)
 {
@@ -36,9 +39,9 @@
 	CU_ASSERT_EQUAL(dropped, 1);
 }
 
-/* Known not to have run: the ticket may be used again. */
+/* The ticket of a request that did not run may be used again. */
 static void
-not_run_may_run(void)
+unused_again_after_no_run(void)
 {
 	struct once o;
 	char t[TICKET_TEXT];
@@ -55,11 +58,11 @@
 }
 
 /*
- * The table died with its host; the next one did not issue the ticket and
- * cannot know whether it was used: never a second run.
+ * The table was lost with its host.  The next one cannot know whether a ticket
+ * of the old one was used, and must not run its request again.
  */
 static void
-strange_table_cannot_vouch(void)
+ticket_of_another_table(void)
 {
 	struct once a, b;
 	char t[TICKET_TEXT];
@@ -75,9 +78,9 @@
 	once_free(&b);
 }
 
-/* What was forgotten for want of room is not run again either. */
+/* The request of an evicted ticket is not run again either. */
 static void
-forgotten_is_strange(void)
+evicted_is_unknown(void)
 {
 	struct once o;
 	char t[20][TICKET_TEXT];
@@ -98,9 +101,9 @@
 	once_free(&o);
 }
 
-/* No room while the older of two still runs: refused, not forgotten. */
+/* A running request is never evicted: a new one for its entry is refused. */
 static void
-running_is_never_forgotten(void)
+running_is_never_evicted(void)
 {
 	struct once o;
 	char t[9][TICKET_TEXT];
@@ -118,7 +121,7 @@
 	once_free(&o);
 }
 
-/* What is no ticket, or none this table ever issued, is told so. */
+/* Malformed tickets and tickets that were never issued are recognized. */
 static void
 bad_tickets(void)
 {
@@ -137,10 +140,10 @@
 
 static const struct unit_test tests[] = {
     {"runs, joins, replays", runs_joins_replays},
-    {"not run may run", not_run_may_run},
-    {"strange table cannot vouch", strange_table_cannot_vouch},
-    {"forgotten is strange", forgotten_is_strange},
-    {"running is never forgotten", running_is_never_forgotten},
+    {"unused again after no run", unused_again_after_no_run},
+    {"ticket of another table", ticket_of_another_table},
+    {"evicted is unknown", evicted_is_unknown},
+    {"running is never evicted", running_is_never_evicted},
     {"bad tickets", bad_tickets},
 };
 UNIT_MAIN("once", tests)
