--- a/decide/budget.c
+++ b/decide/budget.c
@@ -1,6 +1,6 @@
 #include "budget.h"
 
-/* Allows `share` retries for each first try, and max of them in a burst. */
+/* Allows `share` retries for each first attempt, and a burst of `max`. */
 void
 budget_init(struct budget *b, double share, double max)
 {
@@ -9,7 +9,7 @@
 	b->tokens = max;
 }
 
-/* Counts a first try, which pays for a share of a retry. */
+/* Adds the tokens that a first attempt earns. */
 void
 budget_first(struct budget *b)
 {
@@ -19,9 +19,10 @@
 }
 
 /*
- * True where a retry may be sent.  Without the budget a server that fails all
- * requests is sent a multiple of its load, just when it can bear it least;
- * with it the sum stays under 1 + share of the callers' own.
+ * Takes a token for a retry; returns 0 if there is none and the retry must not
+ * be sent.  Without a budget, retries multiply the load of a target that fails
+ * every request, when it is least able to handle it.  With it, a target gets at
+ * most 1 + share times the callers' requests.
  */
 int
 budget_retry(struct budget *b)
--- a/decide/budget.h
+++ b/decide/budget.h
@@ -1,11 +1,12 @@
-/* The retry budget: a share of first tries, so that retries cannot multiply. */
+/* A retry budget: limits retries to a share of first attempts, so that they
+ * cannot multiply the load. */
 #ifndef BUDGET_H
 #define BUDGET_H
 
 struct budget {
-	double tokens;
-	double share;
-	double max;
+	double tokens; /* retries that may be sent now */
+	double share;  /* tokens earned by each first attempt */
+	double max;    /* tokens that are kept, the largest burst */
 };
 
 void budget_init(struct budget *, double share, double max);
--- a/decide/dest.c
+++ b/decide/dest.c
@@ -4,34 +4,34 @@
 #include "dest.h"
 #include "feature.h"
 
-/* What a target told of others' requests halves in this time: it is about as
- * long as a request runs (36 to 220 ms, by the sites' tables). */
+/* Half-life of the reported number of other hosts' requests: about as long as a
+ * request runs, which is 36 to 220 ms. */
 #define OTHERS_HALF MS(150)
-/* How much one sample changes what was learnt; the first ones more, for hot
- * keys come within the first seconds of a target's life. */
+/* Weight of one sample in the moving averages.  The first samples weigh more,
+ * because hot keys arrive within the first seconds of a target's life. */
 #define SPEED_GAIN 0.06
 #define SPEED_FIRST 0.35
 #define FAIL_GAIN 0.1
-/* A target is sent work until this many times its slots are under way: its own
- * queue then bridges the way to and fro, and it is far from full. */
+/* A target is sent requests until this many times its slots are in flight: its
+ * queue then covers the round trip between answers, and is far from full. */
 #define FILL 2.5
-/* A request to another data centre pays for the bytes between them: it goes
- * there where that saves this much time.  Against 12 ms, 45 ms takes the bytes
- * of a heavy day from 0.069 GB to 0.050 (means of four days played with each),
- * and 91.0 of 100 of the credit is served, 90.8 before (16 days with each). */
+/* Traffic between data centres is paid for, so a request goes to another one
+ * only if that saves this much time.  A cost of 12 ms sends more bytes across
+ * and serves no more requests. */
 #define FAR_COST MS(45)
-/* A cold target takes about twice as long. */
+/* A cold target takes about twice as long for a request. */
 #define COLD_FACTOR 2.0
-/* How long a target is left alone after it was not reached; doubled with each
- * further time up to the longest. */
+/* How long no requests are sent to a target that could not be reached; doubled
+ * for each further failure in a row, up to the maximum. */
 #define SHUN_FIRST MS(150)
 #define SHUN_MOST MS(1200)
-/* Without a whole answer so often in a row it is taken for lost. */
+/* After so many requests in a row without a whole answer, a host backs off from
+ * the target as if it could not be reached. */
 #define STRIKES_BROKE 3
-/* A target that refused is left alone for about as long as a request runs. */
+/* Backoff after a refusal: about as long as a request runs. */
 #define SHUN_FULL MS(40)
 
-/* A target of which nothing is known yet. */
+/* Initializes a target of which nothing is known yet. */
 void
 dest_init(struct dest *d, int slots)
 {
@@ -42,8 +42,8 @@
 	rate_init(&d->rate);
 }
 
-/* The rate limit in force, in requests a second of all hosts; negative is none.
- * A cold target crashes well above its own. */
+/* The rate limit in force, in requests a second from all hosts; negative is
+ * none.  A cold target crashes if it gets far more than its cold rate. */
 double
 dest_limit(const struct dest *d, usec now)
 {
@@ -52,14 +52,14 @@
 	return (d->limit < 0 ? d->cold_rate : fmin(d->limit, d->cold_rate));
 }
 
-/* Applies the rate limit in force. */
+/* Applies the rate limit in force to this host's turns. */
 void
 dest_look(struct dest *d, const struct rate_turns *t, usec now)
 {
 	rate_told(&d->rate, dest_limit(d, now), t, now);
 }
 
-/* A request goes there. */
+/* Records that a request is sent to the target. */
 void
 dest_sent(struct dest *d, usec now)
 {
@@ -67,7 +67,7 @@
 	rate_take(&d->rate, now);
 }
 
-/* Leaves the target alone for a while, longer each time in a row. */
+/* Backs off from the target, longer for each failure in a row. */
 static void
 shun(struct dest *d, usec now)
 {
@@ -81,7 +81,7 @@
 	d->shunned_until = now + span;
 }
 
-/* Learns how fast the target is from a request that did not wait there. */
+/* Updates the target's speed from a request that did not wait there. */
 static void
 learn_speed(struct dest *d, const struct dest_answer *a)
 {
@@ -91,13 +91,13 @@
 	    !feature_on(FEATURE_SPEED))
 		return;
 	x = (double)a->took / (double)a->expected;
-	/* One request may take many times the usual: it says little. */
+	/* A single request may take many times the usual: clamp outliers. */
 	x = fmin(fmax(x, 0.2), 4);
 	gain = SPEED_FIRST / (1 + 0.15 * d->samples++);
 	d->speed += fmax(gain, SPEED_GAIN) * (x - d->speed);
 }
 
-/* A request there ended. */
+/* Records the end of a request that was sent to the target. */
 void
 dest_ended(struct dest *d, usec now, const struct dest_answer *a)
 {
@@ -110,7 +110,7 @@
 		d->load = a->load;
 		d->others =
 		    fmax(a->load.running + a->load.waiting - d->mine, 0);
-		/* What it tells may still count the request that has ended. */
+		/* The report may still count the request that has ended. */
 		if (a->end == DEST_ANSWERED && d->others >= 1)
 			d->others -= 1;
 		d->heard = now;
@@ -142,7 +142,7 @@
 	}
 }
 
-/* Requests under way there, as far as this host can know. */
+/* Estimates the requests in flight at the target, from all hosts. */
 double
 dest_load(const struct dest *d, usec now)
 {
@@ -153,14 +153,14 @@
 	return (d->mine + d->others * exp2(-age / (double)OTHERS_HALF));
 }
 
-/* True where the target gets no new requests. */
+/* True if the target leaves, or its data centre is being evacuated. */
 int
 dest_closed(const struct dest *d, usec now)
 {
 	return (d->leaving || (d->closed_from != 0 && now >= d->closed_from));
 }
 
-/* True where the target may be sent new work at all. */
+/* True if the target is neither closed nor backed off from. */
 int
 dest_usable(const struct dest *d, usec now)
 {
@@ -168,11 +168,12 @@
 }
 
 /*
- * True where one more request may go there now.  Some targets never answer
- * what they cannot queue, nor anything after it on that connection: all hosts
- * together must stay below slots and queue, though each knows only what the
- * target last told.  A host with nothing there may send one where the last
- * word is old, or it would never hear a newer.
+ * True if one more request may be sent to the target now.  Some targets never
+ * answer a request that they cannot queue, nor any later one on the same
+ * connection, so all hosts together must stay below the slots and the queue,
+ * although each knows only the load that the target last reported to it.  That
+ * report fades with time, so that a host with nothing in flight there sends a
+ * request again and gets a newer one.
  */
 int
 dest_room(const struct dest *d, usec now, const struct dest_conf *conf)
@@ -190,10 +191,10 @@
 }
 
 /*
- * How long a request of some usual length would take there, in microseconds;
- * only for comparing targets.  What it waits for there are others, of the
- * usual length of all requests to the service: a read of 36 ms waits as long
- * behind exports of 220 ms as an export does.
+ * Estimates how long a request would take at the target, in microseconds, to
+ * compare targets.  `work` is the usual time of such a request, `others_work`
+ * that of all requests to the service, which it may have to wait for: a short
+ * read waits as long behind long exports as another export does.
  */
 double
 dest_cost(const struct dest *d, usec now, usec work, usec others_work)
--- a/decide/dest.h
+++ b/decide/dest.h
@@ -1,6 +1,6 @@
 /*
- * What one host believes of a target that it and other hosts send to, and
- * whether and where to send the next request.
+ * One host's estimate of the state of a target that several hosts send to, and
+ * the choice of whether and where to send the next request.
  */
 #ifndef DEST_H
 #define DEST_H
@@ -9,46 +9,45 @@
 #include "rate.h"
 
 struct dest_conf {
-	int hosts; /* that send to the same targets */
+	int hosts; /* number of hosts that send to the same targets */
 };
 
 struct dest {
 	int slots;
 	int leaving;
 	int near;	  /* in this host's data centre */
-	usec closed_from; /* gets no new work then; 0 is never */
+	usec closed_from; /* gets no new requests from then on; 0 is never */
 	usec cold_until;
-	double
-	    cold_rate; /* that it takes from all hosts while cold; 0 is any */
-	double limit;  /* that it names itself; negative is none */
-	int mine;      /* requests of this host under way there */
-	double others; /* of all others, as of heard */
-	struct load load; /* that it last told */
-	usec heard;	  /* when that was */
-	int samples;	  /* from which speed was learnt */
-	double speed;	  /* time it takes, over what others take */
-	double fails;	  /* share of its answers that are failures */
-	int strikes;	  /* in a row without an answer */
+	double cold_rate; /* limit while it is cold; 0 is none */
+	double limit;	  /* its own, in requests a second; negative is none */
+	int mine;	  /* requests of this host in flight there */
+	double others;	  /* those of other hosts, as of `heard` */
+	struct load load; /* last reported */
+	usec heard;	  /* time of that report; 0 is none yet */
+	int samples;	  /* number of samples in `speed` */
+	double speed;	  /* time it takes, relative to a usual target */
+	double fails;	  /* moving average of failed requests, 0 to 1 */
+	int strikes;	  /* requests in a row without an answer */
 	usec shunned_until;
-	struct rate rate; /* by both, as of the last look */
+	struct rate rate; /* this host's turns, by both limits */
 };
 
-/* What an answer, or its lack, says of the target. */
+/* How a request to a target ended. */
 enum dest_end {
 	DEST_ANSWERED,
-	DEST_FAILED,  /* answered with a failure of its own */
-	DEST_REFUSED, /* full: it did not run */
-	DEST_MISSENT, /* not the owner of the key: it did not run */
-	DEST_UNREACHED,
-	DEST_BROKE, /* the connection ended without a whole answer */
+	DEST_FAILED,	/* answered, but the target failed */
+	DEST_REFUSED,	/* the target was full: the request did not run */
+	DEST_MISSENT,	/* not the owner of the key: the request did not run */
+	DEST_UNREACHED, /* no connection */
+	DEST_BROKE,	/* the connection ended without a whole answer */
 	DEST_TIMED_OUT
 };
 
-/* An answer as the rules need it. */
+/* The end of one request, with what is learnt from it. */
 struct dest_answer {
 	enum dest_end end;
 	usec took;
-	usec expected; /* such requests take at a usual target */
+	usec expected; /* time that such a request usually takes */
 	struct load load;
 };
 
--- a/decide/digest.c
+++ b/decide/digest.c
@@ -3,8 +3,8 @@
 #include "digest.h"
 
 /*
- * The digest of texts in order.  The length of each takes part: a byte that
- * moves from the end of one to the start of the next makes another digest.
+ * The digest of a list of texts.  It covers their lengths, so that the same
+ * bytes split differently have another digest.
  */
 uint64_t
 digest_parts(const struct str *parts, int n)
--- a/decide/digest.h
+++ b/decide/digest.h
@@ -1,5 +1,5 @@
-/* What tells requests of the same content: they may come again under another
- * id, at another host. */
+/* Digests that identify requests of the same content, which may be repeated
+ * under another id or at another host. */
 #ifndef DIGEST_H
 #define DIGEST_H
 
--- a/decide/lately.c
+++ b/decide/lately.c
@@ -1,6 +1,6 @@
 #include "lately.h"
 
-/* Another number stands from now on. */
+/* Records that a version was replaced now. */
 void
 lately_changed(struct lately *l, uint64_t was, usec now)
 {
@@ -11,10 +11,11 @@
 }
 
 /*
- * True where the number still stood so long ago.  Who names such a one has not
- * heard of the change yet; who names any other has missed one for good.  To
- * wait until nothing has changed for a while tells them apart as well, but
- * while targets are replaced one after the other it never comes to that.
+ * True if the version was replaced within the given time.  A host that reports
+ * such a version has not yet received the update; a host that reports any other
+ * outdated one has lost an update.  Waiting for a pause in the changes would
+ * also tell the two apart, but a rolling replacement of targets leaves no
+ * pause.
  */
 int
 lately_stood(const struct lately *l, uint64_t number, usec span, usec now)
--- a/decide/lately.h
+++ b/decide/lately.h
@@ -1,4 +1,4 @@
-/* Which numbers stood a little while ago, of something that changes often. */
+/* The versions of a value that were replaced most recently. */
 #ifndef LATELY_H
 #define LATELY_H
 
@@ -11,9 +11,9 @@
 struct lately {
 	struct {
 		uint64_t number;
-		usec until; /* it stood until then */
+		usec until; /* when it was replaced; 0 is an unused entry */
 	} was[LATELY_KEPT];
-	unsigned next;
+	unsigned next; /* replacements so far; the array is a ring */
 };
 
 void lately_changed(struct lately *, uint64_t was, usec now);
--- a/decide/leave.c
+++ b/decide/leave.c
@@ -1,13 +1,15 @@
 #include "leave.h"
 
-/* A balancer that probes once a second believes the second miss. */
+/* By then the load balancer has taken the host out: it probes once a second and
+ * acts on the second failed probe. */
 #define PROBED_OUT MS(2600)
-/* Between the answers and the kill: the last of them are written, threads end.
- * The platform allows for targets that still work in this sixth of the time. */
+/* The last sixth of the grace period is left for writing the last answers and
+ * ending threads; the platform allows for targets that still work during it.
+ * Requests may be answered up to LAST_PART_BEGUN into it. */
 #define LAST_PART 6
 #define LAST_PART_BEGUN MS(50)
 
-/* The stop of a host that is killed so long after it was asked to stop. */
+/* The plan of a stop that begins now; the host is killed after `grace`. */
 struct leave
 leave_plan(usec now, usec grace)
 {
@@ -21,10 +23,11 @@
 }
 
 /*
- * True where a stopping host takes a request that has come now.  Until its
- * balancer has noticed it takes all, for many hosts may stop at once and then
- * there is nobody else.  Later only what is sure to be answered before the end:
- * anything else could be cut by it at work, and its caller finds another host.
+ * True if a stopping host accepts a request that arrives now.  Until the load
+ * balancer has noticed the stop it accepts all: many hosts may stop at once,
+ * and then no other host could take them.  After that it accepts only requests
+ * whose deadline is before the end.  Others might be cut off while they run,
+ * and by then their callers can reach another host.
  */
 int
 leave_takes(const struct leave *l, usec now, usec deadline)
@@ -33,9 +36,9 @@
 }
 
 /*
- * When a request must have its answer on a stopping host.  Bounded by its own
- * deadline alone, one that waits or is sent once more outlives the host, and
- * its caller's connection ends without a word.
+ * The deadline of a request on a stopping host.  With its own deadline alone, a
+ * request that waits or is retried could outlive the host, and its caller's
+ * connection would close without an answer.
  */
 usec
 leave_deadline(const struct leave *l, usec deadline)
--- a/decide/leave.h
+++ b/decide/leave.h
@@ -1,6 +1,6 @@
 /*
- * An orderly stop of a host: until when it takes requests, and when each must
- * have its answer.
+ * The schedule of a host's orderly stop: until when it accepts requests, and
+ * when the last of them must be answered.
  */
 #ifndef LEAVE_H
 #define LEAVE_H
@@ -8,8 +8,8 @@
 #include "clock.h"
 
 struct leave {
-	usec shut; /* callers are no longer sent here by their balancer */
-	usec end;  /* each request has had its answer */
+	usec shut; /* the load balancer no longer sends callers here */
+	usec end;  /* every request has been answered */
 };
 
 struct leave leave_plan(usec now, usec grace);
--- a/decide/load.h
+++ b/decide/load.h
@@ -1,14 +1,14 @@
-/* How busy a target is, as it tells with its answers. */
+/* The load of a target, as it reports it with its answers. */
 #ifndef LOAD_H
 #define LOAD_H
 
 struct load {
-	int told;    /* else nothing is known */
+	int told;    /* if 0, the other fields are not valid */
 	int running; /* requests in its slots */
 	int waiting;
-	int slots; /* 0 is not told */
+	int slots; /* 0 is not reported */
 	int pace;  /* time that work takes there now, in percent of the usual;
-		      0 is not told */
+		      0 is not reported */
 };
 
 #endif
--- a/decide/quarantine.c
+++ b/decide/quarantine.c
@@ -2,13 +2,14 @@
 
 #include "quarantine.h"
 
-/* A target whose connections broke is found ended within this time: by the
- * next that connects to it, or once its entry is gone. */
+/* A target that crashed is found to have ended within this time of its broken
+ * connections: by the next host that connects to it, or when its entry is gone.
+ */
 #define ENDED_WITHIN MS(6000)
-/* Crashes further apart than this are not taken for one request's. */
+/* Crashes further apart than this are not attributed to the same request. */
 #define CRASHES_WITHIN MS(600000)
-/* By then the target's software may have been mended.  A content that was
- * quarantined before needs one more crash only. */
+/* By then the target's software may have been fixed.  A content that has been
+ * quarantined before is quarantined again after a single crash. */
 #define QUARANTINE_FOR MS(3600000)
 /* Probation ends after this time without another crash. */
 #define PROBATION_FOR MS(60000)
@@ -18,7 +19,7 @@
 /* After an answer, crashes are not attributed to the content for this time. */
 #define CLEARED_FOR MS(10000)
 
-/* The entry of a content, or NULL. */
+/* Finds the entry of a content, or NULL. */
 static struct quarantine_entry *
 find(struct quarantine *q, uint64_t digest)
 {
@@ -31,7 +32,7 @@
 	return (NULL);
 }
 
-/* When a content leaves the list; 0 where it is not on it. */
+/* When a content leaves the list; 0 if it is not on it. */
 static usec
 listed_until(const struct quarantine_entry *e)
 {
@@ -40,8 +41,8 @@
 	return (e->probation_since == 0 ? 0 : e->last + PROBATION_FOR);
 }
 
-/* An entry to be used anew: of those that are not quarantined the one whose
- * last crash is the longest ago, else the one that ends first. */
+/* Finds an entry to reuse: the one with the oldest crash among those that are
+ * not listed, else the one that leaves the list first. */
 static struct quarantine_entry *
 spare(struct quarantine *q, usec now)
 {
@@ -62,7 +63,7 @@
 	return (best);
 }
 
-/* The entry of a content, made where there is none. */
+/* Finds the entry of a content, or adds it. */
 static struct quarantine_entry *
 find_or_add(struct quarantine *q, uint64_t digest, usec now)
 {
@@ -77,7 +78,7 @@
 	return (e);
 }
 
-/* True where the target's crash is one of those counted. */
+/* True if the target's crash has been counted already. */
 static int
 counted(const struct quarantine_entry *e, uint64_t target)
 {
@@ -98,9 +99,9 @@
 	e->probation_since = 0;
 }
 
-/* Handles the crash of a further target; 1 where that quarantines the content.
- * The crash is proof where the run was sent on probation: it was the only one.
- */
+/* Handles the crash of a further target; returns 1 if that quarantines the
+ * content.  A run that was sent on probation proves the cause, because it was
+ * the only one. */
 static int
 crashed_again(struct quarantine_entry *e, int proof, usec now)
 {
@@ -114,8 +115,8 @@
 	return (1);
 }
 
-/* Counts runs of a content that were under way when their target crashed; 1
- * where that quarantines it. */
+/* Counts runs of a content that were in flight when their target crashed;
+ * returns 1 if that quarantines it. */
 static int
 crashed(
     struct quarantine *q, const struct quarantine_break *b, int runs, usec now)
@@ -141,7 +142,7 @@
 	return (0);
 }
 
-/* True where a target was found ended lately. */
+/* True if the target was recently found to have ended. */
 static int
 has_ended(const struct quarantine *q, uint64_t target, usec now)
 {
@@ -155,8 +156,8 @@
 	return (0);
 }
 
-/* The sends of a content that broke at a target, as one source told; NULL where
- * it told of none. */
+/* Finds the broken sends of a content at a target that one source reported, or
+ * NULL. */
 static struct quarantine_break *
 break_of(
     struct quarantine *q, uint64_t digest, uint64_t target, uint64_t source)
@@ -173,8 +174,8 @@
 	return (NULL);
 }
 
-/* Records sends that ended without an answer, as a total for their source; 1
- * where that quarantines the content.  A repeated report counts once. */
+/* Records sends that ended without an answer, as a total of their source;
+ * returns 1 if that quarantines the content.  A repeated report counts once. */
 int
 quarantine_broke(
     struct quarantine *q, const struct quarantine_break *told, usec now)
@@ -192,7 +193,8 @@
 	return (has_ended(q, b->target, now) ? crashed(q, b, more, now) : 0);
 }
 
-/* Records one send of this host that ended without an answer. */
+/* Records one send of this host that ended without an answer; returns 1 if that
+ * quarantines the content. */
 int
 quarantine_broke_here(struct quarantine *q, uint64_t digest, uint64_t target,
     int on_probation, usec now)
@@ -204,8 +206,8 @@
 	return (quarantine_broke(q, &b, now));
 }
 
-/* Notes that a target was found ended; how many contents are quarantined by
- * that.  Told twice, it counts once. */
+/* Records that a target has ended; returns how many contents that quarantines.
+ * A repeated report counts once. */
 int
 quarantine_ended(struct quarantine *q, uint64_t target, usec now)
 {
@@ -230,9 +232,9 @@
 }
 
 /*
- * Quarantines contents under which several targets crashed at about the same
- * time, after the grace period in which hosts may report an answer; returns how
- * many.
+ * Quarantines the contents on probation that were in flight at several crashed
+ * targets, after the grace period in which hosts may report an answer; returns
+ * how many.
  */
 int
 quarantine_settle(struct quarantine *q, usec now)
@@ -253,8 +255,8 @@
 }
 
 /*
- * Clears a content that was answered: its runs were under way when targets
- * crashed for another reason.
+ * Clears a content that was answered: the targets that crashed while they ran
+ * it had another reason.  A quarantined content stays.
  */
 void
 quarantine_answered(struct quarantine *q, uint64_t digest, usec now)
@@ -268,7 +270,7 @@
 	e->cleared = now;
 }
 
-/* Adds an item of another host's list; 1 where it is new here. */
+/* Adds an item of another host's list; returns 1 if it is new here. */
 int
 quarantine_add(
     struct quarantine *q, const struct quarantine_item *item, usec now)
@@ -295,8 +297,8 @@
 	return (1);
 }
 
-/* Adopts the controller's list.  Contents that it does not list are off
- * probation here too; quarantined ones stay. */
+/* Adopts the controller's list.  Contents that it does not list are taken off
+ * probation; quarantined ones stay. */
 void
 quarantine_told(struct quarantine *q, const struct quarantine_list *l, usec now)
 {
@@ -315,7 +317,7 @@
 		quarantine_add(q, &l->items[i], now);
 }
 
-/* What is quarantined or on probation now. */
+/* Lists the contents that are quarantined or on probation now. */
 void
 quarantine_list(const struct quarantine *q, struct quarantine_list *l, usec now)
 {
@@ -333,7 +335,7 @@
 	}
 }
 
-/* Of a list, what is quarantined. */
+/* Copies the quarantined items of a list. */
 void
 quarantine_confirmed(
     const struct quarantine_list *l, struct quarantine_list *out)
@@ -347,14 +349,14 @@
 	}
 }
 
-/* For how much longer an item of a list is on it; 0 is not any more. */
+/* How much longer an item stays on its list; 0 if it has expired. */
 usec
 quarantine_item_left(const struct quarantine_item *item, usec now)
 {
 	return (item->until > now ? item->until - now : 0);
 }
 
-/* The item of a content, or NULL where it is not on the list any more. */
+/* Finds the unexpired item of a content, or NULL. */
 const struct quarantine_item *
 quarantine_find(const struct quarantine_list *l, uint64_t digest, usec now)
 {
@@ -367,15 +369,15 @@
 	return (NULL);
 }
 
-/* True where this host is the one that may run a content on probation. */
+/* True if this host is the one that may run a content on probation. */
 int
 probation_is_here(uint64_t digest, int rank, int hosts)
 {
 	return (hosts > 0 && digest % (uint64_t)hosts == (uint64_t)rank);
 }
 
-/* The same for the same contents in any order, to compare lists by; 0 is of an
- * empty one. */
+/* A checksum of a list's contents and states, in any order, to compare lists; 0
+ * for an empty one. */
 uint64_t
 quarantine_number(const struct quarantine_list *l)
 {
--- a/decide/quarantine.h
+++ b/decide/quarantine.h
@@ -1,10 +1,10 @@
 /*
- * Requests that crash the targets that run them.  Hosts tell which contents
- * were under way at a target when its connections broke, and which targets
- * have ended; both together are a crash under each of these contents.  A
- * content with several such runs is on probation: the fleet runs it one at a
- * time.  An answer clears it; another crash quarantines it, and it is sent to
- * no target.
+ * Detection of requests that crash the targets that run them.  Hosts report
+ * which contents were in flight at a target when its connections broke, and
+ * which targets have ended; the two together count as a crash for each of these
+ * contents.  A content with several such runs is put on probation: the fleet
+ * runs it one at a time.  An answer clears it; another crash quarantines it,
+ * and then it is sent to no target.
  */
 #ifndef QUARANTINE_H
 #define QUARANTINE_H
@@ -13,15 +13,16 @@
 
 #include "clock.h"
 
-/* A content is on probation once so many of its runs ended with a target. */
+/* A content is put on probation after so many runs at targets that crashed. */
 #define PROBATION_RUNS 2
-/* Crashed targets of a content that are told apart. */
+/* Crashed targets that are remembered for a content.  So many quarantine it at
+ * the end of the grace period. */
 #define QUARANTINE_TARGETS 3
 #define QUARANTINE_KEPT 64
 #define QUARANTINE_BREAKS 512
 #define QUARANTINE_ENDS 256
 
-/* What one host saw for a while. */
+/* What one host has seen since its last report. */
 #define QUARANTINE_SEEN 64
 
 struct quarantine_seen {
@@ -37,42 +38,44 @@
 	int nanswered;
 };
 
-/* Sends that ended without an answer, and a target that was found ended. */
+/* Sends of a content to a target that ended without an answer. */
 struct quarantine_break {
 	uint64_t digest; /* of the request's content */
 	uint64_t target; /* digest of the target's incarnation */
-	uint64_t source; /* who told; 0 is this host */
+	uint64_t source; /* digest of the host that reports; 0 is this host */
 	int sends;
-	int on_probation; /* the content was, when the last was sent */
+	int on_probation; /* the content's state when the last was sent */
 	usec at;
 };
 
+/* A target that was found to have ended. */
 struct quarantine_end {
 	uint64_t target;
 	usec at;
 };
 
+/* A content, with the crashes that are attributed to it. */
 struct quarantine_entry {
 	uint64_t digest;
-	uint64_t targets[QUARANTINE_TARGETS]; /* that crashed under it, last */
-	int crashes;			      /* of targets told apart */
-	int runs;			      /* that ended so */
-	usec last;			      /* crash */
+	uint64_t targets[QUARANTINE_TARGETS]; /* crashed last, a ring */
+	int crashes;			      /* of different targets */
+	int runs;			      /* at targets that crashed */
+	usec last;			      /* time of the last crash */
 	usec probation_since;		      /* 0 is not on probation */
-	usec cleared;			      /* by an answer; 0 is not */
-	usec until; /* quarantined until then; 0 is not */
+	usec cleared;			      /* by an answer; 0 is never */
+	usec until; /* end of the quarantine; 0 is not quarantined */
 };
 
 struct quarantine {
 	struct quarantine_break breaks[QUARANTINE_BREAKS];
-	unsigned nbreaks; /* ever */
+	unsigned nbreaks; /* recorded so far; the array is a ring */
 	struct quarantine_end ends[QUARANTINE_ENDS];
-	unsigned nends; /* ever */
+	unsigned nends; /* recorded so far; the array is a ring */
 	struct quarantine_entry entries[QUARANTINE_KEPT];
 	int nentries;
 };
 
-/* What is quarantined, as hosts tell each other. */
+/* A listed content, as hosts send it to each other. */
 struct quarantine_item {
 	uint64_t digest;
 	usec until;
--- a/decide/rate.c
+++ b/decide/rate.c
@@ -3,18 +3,19 @@
 #include "rate.h"
 
 /*
- * A turn that is not used in this time is lost.  Kept for longer, the turns of
- * many hosts that had nothing to send add up, and callers who then come at once
- * through all of them exceed the rate by a multiple.
+ * An unused turn expires after this time.  If turns were kept longer, those of
+ * many idle hosts would add up, and a burst of callers through all of them
+ * would exceed the rate many times over.
  */
 #define TURN_KEPT MS(1500)
-/* A target that takes fewer, in requests a second, is still asked now and then,
- * or nobody would hear that it takes more again. */
+/* Lowest rate that is applied, in requests a second: a target with a lower
+ * limit still gets a request now and then, whose answer may report a higher
+ * one. */
 #define LIMIT_LEAST 0.1
-/* The time of day may be set; by less than this, turns stay as they are. */
+/* Turns are kept when the time of day is adjusted by less than this. */
 #define EPOCH_SLACK MS(100)
 
-/* No limit is known. */
+/* Initializes a rate without a limit. */
 void
 rate_init(struct rate *r)
 {
@@ -22,7 +23,7 @@
 	r->limit = -1;
 }
 
-/* True where turns come at the same times. */
+/* True if both schedules have their turns at the same times. */
 static int
 same_turns(const struct rate_turns *a, const struct rate_turns *b)
 {
@@ -31,7 +32,7 @@
 	    b->epoch - a->epoch < EPOCH_SLACK);
 }
 
-/* The first turn that is not lost. */
+/* The first turn that has not expired. */
 static usec
 turn(const struct rate *r, usec now)
 {
@@ -42,7 +43,7 @@
 	return (r->next + (lost / r->every + 1) * r->every);
 }
 
-/* This host's first turn at a moment or later. */
+/* This host's first turn at or after a time. */
 static usec
 turn_from(const struct rate *r, usec from)
 {
@@ -56,8 +57,8 @@
 }
 
 /*
- * Takes in what the target says; negative is no limit.  A limit that changes
- * with each answer gives a host no turn sooner than the rate does.
+ * Sets the limit, in requests a second from all hosts; negative is none.  A
+ * limit that changes with each answer must not give a host additional turns.
  */
 void
 rate_told(struct rate *r, double limit, const struct rate_turns *t, usec now)
@@ -77,19 +78,20 @@
 	if (r->last != 0 && r->last + r->every > from)
 		from = r->last + r->every;
 	r->next = turn_from(r, from);
-	/* Put off with each change, it would never come. */
+	/* Postponed by each change, the turn would never come. */
 	if (was != 0 && was < r->next)
 		r->next = was > from ? was : from;
 }
 
-/* True where a request may go now. */
+/* True if a request may be sent now. */
 int
 rate_allows(const struct rate *r, usec now)
 {
 	return (r->limit < 0 || turn(r, now) <= now);
 }
 
-/* A request goes, in its turn or, where it could not wait, before it. */
+/* Records that a request is sent, in its turn or, if it could not wait, early.
+ */
 void
 rate_take(struct rate *r, usec now)
 {
@@ -98,7 +100,8 @@
 		r->next = turn(r, now) + r->every;
 }
 
-/* How long a request waits for its turn behind others. */
+/* How long a request has to wait for its turn, with `ahead` others before it.
+ */
 usec
 rate_wait(const struct rate *r, int ahead, usec now)
 {
--- a/decide/rate.h
+++ b/decide/rate.h
@@ -1,26 +1,26 @@
 /*
- * One host's part of a rate that a target takes from all hosts together.  The
- * hosts do not ask each other: each sends one request in its own turn, and
- * turns are apart by the time of day, which hosts have in common.
+ * One host's part of a rate limit that holds for all hosts together.  The hosts
+ * do not coordinate: each sends one request in each of its turns, and the turns
+ * are spread over the time of day, which all hosts share.
  */
 #ifndef RATE_H
 #define RATE_H
 
 #include "clock.h"
 
-/* Whose turn it is when. */
+/* Which host has its turn when. */
 struct rate_turns {
 	int hosts;
 	int rank;   /* of this host, from 0 */
-	usec epoch; /* when the time of day was 0 */
+	usec epoch; /* monotonic time at which the time of day was 0 */
 };
 
 struct rate {
-	double limit; /* requests a second of all hosts; negative is none */
+	double limit; /* requests a second from all hosts; negative is none */
 	struct rate_turns turns;
-	usec every; /* between this host's turns */
-	usec next;  /* its next turn that is not used */
-	usec last;  /* request */
+	usec every; /* time between this host's turns */
+	usec next;  /* its next unused turn, which may have expired */
+	usec last;  /* when it last sent a request; 0 is never */
 };
 
 void rate_init(struct rate *);
--- a/decide/recent.c
+++ b/decide/recent.c
@@ -1,10 +1,10 @@
 #include "recent.h"
 
-/* An answer so long ago says that a request crashes no target; what a run did
- * is known by then. */
+/* How long an entry counts.  An answer this recent shows that a content does
+ * not crash targets, and a run has ended or crashed its target by then. */
 #define RECENTLY MS(10000)
 
-/* Notes that it happened to a request of this content. */
+/* Records a content; it replaces the one that has its place in the table. */
 void
 recent_note(struct recent *r, uint64_t digest, usec now)
 {
@@ -15,8 +15,8 @@
 }
 
 /*
- * True where it happened to one of this content lately.  One that was answered
- * and was under way at a target that crashed happened to be there.
+ * True if the content was recorded recently.  A content that was answered
+ * recently is not to blame when a target that runs it crashes.
  */
 int
 recent_has(const struct recent *r, uint64_t digest, usec now)
--- a/decide/recent.h
+++ b/decide/recent.h
@@ -1,4 +1,4 @@
-/* Contents of requests to which something happened a little while ago. */
+/* A hash table of request contents that were recorded recently, by digest. */
 #ifndef RECENT_H
 #define RECENT_H
 
@@ -11,7 +11,7 @@
 struct recent {
 	struct {
 		uint64_t digest;
-		usec at;
+		usec at; /* 0 is an unused place */
 	} kept[RECENT_KEPT];
 };
 
--- a/decide/route.c
+++ b/decide/route.c
@@ -1,18 +1,17 @@
 #include "result.h"
 #include "route.h"
 
-/* Longest hold of a request whose key is on its way to another server. */
+/* The longest that a request is held while its key moves to another owner. */
 #define HOLD_MAX MS(1000)
 #define TRIES_MAX 3
 
 /*
- * Decides what follows an attempt.
+ * Decides what to do after an attempt ended with this result.
  *
- * A key that moves by plan is back within some hundred milliseconds, so its
- * request is held, but not longer than HOLD_MAX: beyond that something failed
- * and the caller is better told at once when to come back.  What may have run
- * is sent again only where running twice does no harm, and only within the
- * retry budget.
+ * A planned move of a key takes some hundred milliseconds, so its request is
+ * held, but no longer than HOLD_MAX: after that the move has failed, and the
+ * caller gets an error that says when to retry.  A request that may have run
+ * is retried only if it is idempotent, and only within the retry budget.
  */
 enum route_step
 route_after(const struct route_try *t, int code, int outcome, usec now,
@@ -29,10 +28,11 @@
 	switch (code) {
 	case GS_PEER_LOST:
 		/*
-		 * A connection between hosts is lost with all that is on it at
-		 * once, more than a budget's burst.  Sending each again once
-		 * is bounded by what was in flight, and says nothing of a
-		 * server in distress.
+		 * When a connection between hosts breaks, every request in
+		 * flight on it fails at once, more than the budget's burst.
+		 * The first retry of each is exempt from the budget: their
+		 * number is bounded by the requests in flight, and the loss
+		 * does not mean that a target is overloaded.
 		 */
 		if (t->tries == 1)
 			return (ROUTE_AGAIN);
--- a/decide/route.h
+++ b/decide/route.h
@@ -1,4 +1,5 @@
-/* What a router does after an attempt ended: end, try again, or hold. */
+/* What the router does after an attempt: give up, retry, or hold the request.
+ */
 #ifndef ROUTE_H
 #define ROUTE_H
 
@@ -9,8 +10,8 @@
 
 struct route_try {
 	int idempotent;
-	int tries;	/* attempts made so far */
-	usec held_from; /* since when its key has been moving; 0 is not */
+	int tries;	/* so far, with the one that ended */
+	usec held_from; /* when it was first held; 0 is never */
 	usec deadline;
 };
 
--- a/regress/unit/t_dest.c
+++ b/regress/unit/t_dest.c
@@ -1,4 +1,4 @@
-/* What a host believes of targets, and where it sends. */
+/* Tests a host's estimate of targets, and where it sends requests. */
 #include "dest.h"
 #include "unit.h"
 
@@ -15,10 +15,10 @@
 }
 
 /*
- * Targets of one service never answer what they cannot queue, nor anything
- * after it on that connection.  Twelve hosts that each know only what such a
- * target told last stay below its four slots and sixteen places: a host adds
- * nothing to a target that said it is full, until that is old.
+ * Some targets never answer a request that they cannot queue, nor any later one
+ * on that connection.  Twelve hosts that each know only the last reported load
+ * must stay below the target's four slots and sixteen queue places: a host
+ * sends nothing to a target that reported to be full until that report is old.
  */
 static void
 stays_below_full(void)
@@ -32,15 +32,15 @@
 	CU_ASSERT(!dest_room(&d, MS(1000), &twelve));
 	CU_ASSERT(!dest_room(&d, MS(1050), &twelve));
 	CU_ASSERT(dest_room(&d, MS(1400), &twelve));
-	/* However idle it seems, one host fills no target. */
+	/* One host does not fill a target, however idle it seems. */
 	dest_init(&d, 4);
 	dest_sent(&d, 0);
 	dest_sent(&d, 0);
 	CU_ASSERT(!dest_room(&d, MS(1000), &twelve));
 }
 
-/* A target leaves.  However idle it is, nothing new goes there: what reaches it
- * two seconds later may find it gone. */
+/* A leaving target gets no new requests, however idle it is: it may be gone
+ * before they reach it. */
 static void
 leaving(void)
 {
@@ -53,7 +53,7 @@
 	CU_ASSERT(!dest_room(&d, MS(1000), &twelve));
 }
 
-/* Requests go on to a target whose data centre is evacuated. */
+/* Guards against sending to a target whose data centre has been evacuated. */
 static void
 evacuated(void)
 {
@@ -68,7 +68,7 @@
 	CU_ASSERT(dest_room(&d, MS(2000), &twelve));
 }
 
-/* A cold target gets as many requests as a warm one. */
+/* Guards against sending a cold target as many requests as a warm one. */
 static void
 cold(void)
 {
@@ -81,25 +81,25 @@
 	dest_look(&d, &t, MS(1000));
 	CU_ASSERT(dest_limit(&d, MS(1000)) == 6);
 	CU_ASSERT(!dest_room(&d, MS(1000), &twelve));
-	/* This host's turn comes each 15 s. */
+	/* This host has a turn every 15 s. */
 	CU_ASSERT(rate_wait(&d.rate, 0, MS(1000)) == MS(14000));
 	dest_look(&d, &t, MS(4000));
 	CU_ASSERT(dest_limit(&d, MS(4000)) < 0);
 	CU_ASSERT(dest_room(&d, MS(4000), &twelve));
-	/* A limit of its own that is lower counts, and higher does not. */
+	/* The target's own limit holds only if it is lower. */
 	d.limit = 2;
 	CU_ASSERT(dest_limit(&d, MS(1000)) == 2);
 	CU_ASSERT(dest_limit(&d, MS(4000)) == 2);
 	d.limit = 7;
 	CU_ASSERT(dest_limit(&d, MS(1000)) == 6);
-	/* Cold again, it has no turn saved. */
+	/* When it is cold again, the host has no turn saved. */
 	d.limit = -1;
 	d.cold_until = MS(9000);
 	dest_look(&d, &t, MS(5000));
 	CU_ASSERT(!dest_room(&d, MS(5000), &twelve));
 }
 
-/* A small fleet may send more each. */
+/* With few hosts each may send more. */
 static void
 few_hosts(void)
 {
@@ -114,8 +114,8 @@
 }
 
 /*
- * A target does not take connections.  Callers would wait for it again and
- * again; it is left alone, longer each time, and tried again.
+ * A target that accepts no connections is backed off from, longer each time, so
+ * that callers don't wait for it again and again; then it is tried again.
  */
 static void
 unreached(void)
@@ -137,7 +137,7 @@
 	CU_ASSERT(dest_usable(&d, MS(2200)));
 }
 
-/* Answers that do not come are held against a target only in a row. */
+/* Missing answers cause a backoff only if several are missing in a row. */
 static void
 broken(void)
 {
@@ -155,7 +155,7 @@
 	CU_ASSERT(!dest_usable(&d, MS(1001)));
 }
 
-/* The fast one is preferred, the full one avoided, the far one a little. */
+/* Fast targets are preferred to slow, full and far ones. */
 static void
 costs(void)
 {
@@ -186,9 +186,9 @@
 }
 
 /*
- * Short reads and long exports go to the same targets.  A reader would wait
- * for exports at a fast target whose slots are full; a slower one that is free
- * answers sooner.
+ * Short reads and long exports go to the same targets.  A slower target with a
+ * free slot answers a read sooner than a fast one whose slots are full of
+ * exports.
  */
 static void
 behind_long_work(void)
@@ -205,7 +205,7 @@
 	    dest_cost(&slow, MS(1000), MS(36), MS(150)));
 }
 
-/* One that fails part of its requests gets fewer. */
+/* A target that fails a part of its requests is avoided. */
 static void
 failing(void)
 {
--- a/regress/unit/t_digest.c
+++ b/regress/unit/t_digest.c
@@ -1,4 +1,4 @@
-/* Digests of a request's content. */
+/* Tests the digest of a request's content. */
 #include <string.h>
 
 #include "digest.h"
@@ -13,7 +13,7 @@
 	return (digest_parts(parts, 2));
 }
 
-/* The same content has the same digest, wherever it lies. */
+/* The same content has the same digest, at any address. */
 static void
 same(void)
 {
@@ -22,7 +22,7 @@
 	CU_ASSERT(two("GET", "/lots/7") == two("GET", text));
 }
 
-/* Another path, another split between parts or a part less is another one. */
+/* Other bytes, another split into parts or a missing part change the digest. */
 static void
 different(void)
 {
@@ -34,7 +34,7 @@
 	CU_ASSERT(two("GET", "") != digest_parts(&one, 1));
 }
 
-/* A part without bytes may have no memory either. */
+/* An empty part may have a NULL pointer. */
 static void
 empty(void)
 {
--- a/regress/unit/t_lately.c
+++ b/regress/unit/t_lately.c
@@ -1,17 +1,19 @@
-/* Hosts that are behind, and hosts that have missed something. */
+/* Tests that hosts that are about to get an update are told from those that
+ * have lost one. */
 #include <string.h>
 
 #include "lately.h"
 #include "unit.h"
 
 /*
- * Targets of a service are replaced one after the other, so the list changes
- * every 300 ms; frames need some of them.  A host that has missed a change, for
- * control changed hands just then, goes on using a target that left; it must be
- * told from those whose news is on the way, though the list never stands still.
+ * During a rolling replacement of targets the list changes every 300 ms, and an
+ * update takes some of that time to reach a host.  A host that lost an update,
+ * because control moved to another host just then, would go on using a target
+ * that has left.  It must be found although the list keeps changing, and must
+ * not be confused with hosts whose update is still on its way.
  */
 static void
-changes_often(void)
+frequent_changes(void)
 {
 	struct lately l;
 	usec now = MS(1000);
@@ -27,9 +29,9 @@
 	}
 }
 
-/* Before anything has changed no number is one that stood. */
+/* Before the first change no version counts as replaced, 0 included. */
 static void
-nothing_yet(void)
+no_change_yet(void)
 {
 	struct lately l;
 
@@ -38,7 +40,7 @@
 }
 
 static const struct unit_test tests[] = {
-    {"changes often", changes_often},
-    {"nothing yet", nothing_yet},
+    {"frequent changes", frequent_changes},
+    {"no change yet", no_change_yet},
 };
 UNIT_MAIN("lately", tests)
--- a/regress/unit/t_leave.c
+++ b/regress/unit/t_leave.c
@@ -1,4 +1,4 @@
-/* What a stopping host takes, and when each request must have its answer. */
+/* Tests which requests a stopping host accepts, and their deadlines. */
 #include "leave.h"
 #include "unit.h"
 
@@ -6,13 +6,13 @@
 #define GRACE MS(6000)
 
 /*
- * A host is asked to stop.  For two seconds more its balancer sends callers
- * here, with requests that may last longer than the host does.  Refused, they
- * would fail where all hosts stop at once; cut at the kill, they would end
- * without a word.  They are taken and bounded.
+ * For two seconds after a host was asked to stop, the load balancer still sends
+ * it requests, some with deadlines after its end.  If it refused them, they
+ * would fail when all hosts stop at once; if they ran until the kill, they
+ * would get no answer.  They are accepted with an earlier deadline.
  */
 static void
-still_sent(void)
+before_balancer_notices(void)
 {
 	struct leave l = leave_plan(NOW, GRACE);
 
@@ -23,9 +23,10 @@
 }
 
 /*
- * A caller sends on a connection that it kept, 4.9 s after the host was asked
- * to stop, with 3 s to wait.  Its target fails the request after 0.6 s, it is
- * sent once more, and the kill at 6 s ends the connection with no answer.
+ * A caller sends a request with a deadline of 3 s on a kept connection, 4.9 s
+ * after the host was asked to stop.  If it were accepted and its target failed
+ * it after 0.6 s, it would be retried and cut off by the kill at 6 s, without
+ * an answer.
  */
 static void
 kept_connection(void)
@@ -39,7 +40,7 @@
 	CU_ASSERT(leave_takes(&l, now, now + MS(1200)));
 }
 
-/* Time is left to write the answers, and a short one begins no later. */
+/* Time is left to write the answers, also with a short grace period. */
 static void
 order(void)
 {
@@ -52,7 +53,7 @@
 }
 
 static const struct unit_test tests[] = {
-    {"still sent", still_sent},
+    {"before balancer notices", before_balancer_notices},
     {"kept connection", kept_connection},
     {"order", order},
 };
--- a/regress/unit/t_quarantine.c
+++ b/regress/unit/t_quarantine.c
@@ -1,5 +1,5 @@
-/* Requests that crash targets: what counts, what is quarantined, for how long.
- */
+/* Tests the detection of requests that crash targets: what counts as a crash,
+ * what is quarantined, and for how long. */
 #include <string.h>
 
 #include "quarantine.h"
@@ -8,14 +8,14 @@
 #include "unit.h"
 
 #define CONTENT 7u
-/* Who tells. */
+/* The host that reports. */
 #define HOST 5u
 #define HOUR MS(3600000)
 
 static struct quarantine q;
 static struct quarantine_list l;
 
-/* Sends of a content broke at a target, as a host tells it. */
+/* Reports for a host that sends of a content to a target broke. */
 static int
 broke(uint64_t digest, uint64_t target, uint64_t host, int sends, usec now)
 {
@@ -24,7 +24,8 @@
 	return (quarantine_broke(&q, &b, now));
 }
 
-/* A target crashes under a content: 1 where that quarantines it. */
+/* A target crashes while it runs a content; returns 1 if that quarantines it.
+ */
 static int
 crash(uint64_t digest, uint64_t target, usec now)
 {
@@ -33,7 +34,7 @@
 	return (quarantine_ended(&q, target, now + MS(100)) + n);
 }
 
-/* For how much longer a content is quarantined. */
+/* Returns how much longer a content is quarantined. */
 static usec
 left(uint64_t digest, usec now)
 {
@@ -46,7 +47,7 @@
 		: quarantine_item_left(item, now));
 }
 
-/* True where a content is on probation. */
+/* True if a content is on probation. */
 static int
 on_probation(uint64_t digest, usec now)
 {
@@ -57,7 +58,7 @@
 	return (item != NULL && item->probation);
 }
 
-/* A request that comes again after each crash ends no fourth target. */
+/* A request that is repeated after each crash crashes no fourth target. */
 static void
 third_crash(void)
 {
@@ -72,9 +73,9 @@
 	CU_ASSERT(left(CONTENT + 1, MS(8000)) == 0);
 }
 
-/* One crash that several hosts report, also long after, counts once. */
+/* A crash that is reported several times, also much later, counts once. */
 static void
-told_twice(void)
+reported_twice(void)
 {
 	uint64_t i;
 
@@ -90,9 +91,9 @@
 	CU_ASSERT(left(CONTENT, MS(7000)) == 0);
 }
 
-/* Targets that lose answers and live on quarantine nothing. */
+/* Missing answers of targets that have not ended quarantine nothing. */
 static void
-answers_lost(void)
+missing_answers(void)
 {
 	uint64_t t;
 
@@ -102,13 +103,13 @@
 		CU_ASSERT(broke(CONTENT, t, HOST, 1, MS(1000)) == 0);
 	CU_ASSERT(left(CONTENT, MS(2000)) == 0);
 	CU_ASSERT(!on_probation(CONTENT, MS(2000)));
-	/* One of them ends much later, for another reason. */
+	/* They end much later, for another reason. */
 	for (t = 1; t < 30; t++)
 		CU_ASSERT(quarantine_ended(&q, t, MS(60000)) == 0);
 	CU_ASSERT(!on_probation(CONTENT, MS(60000)));
 }
 
-/* A crash counts where its target is found ended before the send is told. */
+/* A crash counts if the end of the target is reported before the send. */
 static void
 ended_first(void)
 {
@@ -123,9 +124,9 @@
 	CU_ASSERT(left(CONTENT, MS(4000)) > 0);
 }
 
-/* A content that is tried again after its time needs one crash more. */
+/* After its quarantine has ended, one crash quarantines a content again. */
 static void
-one_more(void)
+crash_after_quarantine(void)
 {
 	usec later = MS(7000) + HOUR + MS(1000);
 
@@ -138,7 +139,7 @@
 	CU_ASSERT(left(CONTENT, later + MS(1000)) > 0);
 }
 
-/* Crashes an hour apart are not taken for one request's. */
+/* Crashes an hour apart are not attributed to the same request. */
 static void
 far_apart(void)
 {
@@ -148,7 +149,7 @@
 	CU_ASSERT(crash(CONTENT, 3, MS(1000) + 2 * HOUR) == 0);
 }
 
-/* Crashes under many other contents end no quarantine. */
+/* Crashes of many other contents do not evict a quarantined one. */
 static void
 table_full(void)
 {
@@ -163,7 +164,7 @@
 	CU_ASSERT(left(CONTENT, MS(9000)) > 0);
 }
 
-/* Another host tells that a content is quarantined for so much longer. */
+/* Another host reports that a content is quarantined for `span` longer. */
 static int
 add(uint64_t digest, usec span, usec now)
 {
@@ -172,9 +173,9 @@
 	return (quarantine_add(&q, &item, now));
 }
 
-/* A host takes over what another quarantined, for as long as there. */
+/* A host adopts another's quarantine with the time that is left of it. */
 static void
-taken_over(void)
+adopted(void)
 {
 	memset(&q, 0, sizeof(q));
 	CU_ASSERT(add(CONTENT, MS(500), MS(1000)) == 1);
@@ -186,9 +187,9 @@
 	CU_ASSERT(left(9, MS(1000)) == HOUR);
 }
 
-/* Lists of the same contents have the same number, in any order. */
+/* Lists of the same contents have the same checksum, in any order. */
 static void
-number(void)
+checksum(void)
 {
 	uint64_t n;
 
@@ -208,7 +209,7 @@
 	CU_ASSERT(quarantine_number(&l) == n);
 }
 
-/* The store's text keeps contents and what is left of their time. */
+/* The text for the store keeps the contents and the time that is left. */
 static void
 text(void)
 {
@@ -224,7 +225,7 @@
 	CU_ASSERT(
 	    back.n == 2 && quarantine_number(&back) == quarantine_number(&l));
 	CU_ASSERT(quarantine_item_left(&back.items[0], MS(9000)) == MS(400));
-	/* One whose time has run out since is told with none left. */
+	/* An expired item is written with no time left. */
 	quarantine_write(&l, &s, MS(1000));
 	CU_ASSERT(quarantine_read(&s, &back, 0) == 0 && back.n == 2);
 	CU_ASSERT(quarantine_find(&back, UINT64_MAX, 0) == NULL);
@@ -235,9 +236,9 @@
 	str_free(&s);
 }
 
-/* A content that is answered all the time is not blamed for crashes. */
+/* A recent answer is remembered, for its content only and not for long. */
 static void
-answered(void)
+recent_answer(void)
 {
 	static struct recent r;
 
@@ -248,7 +249,7 @@
 	CU_ASSERT(!recent_has(&r, CONTENT, MS(60000)));
 }
 
-/* One request under way many times at a target goes on to end others. */
+/* A request with many runs in flight at a target would crash others as well. */
 static void
 many_runs(void)
 {
@@ -258,16 +259,16 @@
 	CU_ASSERT(!on_probation(CONTENT, MS(1050)));
 	CU_ASSERT(quarantine_ended(&q, 1, MS(1100)) == 0);
 	CU_ASSERT(on_probation(CONTENT, MS(1100)));
-	/* What was sent before and ends with another target proves nothing. */
+	/* A run that was sent before probation proves nothing. */
 	CU_ASSERT(crash(CONTENT, 2, MS(1300)) == 0);
 	CU_ASSERT(on_probation(CONTENT, MS(1500)));
-	/* The one run that was let through does. */
+	/* A crash after the grace period does. */
 	CU_ASSERT(crash(CONTENT, 3, MS(5000)) == 1);
 	CU_ASSERT(left(CONTENT, MS(6000)) > 0);
 	CU_ASSERT(!on_probation(CONTENT, MS(6000)));
 }
 
-/* A run on probation that ends its target proves it at once. */
+/* A run on probation that crashes its target is proof at once. */
 static void
 ran_on_probation(void)
 {
@@ -281,9 +282,9 @@
 	CU_ASSERT(left(CONTENT, MS(1300)) > 0);
 }
 
-/* Several targets crash under it within moments, and nobody had an answer. */
+/* Several targets crash at about the same time, and no host had an answer. */
 static void
-all_at_once(void)
+crashes_at_once(void)
 {
 	uint64_t t;
 
@@ -293,14 +294,14 @@
 	CU_ASSERT(quarantine_settle(&q, MS(1200)) == 0);
 	CU_ASSERT(quarantine_settle(&q, MS(2000)) == 1);
 	CU_ASSERT(left(CONTENT, MS(2000)) > 0);
-	/* One that was answered meanwhile is let go. */
+	/* A content that is answered meanwhile is cleared. */
 	for (t = 1; t <= 3; t++)
 		crash(CONTENT + 1, 10 + t, MS(5000));
 	quarantine_answered(&q, CONTENT + 1, MS(5400));
 	CU_ASSERT(quarantine_settle(&q, MS(6000)) == 0);
 }
 
-/* Sends that a host tells of again, and one more, count once each. */
+/* Reports hold totals: a repeated report does not count, one more send does. */
 static void
 more_sends(void)
 {
@@ -311,7 +312,7 @@
 	CU_ASSERT(!on_probation(CONTENT, MS(1400)));
 	broke(CONTENT, 1, 11, 2, MS(1500));
 	CU_ASSERT(on_probation(CONTENT, MS(1600)));
-	/* A report that was overtaken takes nothing back. */
+	/* An older report that arrives late subtracts nothing. */
 	memset(&q, 0, sizeof(q));
 	broke(CONTENT, 1, 11, 2, MS(1000));
 	broke(CONTENT, 1, 11, 1, MS(1100));
@@ -324,10 +325,10 @@
 	CU_ASSERT(on_probation(CONTENT, MS(1100)));
 }
 
-/* What is asked for all the time is refused for a crash that it did not cause.
- */
+/* Guards against quarantine of a content that is in flight all the time, for
+ * crashes that it did not cause. */
 static void
-innocent(void)
+not_the_cause(void)
 {
 	struct quarantine_item told = {CONTENT, MS(60000), 1};
 	usec now;
@@ -338,22 +339,22 @@
 		CU_ASSERT(quarantine_ended(&q, (uint64_t)now, now) == 0);
 		quarantine_answered(&q, CONTENT, now + MS(400));
 		CU_ASSERT(!on_probation(CONTENT, now + MS(400)));
-		/* A host that has not heard so tells what it was told. */
+		/* A host that lacks the update reports its old list. */
 		CU_ASSERT(quarantine_add(&q, &told, now + MS(500)) == 0);
 	}
 	CU_ASSERT(left(CONTENT, MS(41000)) == 0);
-	/* One that is quarantined stays so, whoever had an answer. */
+	/* An answer does not end a quarantine. */
 	add(CONTENT, HOUR, MS(60000));
 	quarantine_answered(&q, CONTENT, MS(60100));
 	CU_ASSERT(left(CONTENT, MS(60200)) > 0);
-	/* Nor does that excuse the next crash after it. */
+	/* Nor does it clear the content of the next crash after it. */
 	memset(&q, 0, sizeof(q));
 	add(CONTENT, MS(500), MS(60000));
 	quarantine_answered(&q, CONTENT, MS(60400));
 	CU_ASSERT(crash(CONTENT, 9, MS(60700)) == 1);
 }
 
-/* Without another crash probation ends by itself. */
+/* Without another crash, probation ends after a time. */
 static void
 probation_ends(void)
 {
@@ -362,13 +363,13 @@
 	quarantine_ended(&q, 1, MS(1000));
 	CU_ASSERT(on_probation(CONTENT, MS(30000)));
 	CU_ASSERT(!on_probation(CONTENT, MS(62000)));
-	/* The next crash is the one that proves it. */
+	/* One more crash quarantines it. */
 	CU_ASSERT(crash(CONTENT, 2, MS(70000)) == 1);
 }
 
-/* A host is on the list of its controller, and off it with it. */
+/* Probation follows the controller's list; a quarantine outlasts it. */
 static void
-probation_told(void)
+probation_adopted(void)
 {
 	struct quarantine_list told = {.n = 1};
 
@@ -383,7 +384,7 @@
 	CU_ASSERT(told.n == 0);
 	quarantine_told(&q, &told, MS(2000));
 	CU_ASSERT(!on_probation(CONTENT, MS(2000)));
-	/* Quarantined there, it is here, and is not forgotten with the list. */
+	/* A quarantine is adopted, and kept when the list drops it. */
 	told.n = 1;
 	told.items[0].probation = 0;
 	quarantine_told(&q, &told, MS(3000));
@@ -395,7 +396,7 @@
 	CU_ASSERT(told.n == 1);
 }
 
-/* Of many hosts one runs a content on probation. */
+/* Exactly one of many hosts runs a content on probation. */
 static void
 one_host(void)
 {
@@ -410,8 +411,8 @@
 	CU_ASSERT(!probation_is_here(7, 0, 0));
 }
 
-/* Ten thousand contents under way where targets crash fill no list, and free no
- * other. */
+/* Ten thousand contents in flight at crashing targets do not overflow the list
+ * or evict a quarantined content. */
 static void
 many_contents(void)
 {
@@ -431,23 +432,23 @@
 static const struct unit_test tests[] = {
     {"many runs", many_runs},
     {"ran on probation", ran_on_probation},
-    {"all at once", all_at_once},
+    {"crashes at once", crashes_at_once},
     {"more sends", more_sends},
-    {"innocent", innocent},
+    {"not the cause", not_the_cause},
     {"probation ends", probation_ends},
-    {"probation told", probation_told},
+    {"probation adopted", probation_adopted},
     {"one host", one_host},
     {"many contents", many_contents},
     {"third crash", third_crash},
-    {"told twice", told_twice},
-    {"answers lost", answers_lost},
+    {"reported twice", reported_twice},
+    {"missing answers", missing_answers},
     {"ended first", ended_first},
-    {"one more", one_more},
+    {"crash after quarantine", crash_after_quarantine},
     {"far apart", far_apart},
     {"table full", table_full},
-    {"taken over", taken_over},
-    {"number", number},
+    {"adopted", adopted},
+    {"checksum", checksum},
     {"text", text},
-    {"answered", answered},
+    {"recent answer", recent_answer},
 };
 UNIT_MAIN("quarantine", tests)
--- a/regress/unit/t_rate.c
+++ b/regress/unit/t_rate.c
@@ -1,4 +1,4 @@
-/* A rate that a target takes from all hosts together, host by host. */
+/* Tests a rate limit that holds for all hosts together. */
 #include <stdlib.h>
 
 #include "rate.h"
@@ -6,7 +6,7 @@
 
 #define HOSTS_MOST 490
 #define SENDS_MOST 20000
-/* What is asked: so many times the rate in any such span, and some more. */
+/* Bound: TIMES the rate in any SPAN, and MORE requests. */
 #define SPAN MS(4000)
 #define TIMES 1.5
 #define MORE 5
@@ -14,9 +14,9 @@
 static usec sends[SENDS_MOST];
 static int nsends;
 
-/* The most requests in any span. */
+/* Returns the highest number of requests in any span of this length. */
 static int
-worst(usec span)
+most_in(usec span)
 {
 	int i, n = 0, from = 0;
 
@@ -29,13 +29,13 @@
 	return (n);
 }
 
-/* Clocks of hosts differ by so much. */
+/* The clocks of hosts differ by up to this. */
 #define CLOCKS_DIFFER MS(50)
 
-/* Hosts that hear of a limit and press on for a while: all of the time, or
- * after a pause all at once. */
+/* Simulates hosts that learn of a limit and send as often as it allows: all of
+ * the time, or with a pause after which all of them start at once. */
 static void
-press(int hosts, double limit, usec quiet_from, usec quiet_until)
+simulate(int hosts, double limit, usec quiet_from, usec quiet_until)
 {
 	static struct rate r[HOSTS_MOST];
 	struct rate_turns t = {hosts, 0, 0};
@@ -61,7 +61,7 @@
 	}
 }
 
-/* All hosts together keep the rate, also when they all come after a pause. */
+/* All hosts together keep the rate, also when all start after a pause. */
 static void
 all_hosts_together(void)
 {
@@ -73,9 +73,9 @@
 	for (h = 0; h < sizeof(hosts) / sizeof(hosts[0]); h++) {
 		for (l = 0; l < sizeof(limits) / sizeof(limits[0]); l++) {
 			for (round = 0; round < 2; round++) {
-				press(hosts[h], limits[l], MS(20000),
+				simulate(hosts[h], limits[l], MS(20000),
 				    MS(round % 2 == 0 ? 20000 : 40000));
-				CU_ASSERT(worst(SPAN) <=
+				CU_ASSERT(most_in(SPAN) <=
 				    TIMES * limits[l] * SPAN / US_PER_SEC +
 					MORE);
 			}
@@ -83,12 +83,12 @@
 	}
 }
 
-/* What is asked of cold targets: in any second so many times the rate, and some
- * more. */
+/* Bound for cold targets: COLD_TIMES the rate in any second, and COLD_MORE
+ * requests. */
 #define COLD_TIMES 1.5
 #define COLD_MORE 8
 
-/* A cold target gets more from all hosts in one second than it bears. */
+/* Guards against more requests in one second than a cold target can handle. */
 static void
 cold_second(void)
 {
@@ -100,26 +100,26 @@
 	for (h = 0; h < sizeof(hosts) / sizeof(hosts[0]); h++) {
 		for (r = 0; r < sizeof(rates) / sizeof(rates[0]); r++) {
 			for (round = 0; round < 2; round++) {
-				press(hosts[h], rates[r], MS(20000),
+				simulate(hosts[h], rates[r], MS(20000),
 				    MS(round % 2 == 0 ? 20000 : 40000));
-				CU_ASSERT(worst(US_PER_SEC) <=
+				CU_ASSERT(most_in(US_PER_SEC) <=
 				    COLD_TIMES * rates[r] + COLD_MORE);
 			}
 		}
 	}
 }
 
-/* Under steady demand the limit is used, and not only kept. */
+/* Under steady demand most of the limit is used. */
 static void
 used(void)
 {
-	press(8, 4, 0, 0);
+	simulate(8, 4, 0, 0);
 	CU_ASSERT(nsends > 4 * 59 * 0.9);
-	press(295, 10, 0, 0);
+	simulate(295, 10, 0, 0);
 	CU_ASSERT(nsends > 10 * 59 * 0.8);
 }
 
-/* A limit that ends ends at once; named again it begins with no turn saved. */
+/* A limit can be removed at once; set again it begins with no turn saved. */
 static void
 ends(void)
 {
@@ -138,7 +138,7 @@
 	CU_ASSERT(!rate_allows(&r, MS(95900)) && rate_allows(&r, MS(96000)));
 }
 
-/* Who waits is told when its turn comes, behind those before it. */
+/* The wait for a turn includes the requests before it. */
 static void
 waits(void)
 {
@@ -153,7 +153,8 @@
 	CU_ASSERT(rate_wait(&r, 0, MS(1500)) == MS(1500));
 }
 
-/* A limit that changes with each answer neither adds turns nor stops them. */
+/* A limit that changes with each answer neither adds turns nor delays them
+ * forever. */
 static void
 changes(void)
 {
@@ -173,7 +174,7 @@
 	CU_ASSERT(n <= 51 && n > 20);
 }
 
-/* A target that takes none is still asked now and then. */
+/* A target with a limit of 0 still gets a request now and then. */
 static void
 none(void)
 {
@@ -184,7 +185,7 @@
 	rate_told(&r, 0, &t, MS(1000));
 	CU_ASSERT(!rate_allows(&r, MS(1000)));
 	CU_ASSERT(rate_wait(&r, 0, MS(1000)) <= MS(30000));
-	/* Before the hosts have been counted. */
+	/* The number of hosts is not known yet. */
 	t.hosts = 0;
 	rate_told(&r, 4, &t, MS(1000));
 	CU_ASSERT(rate_wait(&r, 0, MS(1000)) <= MS(250));
--- a/regress/unit/t_route.c
+++ b/regress/unit/t_route.c
@@ -1,4 +1,4 @@
-/* What a router does after an attempt, and the retry budget. */
+/* Tests what the router does after an attempt, and the retry budget. */
 #include "result.h"
 #include "route.h"
 #include "unit.h"
@@ -6,9 +6,9 @@
 static const struct route_try idem = {1, 1, 0, MS(5000)};
 static const struct route_try once = {0, 1, 0, MS(5000)};
 
-/* What may have run is never sent again where twice does harm. */
+/* A request that may have run and is not idempotent is never retried. */
 static void
-no_second_run(void)
+not_idempotent(void)
 {
 	static const int codes[] = {GS_PEER_LOST, GS_TARGET_LOST, GS_CUT_SHORT,
 	    GS_DEADLINE, GS_OLD_TICKET, GS_ANSWER_LARGE};
@@ -22,7 +22,7 @@
 		    ROUTE_END);
 }
 
-/* Idempotent work is sent again, within budget, tries and deadline. */
+/* Idempotent requests are retried within budget, attempts and deadline. */
 static void
 retries_are_bounded(void)
 {
@@ -34,7 +34,7 @@
 	    ROUTE_AGAIN);
 	CU_ASSERT_EQUAL(
 	    route_after(&idem, GS_TARGET_LOST, OUT_UNKNOWN, 0, &b), ROUTE_END);
-	/* A lost connection's requests go once more without the budget. */
+	/* After a lost connection the first retry needs no budget. */
 	CU_ASSERT_EQUAL(
 	    route_after(&idem, GS_PEER_LOST, OUT_UNKNOWN, 0, &b), ROUTE_AGAIN);
 	many.tries = 2;
@@ -49,9 +49,9 @@
 	    route_after(&many, GS_PEER_LOST, OUT_UNKNOWN, 0, &b), ROUTE_END);
 }
 
-/* A moving key's request is held a second at most, then given up at once. */
+/* A request whose key is moving is held for a second at most, then it fails. */
 static void
-holds_a_little(void)
+hold_is_bounded(void)
 {
 	struct route_try t = once;
 	struct budget b;
@@ -66,7 +66,7 @@
 	    route_after(&t, GS_MOVED, OUT_NOT_RUN, MS(1100), &b), ROUTE_END);
 }
 
-/* Refusals are final at once: asking again would only add load. */
+/* Refused requests are not retried: that would only add load. */
 static void
 refusals_are_final(void)
 {
@@ -82,9 +82,9 @@
 		    ROUTE_END);
 }
 
-/* All fail: the retries stay within their share of the first tries. */
+/* When all requests fail, retries stay within their share of first attempts. */
 static void
-budget_bounds_the_sum(void)
+budget_bounds_retries(void)
 {
 	struct budget b;
 	int i, retries = 0;
@@ -99,10 +99,10 @@
 }
 
 static const struct unit_test tests[] = {
-    {"no second run", no_second_run},
+    {"not idempotent", not_idempotent},
     {"retries are bounded", retries_are_bounded},
-    {"holds a little", holds_a_little},
+    {"hold is bounded", hold_is_bounded},
     {"refusals are final", refusals_are_final},
-    {"budget bounds the sum", budget_bounds_the_sum},
+    {"budget bounds retries", budget_bounds_retries},
 };
 UNIT_MAIN("route", tests)
