--- a/decide/dest.c
+++ b/decide/dest.c
@@ -6,15 +6,15 @@
 
 /* Half-life of the reported number of other hosts' requests: about as long as a
  * request runs, which is 36 to 220 ms. */
-#define OTHERS_HALF MS(150)
+#define OTHERS_HALF_LIFE MS(150)
 /* Weight of one sample in the moving averages.  The first samples weigh more,
- * because hot keys arrive within the first seconds of a target's life. */
-#define SPEED_GAIN 0.06
-#define SPEED_FIRST 0.35
-#define FAIL_GAIN 0.1
+ * because hot keys arrive within the first seconds after a target's start. */
+#define LATENCY_GAIN 0.06
+#define LATENCY_GAIN_FIRST 0.35
+#define FAILURE_GAIN 0.1
 /* A target is sent requests until this many times its slots are in flight: its
  * queue then covers the round trip between answers, and is far from full. */
-#define FILL 2.5
+#define FILL_FACTOR 2.5
 /* Traffic between data centres is paid for, so a request goes to another one
  * only if that saves this much time.  A cost of 12 ms sends more bytes across
  * and serves no more requests. */
@@ -23,13 +23,13 @@
 #define COLD_FACTOR 2.0
 /* How long no requests are sent to a target that could not be reached; doubled
  * for each further failure in a row, up to the maximum. */
-#define SHUN_FIRST MS(150)
-#define SHUN_MOST MS(1200)
+#define BACKOFF_FIRST MS(150)
+#define BACKOFF_MAX MS(1200)
 /* After so many requests in a row without a whole answer, a host backs off from
  * the target as if it could not be reached. */
-#define STRIKES_BROKE 3
+#define BROKEN_STREAK_MAX 3
 /* Backoff after a refusal: about as long as a request runs. */
-#define SHUN_FULL MS(40)
+#define BACKOFF_REFUSED MS(40)
 
 /* Initializes a target of which nothing is known yet. */
 void
@@ -56,34 +56,34 @@
 void
 dest_look(struct dest *d, const struct rate_turns *t, usec now)
 {
-	rate_told(&d->rate, dest_limit(d, now), t, now);
+	rate_set(&d->rate, dest_limit(d, now), t, now);
 }
 
 /* Records that a request is sent to the target. */
 void
 dest_sent(struct dest *d, usec now)
 {
-	d->mine++;
-	rate_take(&d->rate, now);
+	d->inflight++;
+	rate_sent(&d->rate, now);
 }
 
 /* Backs off from the target, longer for each failure in a row. */
 static void
-shun(struct dest *d, usec now)
+back_off(struct dest *d, usec now)
 {
-	int times = d->strikes < 4 ? d->strikes : 4;
-	usec span = SHUN_FIRST << (times > 0 ? times - 1 : 0);
+	int times = d->unanswered_streak < 4 ? d->unanswered_streak : 4;
+	usec span = BACKOFF_FIRST << (times > 0 ? times - 1 : 0);
 
 	if (!feature_on(FEATURE_SHUN))
 		return;
-	if (span > SHUN_MOST)
-		span = SHUN_MOST;
+	if (span > BACKOFF_MAX)
+		span = BACKOFF_MAX;
 	d->shunned_until = now + span;
 }
 
-/* Updates the target's speed from a request that did not wait there. */
+/* Updates the target's latency ratio from a request that did not wait there. */
 static void
-learn_speed(struct dest *d, const struct dest_answer *a)
+learn_latency(struct dest *d, const struct dest_answer *a)
 {
 	double x, gain;
 
@@ -93,51 +93,51 @@
 	x = (double)a->took / (double)a->expected;
 	/* A single request may take many times the usual: clamp outliers. */
 	x = fmin(fmax(x, 0.2), 4);
-	gain = SPEED_FIRST / (1 + 0.15 * d->samples++);
-	d->speed += fmax(gain, SPEED_GAIN) * (x - d->speed);
+	gain = LATENCY_GAIN_FIRST / (1 + 0.15 * d->latency_samples++);
+	d->speed += fmax(gain, LATENCY_GAIN) * (x - d->speed);
 }
 
 /* Records the end of a request that was sent to the target. */
 void
 dest_ended(struct dest *d, usec now, const struct dest_answer *a)
 {
-	double bad = a->end == DEST_FAILED || a->end == DEST_BROKE;
+	double failed = a->end == DEST_FAILED || a->end == DEST_BROKE;
 
-	if (d->mine > 0)
-		d->mine--;
-	d->fails += FAIL_GAIN * (bad - d->fails);
+	if (d->inflight > 0)
+		d->inflight--;
+	d->failure_rate += FAILURE_GAIN * (failed - d->failure_rate);
 	if (a->load.told) {
 		d->load = a->load;
-		d->others =
-		    fmax(a->load.running + a->load.waiting - d->mine, 0);
+		d->others_inflight =
+		    fmax(a->load.running + a->load.waiting - d->inflight, 0);
 		/* The report may still count the request that has ended. */
-		if (a->end == DEST_ANSWERED && d->others >= 1)
-			d->others -= 1;
-		d->heard = now;
+		if (a->end == DEST_ANSWERED && d->others_inflight >= 1)
+			d->others_inflight -= 1;
+		d->load_at = now;
 	}
 	switch (a->end) {
 	case DEST_ANSWERED:
-		d->strikes = 0;
-		learn_speed(d, a);
+		d->unanswered_streak = 0;
+		learn_latency(d, a);
 		break;
 	case DEST_FAILED:
 	case DEST_MISSENT:
-		d->strikes = 0;
+		d->unanswered_streak = 0;
 		break;
 	case DEST_REFUSED:
-		d->strikes = 0;
+		d->unanswered_streak = 0;
 		if (feature_on(FEATURE_SHUN) &&
-		    d->shunned_until < now + SHUN_FULL)
-			d->shunned_until = now + SHUN_FULL;
+		    d->shunned_until < now + BACKOFF_REFUSED)
+			d->shunned_until = now + BACKOFF_REFUSED;
 		break;
 	case DEST_UNREACHED:
-		d->strikes++;
-		shun(d, now);
+		d->unanswered_streak++;
+		back_off(d, now);
 		break;
 	case DEST_BROKE:
 	case DEST_TIMED_OUT:
-		if (++d->strikes >= STRIKES_BROKE)
-			shun(d, now);
+		if (++d->unanswered_streak >= BROKEN_STREAK_MAX)
+			back_off(d, now);
 		break;
 	}
 }
@@ -146,11 +146,12 @@
 double
 dest_load(const struct dest *d, usec now)
 {
-	double age = (double)(now - d->heard);
+	double age = (double)(now - d->load_at);
 
-	if (d->heard == 0 || !feature_on(FEATURE_OTHERS))
-		return (d->mine);
-	return (d->mine + d->others * exp2(-age / (double)OTHERS_HALF));
+	if (d->load_at == 0 || !feature_on(FEATURE_OTHERS))
+		return (d->inflight);
+	return (d->inflight +
+	    d->others_inflight * exp2(-age / (double)OTHERS_HALF_LIFE));
 }
 
 /* True if the target leaves, or its data centre is being evacuated. */
@@ -178,16 +179,17 @@
 int
 dest_room(const struct dest *d, usec now, const struct dest_conf *conf)
 {
-	double share = FILL * d->slots / (conf->hosts > 0 ? conf->hosts : 1);
-	int most = (int)ceil(share) + 1;
+	double share =
+	    FILL_FACTOR * d->slots / (conf->hosts > 0 ? conf->hosts : 1);
+	int max_inflight = (int)ceil(share) + 1;
 
 	if (!dest_usable(d, now) || !rate_allows(&d->rate, now))
 		return (0);
 	if (!feature_on(FEATURE_FILL))
 		return (1);
-	if (d->mine >= most)
+	if (d->inflight >= max_inflight)
 		return (0);
-	return (dest_load(d, now) < FILL * d->slots);
+	return (dest_load(d, now) < FILL_FACTOR * d->slots);
 }
 
 /*
@@ -200,15 +202,15 @@
 dest_cost(const struct dest *d, usec now, usec work, usec others_work)
 {
 	double load = dest_load(d, now), ahead = load + 1 - d->slots;
-	double slow = d->speed, cost;
+	double factor = d->speed, cost;
 
 	if (now < d->cold_until && feature_on(FEATURE_COLD))
-		slow *= COLD_FACTOR;
-	cost = (double)work * slow * (1 + 0.15 * load / d->slots);
+		factor *= COLD_FACTOR;
+	cost = (double)work * factor * (1 + 0.15 * load / d->slots);
 	if (ahead > 0)
-		cost += (double)others_work * slow * ahead / d->slots;
+		cost += (double)others_work * factor * ahead / d->slots;
 	if (feature_on(FEATURE_FAILS))
-		cost *= 1 + 2 * d->fails;
+		cost *= 1 + 2 * d->failure_rate;
 	return (cost +
 	    (d->near || !feature_on(FEATURE_FAR) ? 0 : (double)FAR_COST));
 }
--- a/decide/dest.h
+++ b/decide/dest.h
@@ -20,14 +20,14 @@
 	usec cold_until;
 	double cold_rate; /* limit while it is cold; 0 is none */
 	double limit;	  /* its own, in requests a second; negative is none */
-	int mine;	  /* requests of this host in flight there */
-	double others;	  /* those of other hosts, as of `heard` */
-	struct load load; /* last reported */
-	usec heard;	  /* time of that report; 0 is none yet */
-	int samples;	  /* number of samples in `speed` */
-	double speed;	  /* time it takes, relative to a usual target */
-	double fails;	  /* moving average of failed requests, 0 to 1 */
-	int strikes;	  /* requests in a row without an answer */
+	int inflight;	  /* requests of this host in flight there */
+	double others_inflight; /* those of other hosts, as of `load_at` */
+	struct load load;	/* last reported */
+	usec load_at;		/* time of that report; 0 is none yet */
+	int latency_samples;	/* so far */
+	double speed;		/* latency, relative to a usual target */
+	double failure_rate;	/* moving average of failed requests, 0 to 1 */
+	int unanswered_streak;	/* requests in a row without an answer */
 	usec shunned_until;
 	struct rate rate; /* this host's turns, by both limits */
 };
--- a/decide/lately.c
+++ b/decide/lately.c
@@ -2,12 +2,12 @@
 
 /* Records that a version was replaced now. */
 void
-lately_changed(struct lately *l, uint64_t was, usec now)
+lately_changed(struct lately *l, uint64_t replaced, usec now)
 {
 	unsigned i = l->next++ % LATELY_KEPT;
 
-	l->was[i].number = was;
-	l->was[i].until = now;
+	l->replaced[i].version = replaced;
+	l->replaced[i].replaced_at = now;
 }
 
 /*
@@ -18,13 +18,14 @@
  * pause.
  */
 int
-lately_stood(const struct lately *l, uint64_t number, usec span, usec now)
+lately_stood(const struct lately *l, uint64_t version, usec span, usec now)
 {
 	int i;
 
 	for (i = 0; i < LATELY_KEPT; i++) {
-		if (l->was[i].until != 0 && l->was[i].number == number &&
-		    now - l->was[i].until <= span)
+		if (l->replaced[i].replaced_at != 0 &&
+		    l->replaced[i].version == version &&
+		    now - l->replaced[i].replaced_at <= span)
 			return (1);
 	}
 	return (0);
--- a/decide/lately.h
+++ b/decide/lately.h
@@ -10,13 +10,13 @@
 
 struct lately {
 	struct {
-		uint64_t number;
-		usec until; /* when it was replaced; 0 is an unused entry */
-	} was[LATELY_KEPT];
+		uint64_t version;
+		usec replaced_at; /* 0 is an unused entry */
+	} replaced[LATELY_KEPT];
 	unsigned next; /* replacements so far; the array is a ring */
 };
 
-void lately_changed(struct lately *, uint64_t was, usec now);
-int lately_stood(const struct lately *, uint64_t number, usec span, usec now);
+void lately_changed(struct lately *, uint64_t replaced, usec now);
+int lately_stood(const struct lately *, uint64_t version, usec span, usec now);
 
 #endif
--- a/decide/leave.c
+++ b/decide/leave.c
@@ -2,12 +2,12 @@
 
 /* By then the load balancer has taken the host out: it probes once a second and
  * acts on the second failed probe. */
-#define PROBED_OUT MS(2600)
+#define BALANCER_NOTICES MS(2600)
 /* The last sixth of the grace period is left for writing the last answers and
  * ending threads; the platform allows for targets that still work during it.
- * Requests may be answered up to LAST_PART_BEGUN into it. */
-#define LAST_PART 6
-#define LAST_PART_BEGUN MS(50)
+ * Requests may be answered up to FINISH_OVERLAP into it. */
+#define FINISH_DIVISOR 6
+#define FINISH_OVERLAP MS(50)
 
 /* The plan of a stop that begins now; the host is killed after `grace`. */
 struct leave
@@ -15,8 +15,8 @@
 {
 	struct leave l;
 
-	l.end = now + grace - grace / LAST_PART + LAST_PART_BEGUN;
-	l.shut = now + PROBED_OUT;
+	l.end = now + grace - grace / FINISH_DIVISOR + FINISH_OVERLAP;
+	l.shut = now + BALANCER_NOTICES;
 	if (l.shut > l.end)
 		l.shut = l.end;
 	return (l);
--- a/decide/quarantine.c
+++ b/decide/quarantine.c
@@ -15,7 +15,7 @@
 #define PROBATION_FOR MS(60000)
 /* Grace period at the start of probation: runs that were sent before it may
  * still crash, and hosts with a recent answer have yet to report it. */
-#define PROBATION_SETTLES MS(600)
+#define PROBATION_GRACE MS(600)
 /* After an answer, crashes are not attributed to the content for this time. */
 #define CLEARED_FOR MS(10000)
 
@@ -38,13 +38,13 @@
 {
 	if (e->until != 0)
 		return (e->until);
-	return (e->probation_since == 0 ? 0 : e->last + PROBATION_FOR);
+	return (e->probation_since == 0 ? 0 : e->last_crash + PROBATION_FOR);
 }
 
 /* Finds an entry to reuse: the one with the oldest crash among those that are
  * not listed, else the one that leaves the list first. */
 static struct quarantine_entry *
-spare(struct quarantine *q, usec now)
+find_reusable(struct quarantine *q, usec now)
 {
 	struct quarantine_entry *e, *best = NULL;
 	usec rank, least = 0;
@@ -54,7 +54,7 @@
 		return (&q->entries[q->nentries++]);
 	for (i = 0; i < q->nentries; i++) {
 		e = &q->entries[i];
-		rank = listed_until(e) > now ? listed_until(e) : e->last;
+		rank = listed_until(e) > now ? listed_until(e) : e->last_crash;
 		if (best == NULL || rank < least) {
 			best = e;
 			least = rank;
@@ -71,10 +71,10 @@
 
 	if (e != NULL)
 		return (e);
-	e = spare(q, now);
+	e = find_reusable(q, now);
 	memset(e, 0, sizeof(*e));
 	e->digest = digest;
-	e->last = now;
+	e->last_crash = now;
 	return (e);
 }
 
@@ -103,13 +103,13 @@
  * content.  A run that was sent on probation proves the cause, because it was
  * the only one. */
 static int
-crashed_again(struct quarantine_entry *e, int proof, usec now)
+count_crash(struct quarantine_entry *e, int proof, usec now)
 {
 	if (e->until > now)
 		return (0);
 	if (e->until == 0 && !proof &&
 	    (e->probation_since == 0 ||
-		now - e->probation_since < PROBATION_SETTLES))
+		now - e->probation_since < PROBATION_GRACE))
 		return (0);
 	confirm(e, now);
 	return (1);
@@ -118,22 +118,22 @@
 /* Counts runs of a content that were in flight when their target crashed;
  * returns 1 if that quarantines it. */
 static int
-crashed(
+count_runs(
     struct quarantine *q, const struct quarantine_break *b, int runs, usec now)
 {
 	struct quarantine_entry *e = find_or_add(q, b->digest, now);
 
 	if (e->cleared != 0 && now - e->cleared < CLEARED_FOR)
 		return (0);
-	if (now - e->last > CRASHES_WITHIN && e->until == 0) {
+	if (now - e->last_crash > CRASHES_WITHIN && e->until == 0) {
 		e->crashes = e->runs = 0;
 		e->probation_since = 0;
 	}
 	e->runs += runs;
 	if (!counted(e, b->target)) {
 		e->targets[e->crashes++ % QUARANTINE_TARGETS] = b->target;
-		e->last = now;
-		if (crashed_again(e, b->on_probation, now))
+		e->last_crash = now;
+		if (count_crash(e, b->on_probation, now))
 			return (1);
 	}
 	if (e->runs >= PROBATION_RUNS && e->probation_since == 0 &&
@@ -159,7 +159,7 @@
 /* Finds the broken sends of a content at a target that one source reported, or
  * NULL. */
 static struct quarantine_break *
-break_of(
+find_break(
     struct quarantine *q, uint64_t digest, uint64_t target, uint64_t source)
 {
 	struct quarantine_break *b;
@@ -178,19 +178,19 @@
  * returns 1 if that quarantines the content.  A repeated report counts once. */
 int
 quarantine_broke(
-    struct quarantine *q, const struct quarantine_break *told, usec now)
+    struct quarantine *q, const struct quarantine_break *report, usec now)
 {
 	struct quarantine_break *b =
-	    break_of(q, told->digest, told->target, told->source);
-	int more = told->sends - (b == NULL ? 0 : b->sends);
+	    find_break(q, report->digest, report->target, report->source);
+	int more = report->sends - (b == NULL ? 0 : b->sends);
 
 	if (more <= 0)
 		return (0);
 	if (b == NULL)
 		b = &q->breaks[q->nbreaks++ % QUARANTINE_BREAKS];
-	*b = *told;
+	*b = *report;
 	b->at = now;
-	return (has_ended(q, b->target, now) ? crashed(q, b, more, now) : 0);
+	return (has_ended(q, b->target, now) ? count_runs(q, b, more, now) : 0);
 }
 
 /* Records one send of this host that ended without an answer; returns 1 if that
@@ -199,9 +199,10 @@
 quarantine_broke_here(struct quarantine *q, uint64_t digest, uint64_t target,
     int on_probation, usec now)
 {
-	const struct quarantine_break *was = break_of(q, digest, target, 0);
+	const struct quarantine_break *earlier =
+	    find_break(q, digest, target, 0);
 	struct quarantine_break b = {digest, target, 0,
-	    was == NULL ? 1 : was->sends + 1, on_probation, now};
+	    earlier == NULL ? 1 : earlier->sends + 1, on_probation, now};
 
 	return (quarantine_broke(q, &b, now));
 }
@@ -226,7 +227,7 @@
 	for (i = 0; i < q->nbreaks && i < QUARANTINE_BREAKS; i++) {
 		b = &q->breaks[i];
 		if (b->target == target && now - b->at <= ENDED_WITHIN)
-			n += crashed(q, b, b->sends, now);
+			n += count_runs(q, b, b->sends, now);
 	}
 	return (n);
 }
@@ -246,7 +247,7 @@
 		e = &q->entries[i];
 		if (e->probation_since == 0 ||
 		    e->crashes < QUARANTINE_TARGETS ||
-		    now - e->probation_since < PROBATION_SETTLES)
+		    now - e->probation_since < PROBATION_GRACE)
 			continue;
 		confirm(e, now);
 		n++;
@@ -288,7 +289,7 @@
 			return (0);
 		e->runs = PROBATION_RUNS;
 		e->probation_since = now;
-		e->last = now;
+		e->last_crash = now;
 		return (1);
 	}
 	confirm(e, now);
--- a/decide/quarantine.h
+++ b/decide/quarantine.h
@@ -60,7 +60,7 @@
 	uint64_t targets[QUARANTINE_TARGETS]; /* crashed last, a ring */
 	int crashes;			      /* of different targets */
 	int runs;			      /* at targets that crashed */
-	usec last;			      /* time of the last crash */
+	usec last_crash;		      /* time of the last crash */
 	usec probation_since;		      /* 0 is not on probation */
 	usec cleared;			      /* by an answer; 0 is never */
 	usec until; /* end of the quarantine; 0 is not quarantined */
--- a/decide/rate.c
+++ b/decide/rate.c
@@ -7,11 +7,11 @@
  * many idle hosts would add up, and a burst of callers through all of them
  * would exceed the rate many times over.
  */
-#define TURN_KEPT MS(1500)
+#define TURN_LIFETIME MS(1500)
 /* Lowest rate that is applied, in requests a second: a target with a lower
  * limit still gets a request now and then, whose answer may report a higher
  * one. */
-#define LIMIT_LEAST 0.1
+#define LIMIT_MIN 0.1
 /* Turns are kept when the time of day is adjusted by less than this. */
 #define EPOCH_SLACK MS(100)
 
@@ -34,26 +34,26 @@
 
 /* The first turn that has not expired. */
 static usec
-turn(const struct rate *r, usec now)
+next_turn(const struct rate *r, usec now)
 {
-	usec lost = now - TURN_KEPT - r->next;
+	usec lost = now - TURN_LIFETIME - r->next;
 
 	if (lost <= 0)
 		return (r->next);
-	return (r->next + (lost / r->every + 1) * r->every);
+	return (r->next + (lost / r->interval + 1) * r->interval);
 }
 
 /* This host's first turn at or after a time. */
 static usec
-turn_from(const struct rate *r, usec from)
+first_turn(const struct rate *r, usec from)
 {
 	usec first =
-	    r->turns.epoch + r->turns.rank * (r->every / r->turns.hosts);
-	usec late = (from - first) % r->every;
+	    r->turns.epoch + r->turns.rank * (r->interval / r->turns.hosts);
+	usec late = (from - first) % r->interval;
 
 	if (late < 0)
-		late += r->every;
-	return (late == 0 ? from : from + r->every - late);
+		late += r->interval;
+	return (late == 0 ? from : from + r->interval - late);
 }
 
 /*
@@ -61,10 +61,10 @@
  * limit that changes with each answer must not give a host additional turns.
  */
 void
-rate_told(struct rate *r, double limit, const struct rate_turns *t, usec now)
+rate_set(struct rate *r, double limit, const struct rate_turns *t, usec now)
 {
-	double least = limit < LIMIT_LEAST ? LIMIT_LEAST : limit;
-	usec from = now, was = r->limit < 0 ? 0 : turn(r, now);
+	double applied = limit < LIMIT_MIN ? LIMIT_MIN : limit;
+	usec from = now, was = r->limit < 0 ? 0 : next_turn(r, now);
 
 	if (limit >= 0 && limit == r->limit && same_turns(&r->turns, t))
 		return;
@@ -74,10 +74,10 @@
 	r->turns = *t;
 	if (r->turns.hosts < 1)
 		r->turns.hosts = 1;
-	r->every = (usec)(r->turns.hosts * US_PER_SEC / least);
-	if (r->last != 0 && r->last + r->every > from)
-		from = r->last + r->every;
-	r->next = turn_from(r, from);
+	r->interval = (usec)(r->turns.hosts * US_PER_SEC / applied);
+	if (r->last_sent != 0 && r->last_sent + r->interval > from)
+		from = r->last_sent + r->interval;
+	r->next = first_turn(r, from);
 	/* Postponed by each change, the turn would never come. */
 	if (was != 0 && was < r->next)
 		r->next = was > from ? was : from;
@@ -87,21 +87,19 @@
 int
 rate_allows(const struct rate *r, usec now)
 {
-	return (r->limit < 0 || turn(r, now) <= now);
+	return (r->limit < 0 || next_turn(r, now) <= now);
 }
 
-/* Records that a request is sent, in its turn or, if it could not wait, early.
- */
+/* Records that a request is sent, in its turn or early. */
 void
-rate_take(struct rate *r, usec now)
+rate_sent(struct rate *r, usec now)
 {
-	r->last = now;
+	r->last_sent = now;
 	if (r->limit >= 0)
-		r->next = turn(r, now) + r->every;
+		r->next = next_turn(r, now) + r->interval;
 }
 
-/* How long a request has to wait for its turn, with `ahead` others before it.
- */
+/* How long a request waits for its turn, with `ahead` others before it. */
 usec
 rate_wait(const struct rate *r, int ahead, usec now)
 {
@@ -109,6 +107,6 @@
 
 	if (r->limit < 0)
 		return (0);
-	at = turn(r, now) + ahead * r->every;
+	at = next_turn(r, now) + ahead * r->interval;
 	return (at > now ? at - now : 0);
 }
--- a/decide/rate.h
+++ b/decide/rate.h
@@ -18,16 +18,15 @@
 struct rate {
 	double limit; /* requests a second from all hosts; negative is none */
 	struct rate_turns turns;
-	usec every; /* time between this host's turns */
-	usec next;  /* its next unused turn, which may have expired */
-	usec last;  /* when it last sent a request; 0 is never */
+	usec interval;	/* time between this host's turns */
+	usec next;	/* its next unused turn, which may have expired */
+	usec last_sent; /* when it last sent a request; 0 is never */
 };
 
 void rate_init(struct rate *);
-void rate_told(
-    struct rate *, double limit, const struct rate_turns *, usec now);
+void rate_set(struct rate *, double limit, const struct rate_turns *, usec now);
 int rate_allows(const struct rate *, usec now);
-void rate_take(struct rate *, usec now);
+void rate_sent(struct rate *, usec now);
 usec rate_wait(const struct rate *, int ahead, usec now);
 
 #endif
--- a/decide/recent.c
+++ b/decide/recent.c
@@ -2,16 +2,16 @@
 
 /* How long an entry counts.  An answer this recent shows that a content does
  * not crash targets, and a run has ended or crashed its target by then. */
-#define RECENTLY MS(10000)
+#define RECENT_FOR MS(10000)
 
 /* Records a content; it replaces the one that has its place in the table. */
 void
 recent_note(struct recent *r, uint64_t digest, usec now)
 {
-	unsigned i = (unsigned)(digest % RECENT_KEPT);
+	unsigned i = (unsigned)(digest % RECENT_MAX);
 
-	r->kept[i].digest = digest;
-	r->kept[i].at = now;
+	r->entries[i].digest = digest;
+	r->entries[i].at = now;
 }
 
 /*
@@ -21,8 +21,8 @@
 int
 recent_has(const struct recent *r, uint64_t digest, usec now)
 {
-	unsigned i = (unsigned)(digest % RECENT_KEPT);
+	unsigned i = (unsigned)(digest % RECENT_MAX);
 
-	return (r->kept[i].at != 0 && r->kept[i].digest == digest &&
-	    now - r->kept[i].at <= RECENTLY);
+	return (r->entries[i].at != 0 && r->entries[i].digest == digest &&
+	    now - r->entries[i].at <= RECENT_FOR);
 }
--- a/decide/recent.h
+++ b/decide/recent.h
@@ -6,13 +6,13 @@
 
 #include "clock.h"
 
-#define RECENT_KEPT 512
+#define RECENT_MAX 512
 
 struct recent {
 	struct {
 		uint64_t digest;
 		usec at; /* 0 is an unused place */
-	} kept[RECENT_KEPT];
+	} entries[RECENT_MAX];
 };
 
 void recent_note(struct recent *, uint64_t digest, usec now);
--- a/decide/route.c
+++ b/decide/route.c
@@ -2,16 +2,16 @@
 #include "route.h"
 
 /* The longest that a request is held while its key moves to another owner. */
-#define HOLD_MAX MS(1000)
-#define TRIES_MAX 3
+#define ROUTE_HOLD_MAX MS(1000)
+#define ROUTE_ATTEMPTS_MAX 3
 
 /*
  * Decides what to do after an attempt ended with this result.
  *
  * A planned move of a key takes some hundred milliseconds, so its request is
- * held, but no longer than HOLD_MAX: after that the move has failed, and the
- * caller gets an error that says when to retry.  A request that may have run
- * is retried only if it is idempotent, and only within the retry budget.
+ * held, but no longer than ROUTE_HOLD_MAX: after that the move has failed, and
+ * the caller gets an error that says when to retry.  A request that may have
+ * run is retried only if it is idempotent, and only within the retry budget.
  */
 enum route_step
 route_after(const struct route_try *t, int code, int outcome, usec now,
@@ -20,10 +20,10 @@
 	if (code == GS_OK || now >= t->deadline)
 		return (ROUTE_END);
 	if (code == GS_MOVED && outcome == OUT_NOT_RUN)
-		return (t->held_from == 0 || now - t->held_from < HOLD_MAX
+		return (t->held_from == 0 || now - t->held_from < ROUTE_HOLD_MAX
 			? ROUTE_HOLD
 			: ROUTE_END);
-	if (!t->idempotent || t->tries >= TRIES_MAX)
+	if (!t->idempotent || t->tries >= ROUTE_ATTEMPTS_MAX)
 		return (ROUTE_END);
 	switch (code) {
 	case GS_PEER_LOST:
--- a/decide/route.h
+++ b/decide/route.h
@@ -1,5 +1,4 @@
-/* What the router does after an attempt: give up, retry, or hold the request.
- */
+/* What the router does after an attempt: fail, retry, or hold the request. */
 #ifndef ROUTE_H
 #define ROUTE_H
 
--- a/regress/unit/t_dest.c
+++ b/regress/unit/t_dest.c
@@ -5,7 +5,7 @@
 static const struct dest_conf twelve = {12};
 
 static void
-end(struct dest *d, usec now, enum dest_end e, usec took, int running,
+record_end(struct dest *d, usec now, enum dest_end e, usec took, int running,
     int waiting)
 {
 	struct dest_answer a = {
@@ -28,7 +28,7 @@
 	dest_init(&d, 4);
 	CU_ASSERT(dest_room(&d, MS(1000), &twelve));
 	dest_sent(&d, 0);
-	end(&d, MS(1000), DEST_ANSWERED, MS(100), 4, 14);
+	record_end(&d, MS(1000), DEST_ANSWERED, MS(100), 4, 14);
 	CU_ASSERT(!dest_room(&d, MS(1000), &twelve));
 	CU_ASSERT(!dest_room(&d, MS(1050), &twelve));
 	CU_ASSERT(dest_room(&d, MS(1400), &twelve));
@@ -124,16 +124,16 @@
 
 	dest_init(&d, 4);
 	dest_sent(&d, 0);
-	end(&d, MS(1000), DEST_UNREACHED, 0, -1, 0);
+	record_end(&d, MS(1000), DEST_UNREACHED, 0, -1, 0);
 	CU_ASSERT(!dest_usable(&d, MS(1100)));
 	CU_ASSERT(dest_usable(&d, MS(1200)));
 	dest_sent(&d, 0);
-	end(&d, MS(1200), DEST_UNREACHED, 0, -1, 0);
+	record_end(&d, MS(1200), DEST_UNREACHED, 0, -1, 0);
 	CU_ASSERT(!dest_usable(&d, MS(1400)));
 	dest_sent(&d, 0);
-	end(&d, MS(2000), DEST_ANSWERED, MS(100), 1, 0);
+	record_end(&d, MS(2000), DEST_ANSWERED, MS(100), 1, 0);
 	dest_sent(&d, 0);
-	end(&d, MS(2000), DEST_UNREACHED, 0, -1, 0);
+	record_end(&d, MS(2000), DEST_UNREACHED, 0, -1, 0);
 	CU_ASSERT(dest_usable(&d, MS(2200)));
 }
 
@@ -147,11 +147,11 @@
 	dest_init(&d, 4);
 	for (i = 0; i < 2; i++) {
 		dest_sent(&d, 0);
-		end(&d, MS(1000), DEST_BROKE, 0, -1, 0);
+		record_end(&d, MS(1000), DEST_BROKE, 0, -1, 0);
 	}
 	CU_ASSERT(dest_usable(&d, MS(1001)));
 	dest_sent(&d, 0);
-	end(&d, MS(1000), DEST_BROKE, 0, -1, 0);
+	record_end(&d, MS(1000), DEST_BROKE, 0, -1, 0);
 	CU_ASSERT(!dest_usable(&d, MS(1001)));
 }
 
@@ -167,9 +167,9 @@
 	fast.near = slow.near = 1;
 	for (i = 0; i < 60; i++) {
 		dest_sent(&fast, 0);
-		end(&fast, MS(i), DEST_ANSWERED, MS(60), 1, 0);
+		record_end(&fast, MS(i), DEST_ANSWERED, MS(60), 1, 0);
 		dest_sent(&slow, 0);
-		end(&slow, MS(i), DEST_ANSWERED, MS(140), 1, 0);
+		record_end(&slow, MS(i), DEST_ANSWERED, MS(140), 1, 0);
 	}
 	CU_ASSERT(dest_cost(&fast, MS(1000), MS(100), MS(100)) <
 	    dest_cost(&slow, MS(1000), MS(100), MS(100)));
@@ -179,8 +179,8 @@
 	    dest_cost(&slow, MS(1000), MS(100), MS(100)));
 	CU_ASSERT(dest_cost(&far, MS(1000), MS(100), MS(100)) >
 	    dest_cost(&fast, MS(1000), MS(100), MS(100)));
-	fast.others = 12;
-	fast.heard = MS(1000);
+	fast.others_inflight = 12;
+	fast.load_at = MS(1000);
 	CU_ASSERT(dest_cost(&fast, MS(1000), MS(100), MS(100)) >
 	    dest_cost(&slow, MS(1000), MS(100), MS(100)));
 }
@@ -199,8 +199,8 @@
 	dest_init(&slow, 4);
 	fast.speed = 0.6;
 	slow.speed = 1.4;
-	fast.others = 5;
-	fast.heard = MS(1000);
+	fast.others_inflight = 5;
+	fast.load_at = MS(1000);
 	CU_ASSERT(dest_cost(&fast, MS(1000), MS(36), MS(150)) >
 	    dest_cost(&slow, MS(1000), MS(36), MS(150)));
 }
@@ -216,8 +216,8 @@
 	dest_init(&bad, 4);
 	for (i = 0; i < 20; i++) {
 		dest_sent(&bad, 0);
-		end(&bad, MS(i), i % 2 ? DEST_ANSWERED : DEST_FAILED, MS(100),
-		    1, 0);
+		record_end(&bad, MS(i), i % 2 ? DEST_ANSWERED : DEST_FAILED,
+		    MS(100), 1, 0);
 	}
 	CU_ASSERT(dest_cost(&bad, MS(1000), MS(100), MS(100)) >
 	    1.5 * dest_cost(&good, MS(1000), MS(100), MS(100)));
--- a/regress/unit/t_quarantine.c
+++ b/regress/unit/t_quarantine.c
@@ -245,7 +245,7 @@
 	CU_ASSERT(!recent_has(&r, 0, MS(100)));
 	recent_note(&r, CONTENT, MS(1000));
 	CU_ASSERT(recent_has(&r, CONTENT, MS(5000)));
-	CU_ASSERT(!recent_has(&r, CONTENT + RECENT_KEPT, MS(5000)));
+	CU_ASSERT(!recent_has(&r, CONTENT + RECENT_MAX, MS(5000)));
 	CU_ASSERT(!recent_has(&r, CONTENT, MS(60000)));
 }
 
@@ -330,7 +330,7 @@
 static void
 not_the_cause(void)
 {
-	struct quarantine_item told = {CONTENT, MS(60000), 1};
+	struct quarantine_item received = {CONTENT, MS(60000), 1};
 	usec now;
 
 	memset(&q, 0, sizeof(q));
@@ -340,7 +340,7 @@
 		quarantine_answered(&q, CONTENT, now + MS(400));
 		CU_ASSERT(!on_probation(CONTENT, now + MS(400)));
 		/* A host that lacks the update reports its old list. */
-		CU_ASSERT(quarantine_add(&q, &told, now + MS(500)) == 0);
+		CU_ASSERT(quarantine_add(&q, &received, now + MS(500)) == 0);
 	}
 	CU_ASSERT(left(CONTENT, MS(41000)) == 0);
 	/* An answer does not end a quarantine. */
@@ -371,29 +371,29 @@
 static void
 probation_adopted(void)
 {
-	struct quarantine_list told = {.n = 1};
+	struct quarantine_list received = {.n = 1};
 
 	memset(&q, 0, sizeof(q));
-	told.items[0].digest = CONTENT;
-	told.items[0].until = MS(60000);
-	told.items[0].probation = 1;
-	quarantine_told(&q, &told, MS(1000));
+	received.items[0].digest = CONTENT;
+	received.items[0].until = MS(60000);
+	received.items[0].probation = 1;
+	quarantine_told(&q, &received, MS(1000));
 	CU_ASSERT(on_probation(CONTENT, MS(1000)));
-	CU_ASSERT(quarantine_number(&l) == quarantine_number(&told));
-	quarantine_confirmed(&l, &told);
-	CU_ASSERT(told.n == 0);
-	quarantine_told(&q, &told, MS(2000));
+	CU_ASSERT(quarantine_number(&l) == quarantine_number(&received));
+	quarantine_confirmed(&l, &received);
+	CU_ASSERT(received.n == 0);
+	quarantine_told(&q, &received, MS(2000));
 	CU_ASSERT(!on_probation(CONTENT, MS(2000)));
 	/* A quarantine is adopted, and kept when the list drops it. */
-	told.n = 1;
-	told.items[0].probation = 0;
-	quarantine_told(&q, &told, MS(3000));
-	told.n = 0;
-	quarantine_told(&q, &told, MS(4000));
+	received.n = 1;
+	received.items[0].probation = 0;
+	quarantine_told(&q, &received, MS(3000));
+	received.n = 0;
+	quarantine_told(&q, &received, MS(4000));
 	CU_ASSERT(left(CONTENT, MS(4000)) > 0);
 	quarantine_list(&q, &l, MS(4000));
-	quarantine_confirmed(&l, &told);
-	CU_ASSERT(told.n == 1);
+	quarantine_confirmed(&l, &received);
+	CU_ASSERT(received.n == 1);
 }
 
 /* Exactly one of many hosts runs a content on probation. */
--- a/regress/unit/t_rate.c
+++ b/regress/unit/t_rate.c
@@ -4,14 +4,14 @@
 #include "rate.h"
 #include "unit.h"
 
-#define HOSTS_MOST 490
-#define SENDS_MOST 20000
+#define HOSTS_MAX 490
+#define SENDS_MAX 20000
 /* Bound: TIMES the rate in any SPAN, and MORE requests. */
 #define SPAN MS(4000)
 #define TIMES 1.5
 #define MORE 5
 
-static usec sends[SENDS_MOST];
+static usec sends[SENDS_MAX];
 static int nsends;
 
 /* Returns the highest number of requests in any span of this length. */
@@ -37,7 +37,7 @@
 static void
 simulate(int hosts, double limit, usec quiet_from, usec quiet_until)
 {
-	static struct rate r[HOSTS_MOST];
+	static struct rate r[HOSTS_MAX];
 	struct rate_turns t = {hosts, 0, 0};
 	usec now;
 	int i;
@@ -47,15 +47,15 @@
 		rate_init(&r[i]);
 		t.rank = i;
 		t.epoch = MS(-1796000000123) + i * 7919 % CLOCKS_DIFFER;
-		rate_told(&r[i], limit, &t, MS(i % 500));
+		rate_set(&r[i], limit, &t, MS(i % 500));
 	}
 	for (now = MS(500); now < MS(60000); now += MS(20)) {
 		if (now >= quiet_from && now < quiet_until)
 			continue;
-		for (i = 0; i < hosts && nsends < SENDS_MOST; i++) {
+		for (i = 0; i < hosts && nsends < SENDS_MAX; i++) {
 			if (!rate_allows(&r[i], now))
 				continue;
-			rate_take(&r[i], now);
+			rate_sent(&r[i], now);
 			sends[nsends++] = now;
 		}
 	}
@@ -128,13 +128,13 @@
 
 	rate_init(&r);
 	CU_ASSERT(rate_allows(&r, MS(1)) && rate_wait(&r, 9, MS(1)) == 0);
-	rate_told(&r, 1, &t, MS(1000));
+	rate_set(&r, 1, &t, MS(1000));
 	CU_ASSERT(!rate_allows(&r, MS(5900)) && rate_allows(&r, MS(6000)));
-	rate_told(&r, -1, &t, MS(2000));
+	rate_set(&r, -1, &t, MS(2000));
 	CU_ASSERT(rate_allows(&r, MS(2000)));
-	rate_take(&r, MS(2000));
+	rate_sent(&r, MS(2000));
 	CU_ASSERT(rate_allows(&r, MS(2000)));
-	rate_told(&r, 1, &t, MS(90000));
+	rate_set(&r, 1, &t, MS(90000));
 	CU_ASSERT(!rate_allows(&r, MS(95900)) && rate_allows(&r, MS(96000)));
 }
 
@@ -146,10 +146,10 @@
 	struct rate r;
 
 	rate_init(&r);
-	rate_told(&r, 2, &t, MS(1000));
+	rate_set(&r, 2, &t, MS(1000));
 	CU_ASSERT(rate_wait(&r, 0, MS(1000)) == 0);
 	CU_ASSERT(rate_wait(&r, 2, MS(1000)) == MS(4000));
-	rate_take(&r, MS(1000));
+	rate_sent(&r, MS(1000));
 	CU_ASSERT(rate_wait(&r, 0, MS(1500)) == MS(1500));
 }
 
@@ -165,10 +165,10 @@
 
 	rate_init(&r);
 	for (now = MS(1000); now < MS(101000); now += MS(10)) {
-		rate_told(&r, 4 - (double)(now / MS(10) % 7) / 10, &t, now);
+		rate_set(&r, 4 - (double)(now / MS(10) % 7) / 10, &t, now);
 		if (!rate_allows(&r, now))
 			continue;
-		rate_take(&r, now);
+		rate_sent(&r, now);
 		n++;
 	}
 	CU_ASSERT(n <= 51 && n > 20);
@@ -182,12 +182,12 @@
 	struct rate r;
 
 	rate_init(&r);
-	rate_told(&r, 0, &t, MS(1000));
+	rate_set(&r, 0, &t, MS(1000));
 	CU_ASSERT(!rate_allows(&r, MS(1000)));
 	CU_ASSERT(rate_wait(&r, 0, MS(1000)) <= MS(30000));
 	/* The number of hosts is not known yet. */
 	t.hosts = 0;
-	rate_told(&r, 4, &t, MS(1000));
+	rate_set(&r, 4, &t, MS(1000));
 	CU_ASSERT(rate_wait(&r, 0, MS(1000)) <= MS(250));
 }
 
