--- a/regress/unit/t_lately.c
+++ b/regress/unit/t_lately.c
@@ -1,4 +1,4 @@
-/* Tests that hosts that are about to get an update are told from those that
+/* Tests that hosts whose update is on its way are distinguished from those that
  * have lost one. */
 #include <string.h>
 
