--- a/decide/dest.c
+++ b/decide/dest.c
@@ -4,34 +4,34 @@
 #include "dest.h"
 #include "feature.h"
 
-/* What a target told of others' requests halves in this time: it is about as
- * long as a request runs (36 to 220 ms, by the sites' tables). */
-#define OTHERS_HALF MS(150)
-/* How much one sample changes what was learnt; the first ones more, for hot
- * keys come within the first seconds of a target's life. */
-#define SPEED_GAIN 0.06
-#define SPEED_FIRST 0.35
-#define FAIL_GAIN 0.1
-/* A target is sent work until this many times its slots are under way: its own
- * queue then bridges the way to and fro, and it is far from full. */
-#define FILL 2.5
-/* A request to another data centre pays for the bytes between them: it goes
- * there where that saves this much time.  Against 12 ms, 45 ms takes the bytes
- * of a heavy day from 0.069 GB to 0.050 (means of four days played with each),
- * and 91.0 of 100 of the credit is served, 90.8 before (16 days with each). */
+/* Half-life of the reported number of other hosts' requests: about as long as a
+ * request runs, which is 36 to 220 ms. */
+#define OTHERS_HALF_LIFE MS(150)
+/* Weight of one sample in the moving averages.  The first samples weigh more,
+ * because hot keys arrive within the first seconds after a target's start. */
+#define LATENCY_GAIN 0.06
+#define LATENCY_GAIN_FIRST 0.35
+#define FAILURE_GAIN 0.1
+/* A target is sent requests until this many times its slots are in flight: its
+ * queue then covers the round trip between answers, and is far from full. */
+#define FILL_FACTOR 2.5
+/* Traffic between data centres is paid for, so a request goes to another one
+ * only if that saves this much time.  A cost of 12 ms sends more bytes across
+ * and serves no more requests. */
 #define FAR_COST MS(45)
-/* A cold target takes about twice as long. */
+/* A cold target takes about twice as long for a request. */
 #define COLD_FACTOR 2.0
-/* How long a target is left alone after it was not reached; doubled with each
- * further time up to the longest. */
-#define SHUN_FIRST MS(150)
-#define SHUN_MOST MS(1200)
-/* Without a whole answer so often in a row it is taken for lost. */
-#define STRIKES_BROKE 3
-/* A target that refused is left alone for about as long as a request runs. */
-#define SHUN_FULL MS(40)
-
-/* A target of which nothing is known yet. */
+/* How long no requests are sent to a target that could not be reached; doubled
+ * for each further failure in a row, up to the maximum. */
+#define BACKOFF_FIRST MS(150)
+#define BACKOFF_MAX MS(1200)
+/* After so many requests in a row without a whole answer, a host backs off from
+ * the target as if it could not be reached. */
+#define BROKEN_STREAK_MAX 3
+/* Backoff after a refusal: about as long as a request runs. */
+#define BACKOFF_REFUSED MS(40)
+
+/* Initializes a target of which nothing is known yet. */
 void
 dest_init(struct dest *d, int slots)
 {
@@ -42,8 +42,8 @@
 	rate_init(&d->rate);
 }
 
-/* The rate limit in force, in requests a second of all hosts; negative is none.
- * A cold target crashes well above its own. */
+/* The rate limit in force, in requests a second from all hosts; negative is
+ * none.  A cold target crashes if it gets far more than its cold rate. */
 double
 dest_limit(const struct dest *d, usec now)
 {
@@ -52,38 +52,38 @@
 	return (d->limit < 0 ? d->cold_rate : fmin(d->limit, d->cold_rate));
 }
 
-/* Applies the rate limit in force. */
+/* Applies the rate limit in force to this host's turns. */
 void
 dest_look(struct dest *d, const struct rate_turns *t, usec now)
 {
-	rate_told(&d->rate, dest_limit(d, now), t, now);
+	rate_set(&d->rate, dest_limit(d, now), t, now);
 }
 
-/* A request goes there. */
+/* Records that a request is sent to the target. */
 void
 dest_sent(struct dest *d, usec now)
 {
-	d->mine++;
-	rate_take(&d->rate, now);
+	d->inflight++;
+	rate_sent(&d->rate, now);
 }
 
-/* Leaves the target alone for a while, longer each time in a row. */
+/* Backs off from the target, longer for each failure in a row. */
 static void
-shun(struct dest *d, usec now)
+back_off(struct dest *d, usec now)
 {
-	int times = d->strikes < 4 ? d->strikes : 4;
-	usec span = SHUN_FIRST << (times > 0 ? times - 1 : 0);
+	int times = d->unanswered_streak < 4 ? d->unanswered_streak : 4;
+	usec span = BACKOFF_FIRST << (times > 0 ? times - 1 : 0);
 
 	if (!feature_on(FEATURE_SHUN))
 		return;
-	if (span > SHUN_MOST)
-		span = SHUN_MOST;
+	if (span > BACKOFF_MAX)
+		span = BACKOFF_MAX;
 	d->shunned_until = now + span;
 }
 
-/* Learns how fast the target is from a request that did not wait there. */
+/* Updates the target's latency ratio from a request that did not wait there. */
 static void
-learn_speed(struct dest *d, const struct dest_answer *a)
+learn_latency(struct dest *d, const struct dest_answer *a)
 {
 	double x, gain;
 
@@ -91,76 +91,77 @@
 	    !feature_on(FEATURE_SPEED))
 		return;
 	x = (double)a->took / (double)a->expected;
-	/* One request may take many times the usual: it says little. */
+	/* A single request may take many times the usual: clamp outliers. */
 	x = fmin(fmax(x, 0.2), 4);
-	gain = SPEED_FIRST / (1 + 0.15 * d->samples++);
-	d->speed += fmax(gain, SPEED_GAIN) * (x - d->speed);
+	gain = LATENCY_GAIN_FIRST / (1 + 0.15 * d->latency_samples++);
+	d->speed += fmax(gain, LATENCY_GAIN) * (x - d->speed);
 }
 
-/* A request there ended. */
+/* Records the end of a request that was sent to the target. */
 void
 dest_ended(struct dest *d, usec now, const struct dest_answer *a)
 {
-	double bad = a->end == DEST_FAILED || a->end == DEST_BROKE;
+	double failed = a->end == DEST_FAILED || a->end == DEST_BROKE;
 
-	if (d->mine > 0)
-		d->mine--;
-	d->fails += FAIL_GAIN * (bad - d->fails);
+	if (d->inflight > 0)
+		d->inflight--;
+	d->failure_rate += FAILURE_GAIN * (failed - d->failure_rate);
 	if (a->load.told) {
 		d->load = a->load;
-		d->others =
-		    fmax(a->load.running + a->load.waiting - d->mine, 0);
-		/* What it tells may still count the request that has ended. */
-		if (a->end == DEST_ANSWERED && d->others >= 1)
-			d->others -= 1;
-		d->heard = now;
+		d->others_inflight =
+		    fmax(a->load.running + a->load.waiting - d->inflight, 0);
+		/* The report may still count the request that has ended. */
+		if (a->end == DEST_ANSWERED && d->others_inflight >= 1)
+			d->others_inflight -= 1;
+		d->load_at = now;
 	}
 	switch (a->end) {
 	case DEST_ANSWERED:
-		d->strikes = 0;
-		learn_speed(d, a);
+		d->unanswered_streak = 0;
+		learn_latency(d, a);
 		break;
 	case DEST_FAILED:
 	case DEST_MISSENT:
-		d->strikes = 0;
+		d->unanswered_streak = 0;
 		break;
 	case DEST_REFUSED:
-		d->strikes = 0;
+		d->unanswered_streak = 0;
 		if (feature_on(FEATURE_SHUN) &&
-		    d->shunned_until < now + SHUN_FULL)
-			d->shunned_until = now + SHUN_FULL;
+		    d->shunned_until < now + BACKOFF_REFUSED)
+			d->shunned_until = now + BACKOFF_REFUSED;
 		break;
 	case DEST_UNREACHED:
-		d->strikes++;
-		shun(d, now);
+		d->unanswered_streak++;
+		back_off(d, now);
 		break;
 	case DEST_BROKE:
 	case DEST_TIMED_OUT:
-		if (++d->strikes >= STRIKES_BROKE)
-			shun(d, now);
+		if (++d->unanswered_streak >= BROKEN_STREAK_MAX)
+			back_off(d, now);
 		break;
 	}
 }
 
-/* Requests under way there, as far as this host can know. */
+/* Estimates the requests in flight at the target, from all hosts. */
 double
 dest_load(const struct dest *d, usec now)
 {
-	double age = (double)(now - d->heard);
+	double age = (double)(now - d->load_at);
 
-	if (d->heard == 0 || !feature_on(FEATURE_OTHERS))
-		return (d->mine);
-	return (d->mine + d->others * exp2(-age / (double)OTHERS_HALF));
+	if (d->load_at == 0 || !feature_on(FEATURE_OTHERS))
+		return (d->inflight);
+	return (d->inflight +
+	    d->others_inflight * exp2(-age / (double)OTHERS_HALF_LIFE));
 }
 
-/* True where the target gets no new requests. */
+/* True if the target leaves, or its data centre is being evacuated. */
 int
 dest_closed(const struct dest *d, usec now)
 {
 	return (d->leaving || (d->closed_from != 0 && now >= d->closed_from));
 }
 
-/* True where the target may be sent new work at all. */
+/* True if the target is neither closed nor backed off from. */
 int
 dest_usable(const struct dest *d, usec now)
 {
@@ -168,46 +169,48 @@
 }
 
 /*
- * True where one more request may go there now.  Some targets never answer
- * what they cannot queue, nor anything after it on that connection: all hosts
- * together must stay below slots and queue, though each knows only what the
- * target last told.  A host with nothing there may send one where the last
- * word is old, or it would never hear a newer.
+ * True if one more request may be sent to the target now.  Some targets never
+ * answer a request that they cannot queue, nor any later one on the same
+ * connection, so all hosts together must stay below the slots and the queue,
+ * although each knows only the load that the target last reported to it.  That
+ * report fades with time, so that a host with nothing in flight there sends a
+ * request again and gets a newer one.
  */
 int
 dest_room(const struct dest *d, usec now, const struct dest_conf *conf)
 {
-	double share = FILL * d->slots / (conf->hosts > 0 ? conf->hosts : 1);
-	int most = (int)ceil(share) + 1;
+	double share =
+	    FILL_FACTOR * d->slots / (conf->hosts > 0 ? conf->hosts : 1);
+	int max_inflight = (int)ceil(share) + 1;
 
 	if (!dest_usable(d, now) || !rate_allows(&d->rate, now))
 		return (0);
 	if (!feature_on(FEATURE_FILL))
 		return (1);
-	if (d->mine >= most)
+	if (d->inflight >= max_inflight)
 		return (0);
-	return (dest_load(d, now) < FILL * d->slots);
+	return (dest_load(d, now) < FILL_FACTOR * d->slots);
 }
 
 /*
- * How long a request of some usual length would take there, in microseconds;
- * only for comparing targets.  What it waits for there are others, of the
- * usual length of all requests to the service: a read of 36 ms waits as long
- * behind exports of 220 ms as an export does.
+ * Estimates how long a request would take at the target, in microseconds, to
+ * compare targets.  `work` is the usual time of such a request, `others_work`
+ * that of all requests to the service, which it may have to wait for: a short
+ * read waits as long behind long exports as another export does.
  */
 double
 dest_cost(const struct dest *d, usec now, usec work, usec others_work)
 {
 	double load = dest_load(d, now), ahead = load + 1 - d->slots;
-	double slow = d->speed, cost;
+	double factor = d->speed, cost;
 
 	if (now < d->cold_until && feature_on(FEATURE_COLD))
-		slow *= COLD_FACTOR;
-	cost = (double)work * slow * (1 + 0.15 * load / d->slots);
+		factor *= COLD_FACTOR;
+	cost = (double)work * factor * (1 + 0.15 * load / d->slots);
 	if (ahead > 0)
-		cost += (double)others_work * slow * ahead / d->slots;
+		cost += (double)others_work * factor * ahead / d->slots;
 	if (feature_on(FEATURE_FAILS))
-		cost *= 1 + 2 * d->fails;
+		cost *= 1 + 2 * d->failure_rate;
 	return (cost +
 	    (d->near || !feature_on(FEATURE_FAR) ? 0 : (double)FAR_COST));
 }
--- a/decide/recent.h
+++ b/decide/recent.h
@@ -1,4 +1,4 @@
-/* Contents of requests to which something happened a little while ago. */
+/* A hash table of request contents that were recorded recently, by digest. */
 #ifndef RECENT_H
 #define RECENT_H
 
@@ -6,13 +6,13 @@
 
 #include "clock.h"
 
-#define RECENT_KEPT 512
+#define RECENT_MAX 512
 
 struct recent {
 	struct {
 		uint64_t digest;
-		usec at;
-	} kept[RECENT_KEPT];
+		usec at; /* 0 is an unused place */
+	} entries[RECENT_MAX];
 };
 
 void recent_note(struct recent *, uint64_t digest, usec now);
--- a/regress/unit/t_dest.c
+++ b/regress/unit/t_dest.c
@@ -1,11 +1,11 @@
-/* What a host believes of targets, and where it sends. */
+/* Tests a host's estimate of targets, and where it sends requests. */
 #include "dest.h"
 #include "unit.h"
 
 static const struct dest_conf twelve = {12};
 
 static void
-end(struct dest *d, usec now, enum dest_end e, usec took, int running,
+record_end(struct dest *d, usec now, enum dest_end e, usec took, int running,
     int waiting)
 {
 	struct dest_answer a = {
@@ -15,10 +15,10 @@
 }
 
 /*
- * Targets of one service never answer what they cannot queue, nor anything
- * after it on that connection.  Twelve hosts that each know only what such a
- * target told last stay below its four slots and sixteen places: a host adds
- * nothing to a target that said it is full, until that is old.
+ * Some targets never answer a request that they cannot queue, nor any later one
+ * on that connection.  Twelve hosts that each know only the last reported load
+ * must stay below the target's four slots and sixteen queue places: a host
+ * sends nothing to a target that reported to be full until that report is old.
  */
 static void
 stays_below_full(void)
@@ -28,19 +28,19 @@
 	dest_init(&d, 4);
 	CU_ASSERT(dest_room(&d, MS(1000), &twelve));
 	dest_sent(&d, 0);
-	end(&d, MS(1000), DEST_ANSWERED, MS(100), 4, 14);
+	record_end(&d, MS(1000), DEST_ANSWERED, MS(100), 4, 14);
 	CU_ASSERT(!dest_room(&d, MS(1000), &twelve));
 	CU_ASSERT(!dest_room(&d, MS(1050), &twelve));
 	CU_ASSERT(dest_room(&d, MS(1400), &twelve));
-	/* However idle it seems, one host fills no target. */
+	/* One host does not fill a target, however idle it seems. */
 	dest_init(&d, 4);
 	dest_sent(&d, 0);
 	dest_sent(&d, 0);
 	CU_ASSERT(!dest_room(&d, MS(1000), &twelve));
 }
 
-/* A target leaves.  However idle it is, nothing new goes there: what reaches it
- * two seconds later may find it gone. */
+/* A leaving target gets no new requests, however idle it is: it may be gone
+ * before they reach it. */
 static void
 leaving(void)
 {
@@ -53,7 +53,7 @@
 	CU_ASSERT(!dest_room(&d, MS(1000), &twelve));
 }
 
-/* Requests go on to a target whose data centre is evacuated. */
+/* Guards against sending to a target whose data centre has been evacuated. */
 static void
 evacuated(void)
 {
@@ -68,7 +68,7 @@
 	CU_ASSERT(dest_room(&d, MS(2000), &twelve));
 }
 
-/* A cold target gets as many requests as a warm one. */
+/* Guards against sending a cold target as many requests as a warm one. */
 static void
 cold(void)
 {
@@ -81,25 +81,25 @@
 	dest_look(&d, &t, MS(1000));
 	CU_ASSERT(dest_limit(&d, MS(1000)) == 6);
 	CU_ASSERT(!dest_room(&d, MS(1000), &twelve));
-	/* This host's turn comes each 15 s. */
+	/* This host has a turn every 15 s. */
 	CU_ASSERT(rate_wait(&d.rate, 0, MS(1000)) == MS(14000));
 	dest_look(&d, &t, MS(4000));
 	CU_ASSERT(dest_limit(&d, MS(4000)) < 0);
 	CU_ASSERT(dest_room(&d, MS(4000), &twelve));
-	/* A limit of its own that is lower counts, and higher does not. */
+	/* The target's own limit holds only if it is lower. */
 	d.limit = 2;
 	CU_ASSERT(dest_limit(&d, MS(1000)) == 2);
 	CU_ASSERT(dest_limit(&d, MS(4000)) == 2);
 	d.limit = 7;
 	CU_ASSERT(dest_limit(&d, MS(1000)) == 6);
-	/* Cold again, it has no turn saved. */
+	/* When it is cold again, the host has no turn saved. */
 	d.limit = -1;
 	d.cold_until = MS(9000);
 	dest_look(&d, &t, MS(5000));
 	CU_ASSERT(!dest_room(&d, MS(5000), &twelve));
 }
 
-/* A small fleet may send more each. */
+/* With few hosts each may send more. */
 static void
 few_hosts(void)
 {
@@ -114,8 +114,8 @@
 }
 
 /*
- * A target does not take connections.  Callers would wait for it again and
- * again; it is left alone, longer each time, and tried again.
+ * A target that accepts no connections is backed off from, longer each time, so
+ * that callers don't wait for it again and again; then it is tried again.
  */
 static void
 unreached(void)
@@ -124,20 +124,20 @@
 
 	dest_init(&d, 4);
 	dest_sent(&d, 0);
-	end(&d, MS(1000), DEST_UNREACHED, 0, -1, 0);
+	record_end(&d, MS(1000), DEST_UNREACHED, 0, -1, 0);
 	CU_ASSERT(!dest_usable(&d, MS(1100)));
 	CU_ASSERT(dest_usable(&d, MS(1200)));
 	dest_sent(&d, 0);
-	end(&d, MS(1200), DEST_UNREACHED, 0, -1, 0);
+	record_end(&d, MS(1200), DEST_UNREACHED, 0, -1, 0);
 	CU_ASSERT(!dest_usable(&d, MS(1400)));
 	dest_sent(&d, 0);
-	end(&d, MS(2000), DEST_ANSWERED, MS(100), 1, 0);
+	record_end(&d, MS(2000), DEST_ANSWERED, MS(100), 1, 0);
 	dest_sent(&d, 0);
-	end(&d, MS(2000), DEST_UNREACHED, 0, -1, 0);
+	record_end(&d, MS(2000), DEST_UNREACHED, 0, -1, 0);
 	CU_ASSERT(dest_usable(&d, MS(2200)));
 }
 
-/* Answers that do not come are held against a target only in a row. */
+/* Missing answers cause a backoff only if several are missing in a row. */
 static void
 broken(void)
 {
@@ -147,15 +147,15 @@
 	dest_init(&d, 4);
 	for (i = 0; i < 2; i++) {
 		dest_sent(&d, 0);
-		end(&d, MS(1000), DEST_BROKE, 0, -1, 0);
+		record_end(&d, MS(1000), DEST_BROKE, 0, -1, 0);
 	}
 	CU_ASSERT(dest_usable(&d, MS(1001)));
 	dest_sent(&d, 0);
-	end(&d, MS(1000), DEST_BROKE, 0, -1, 0);
+	record_end(&d, MS(1000), DEST_BROKE, 0, -1, 0);
 	CU_ASSERT(!dest_usable(&d, MS(1001)));
 }
 
-/* The fast one is preferred, the full one avoided, the far one a little. */
+/* Fast targets are preferred to slow, full and far ones. */
 static void
 costs(void)
 {
@@ -167,9 +167,9 @@
 	fast.near = slow.near = 1;
 	for (i = 0; i < 60; i++) {
 		dest_sent(&fast, 0);
-		end(&fast, MS(i), DEST_ANSWERED, MS(60), 1, 0);
+		record_end(&fast, MS(i), DEST_ANSWERED, MS(60), 1, 0);
 		dest_sent(&slow, 0);
-		end(&slow, MS(i), DEST_ANSWERED, MS(140), 1, 0);
+		record_end(&slow, MS(i), DEST_ANSWERED, MS(140), 1, 0);
 	}
 	CU_ASSERT(dest_cost(&fast, MS(1000), MS(100), MS(100)) <
 	    dest_cost(&slow, MS(1000), MS(100), MS(100)));
@@ -179,16 +179,16 @@
 	    dest_cost(&slow, MS(1000), MS(100), MS(100)));
 	CU_ASSERT(dest_cost(&far, MS(1000), MS(100), MS(100)) >
 	    dest_cost(&fast, MS(1000), MS(100), MS(100)));
-	fast.others = 12;
-	fast.heard = MS(1000);
+	fast.others_inflight = 12;
+	fast.load_at = MS(1000);
 	CU_ASSERT(dest_cost(&fast, MS(1000), MS(100), MS(100)) >
 	    dest_cost(&slow, MS(1000), MS(100), MS(100)));
 }
 
 /*
- * Short reads and long exports go to the same targets.  A reader would wait
- * for exports at a fast target whose slots are full; a slower one that is free
- * answers sooner.
+ * Short reads and long exports go to the same targets.  A slower target with a
+ * free slot answers a read sooner than a fast one whose slots are full of
+ * exports.
  */
 static void
 behind_long_work(void)
@@ -199,13 +199,13 @@
 	dest_init(&slow, 4);
 	fast.speed = 0.6;
 	slow.speed = 1.4;
-	fast.others = 5;
-	fast.heard = MS(1000);
+	fast.others_inflight = 5;
+	fast.load_at = MS(1000);
 	CU_ASSERT(dest_cost(&fast, MS(1000), MS(36), MS(150)) >
 	    dest_cost(&slow, MS(1000), MS(36), MS(150)));
 }
 
-/* One that fails part of its requests gets fewer. */
+/* A target that fails a part of its requests is avoided. */
 static void
 failing(void)
 {
@@ -216,8 +216,8 @@
 	dest_init(&bad, 4);
 	for (i = 0; i < 20; i++) {
 		dest_sent(&bad, 0);
-		end(&bad, MS(i), i % 2 ? DEST_ANSWERED : DEST_FAILED, MS(100),
-		    1, 0);
+		record_end(&bad, MS(i), i % 2 ? DEST_ANSWERED : DEST_FAILED,
+		    MS(100), 1, 0);
 	}
 	CU_ASSERT(dest_cost(&bad, MS(1000), MS(100), MS(100)) >
 	    1.5 * dest_cost(&good, MS(1000), MS(100), MS(100)));
