--- a/decide/heat.c
+++ b/decide/heat.c
@@ -1,8 +1,9 @@
 #include "heat.h"
 
 /*
- * Counts a request for a key.  Once full, a random sample of all is kept, so
- * that a report stays small at any rate and hot keys still stand out in it.
+ * Counts a request for a key.  Beyond HEAT_KEPT requests it keeps a uniform
+ * random sample of them (reservoir sampling), so that a report is of bounded
+ * size and hot keys still stand out in it.
  */
 void
 heat_add(struct heat *h, uint16_t key)
@@ -20,7 +21,7 @@
 		h->keys[at] = key;
 }
 
-/* Forgets all, after it was reported. */
+/* Empties the sample after it was reported. */
 void
 heat_clear(struct heat *h)
 {
--- a/decide/heat.h
+++ b/decide/heat.h
@@ -1,16 +1,16 @@
-/* Which keys were asked for since the last report. */
+/* Sample of the keys that were requested since the last report. */
 #ifndef HEAT_H
 #define HEAT_H
 
 #include <stdint.h>
 
-/* Keys told in one report at most; beyond it each stands for several. */
+/* Keys in a report at most; beyond that each stands for several requests. */
 #define HEAT_KEPT 256
 
 struct heat {
 	uint16_t keys[HEAT_KEPT];
 	int n;
-	uint32_t seen; /* requests, kept or not */
+	uint32_t seen; /* all requests, in the sample or not */
 	uint64_t seed;
 };
 
--- a/decide/keys.c
+++ b/decide/keys.c
@@ -3,10 +3,10 @@
 
 #include "keys.h"
 
-/* Between looks at the balance. */
+/* Interval between planning rounds. */
 #define PLAN_EVERY MS(200)
 
-/* Prepares the rules for one service. */
+/* Initialises the key assignment of one service, not yet in control. */
 void
 keys_init(struct keys *k, const char *service, const struct keys_conf *conf,
     const struct keys_out *out, void *arg)
@@ -19,7 +19,7 @@
 	k->gain = 1;
 }
 
-/* Frees what the rules keep. */
+/* Frees the memory that belongs to the assignment, but not k itself. */
 void
 keys_free(struct keys *k)
 {
@@ -27,7 +27,7 @@
 	k->put_text = NULL;
 }
 
-/* This host controls from now on: first it reads what was decided. */
+/* Takes control under a term: the next tick reads the owners from the store. */
 void
 keys_begin(struct keys *k, uint64_t term, usec now)
 {
@@ -38,7 +38,7 @@
 	k->next_try = now;
 }
 
-/* This host no longer controls. */
+/* Gives up control and forgets all owners and orders. */
 void
 keys_end(struct keys *k)
 {
@@ -57,7 +57,7 @@
 	k->put_text = NULL;
 }
 
-/* Notes that something must be written; urgent where a plan waits for it. */
+/* Requests a write; urgent if a move or a grant waits for it. */
 void
 keys_dirty(struct keys *k, usec now, int urgent)
 {
@@ -67,7 +67,7 @@
 	k->urgent |= urgent;
 }
 
-/* The target with an id; NO_TARGET where there is none. */
+/* Returns the index of the target with an id, or NO_TARGET. */
 static int
 target_find(const struct keys *k, const char *id)
 {
@@ -80,7 +80,7 @@
 	return (NO_TARGET);
 }
 
-/* True where a range or an open order names the target. */
+/* True if a range or a pending order refers to the target. */
 static int
 target_named(const struct keys *k, int n)
 {
@@ -97,7 +97,8 @@
 	return (0);
 }
 
-/* The target with an id, made where there is none; NO_TARGET where full. */
+/* Returns the target with an id, added if new; NO_TARGET if the table is full.
+ */
 int
 keys_target_add(struct keys *k, const char *id)
 {
@@ -123,8 +124,8 @@
 }
 
 /*
- * A target that is gone may have left its address to another, which must not
- * be given orders that were meant for it.
+ * Stops orders to leaving targets whose address another target uses now: it
+ * must not get orders that are meant for them.
  */
 static void
 avoid_reused(struct keys *k, const struct fleet_target *f)
@@ -140,7 +141,7 @@
 	}
 }
 
-/* Sets until when a target is cold. */
+/* Sets until when a target is cold, after its start or an evacuation. */
 static void
 take_cold(const struct keys *k, struct key_target *t, const struct fleet *f,
     const struct fleet_target *told)
@@ -152,7 +153,7 @@
 	t->cold_limited = k->conf.cold_limited;
 }
 
-/* Takes in the targets that are known now. */
+/* Updates the targets from the fleet known now. */
 void
 keys_fleet(struct keys *k, const struct fleet *f, usec now)
 {
@@ -194,8 +195,8 @@
 	k->have_fleet = 1;
 }
 
-/* How long targets are cold after a start, and whether they then take few
- * requests. */
+/* Sets how long targets are cold after a start, and whether cold targets have
+ * a rate limit. */
 void
 keys_cold(struct keys *k, usec cold_start, int limited)
 {
@@ -207,7 +208,7 @@
 		k->targets[i].cold_limited = limited;
 }
 
-/* What hosts learnt of a target. */
+/* Smooths the relative response time of a target, as reported by a host. */
 void
 keys_learnt(
     struct keys *k, const char *target, double speed, int answers, usec now)
@@ -220,7 +221,7 @@
 	k->targets[n].speed += 0.15 * (speed - k->targets[n].speed);
 }
 
-/* A target takes so many requests a second from all hosts. */
+/* Sets the rate limit of a target: requests per second from all hosts. */
 void
 keys_limited(struct keys *k, const char *target, double limit, usec now)
 {
@@ -232,7 +233,7 @@
 	k->targets[n].limited = now;
 }
 
-/* Joins neighbours that one grant can name. */
+/* Joins adjacent ranges that one grant can cover. */
 static void
 join(struct keys *k, usec now)
 {
@@ -251,7 +252,7 @@
 			continue;
 		}
 		a->to = b->to;
-		/* The higher of two fences, both of which are written. */
+		/* Either fence is stored; the higher one is valid for both. */
 		if (b->fence > a->fence)
 			a->fence = b->fence;
 		if (b->granted_until > a->granted_until)
@@ -264,15 +265,15 @@
 	k->nranges = n + 1;
 }
 
-/* True once the owners are this controller's, and the targets are known: plans
- * can be made, and others be told. */
+/* True once this controller has claimed the owners and knows the targets, so
+ * that it can plan and publish the owners. */
 int
 keys_settled(const struct keys *k)
 {
 	return (k->claimed && k->have_fleet);
 }
 
-/* Begins no more moves, and writes at once what is done. */
+/* Prepares for a handover: begins no more moves and writes without delay. */
 void
 keys_close(struct keys *k)
 {
@@ -280,8 +281,8 @@
 }
 
 /*
- * True where all that was decided is done and written.  Whoever takes control
- * now need not wait for owners before and after a move.
+ * True if no move is under way and all is written.  A controller that takes
+ * over then need not wait for the old and the new owner of any keys.
  */
 int
 keys_quiet(const struct keys *k)
@@ -299,7 +300,7 @@
 	return (1);
 }
 
-/* Does what is due; only while this host may order targets. */
+/* Does what is due; call it only while this host may send orders. */
 void
 keys_tick(struct keys *k, usec now)
 {
@@ -321,7 +322,8 @@
 	keys_store_tick(k, now);
 }
 
-/* Who owns what, for hosts that send requests. */
+/* Fills in the owners, for hosts that send requests; out->ranges is the
+ * caller's to free, NULL if out of memory. */
 void
 keys_view(const struct keys *k, struct owner_service *out)
 {
@@ -340,8 +342,8 @@
 		o->from = r->from;
 		o->to = r->to;
 		o->target = r->owner;
-		/* Sent before the grant is there, a request would be turned
-		 * away, and count as a repeat when it is sent again. */
+		/* A request that is sent before the grant arrives would be
+		 * refused, and count as a retry when it is sent again. */
 		o->moving = r->letting_go || r->fresh;
 		o->back_at = r->letting_go ? keys_clear_at(r) : 0;
 		if (o->moving && (r->inherits || (!r->released && r->open)))
--- a/decide/keys.h
+++ b/decide/keys.h
@@ -1,7 +1,8 @@
 /*
- * Sole ownership of the keys of one service, as its controller decides it.
- * Targets know nothing but grants: a range of keys, a fence, and for how long
- * from the arrival of the call.  docs/FLEET.md, "Keys", tells why.
+ * Assigns the keys of one service to targets, so that no two targets hold a key
+ * at once.  Runs at the controller.  A target only knows its grants: a range of
+ * keys, a fence, and a hold time that counts from the arrival of the call.  See
+ * docs/FLEET.md, "Keys".
  */
 #ifndef KEYS_H
 #define KEYS_H
@@ -13,16 +14,16 @@
 #include "owners.h"
 #include "term.h"
 
-/* A target's clock may be slow by one part in fifty: it holds longer. */
+/* A target's clock may run up to 2% slow, and the target hold keys longer. */
 #define KEYS_CLOCK_SLOW 1.02
-/* What the network, and a sender's own pause, may add to an order's way. */
+/* Longest delay of an order by the network or by a pause of its sender. */
 #define KEYS_WAY MS(150)
 /*
- * A connection that was just opened may wait for a slot of a busy target before
- * what was sent on it is read, and the time of a grant counts from then, also
- * where the sender has reset it meanwhile.  Grants given up 0.5 s after they
- * were sent were read 0.3 and 1.4 s later; they are waited for 1.5 s now, and
- * this much more is reckoned with.
+ * A grant that is sent on a new connection may wait for a slot of a busy target
+ * before it is read, and its hold time counts from then, even if the sender has
+ * reset the connection meanwhile.  Grants that were given up after 0.5 s were
+ * read up to 1.4 s after that, so they are waited for 1.5 s, and their hold
+ * time is assumed to begin up to this much later.
  */
 #define KEYS_UNREAD MS(500)
 
@@ -32,23 +33,23 @@
 #define NO_TARGET (-1)
 
 struct keys_conf {
-	usec hold;	 /* for which keys are granted */
-	usec renew;	 /* between grants of the same keys */
-	usec order_wait; /* a grant without an answer is given up by then */
-	usec settle;	 /* targets stand still so long before the first plan */
-	usec cold_start; /* targets are cold for so long after a start */
-	int cold_limited; /* cold ones take few requests */
+	usec hold;	 /* hold time of a grant */
+	usec renew;	 /* interval between grants of the same keys */
+	usec order_wait; /* a grant without a reply is given up by then */
+	usec settle; /* the fleet is unchanged so long before the first plan */
+	usec cold_start;  /* targets are cold for so long after their start */
+	int cold_limited; /* cold targets have a rate limit */
 };
 
-/* How an order ended, where it was not answered with a status. */
-#define ORDER_SILENT 0	  /* it may be carried out, at once or later */
+/* Outcome of an order that got no HTTP status. */
+#define ORDER_SILENT 0	  /* may be carried out, now or later */
 #define ORDER_NOT_SENT -1 /* no byte of it left this host */
-#define ORDER_UNREAD -2	  /* silent, on a connection opened for it */
+#define ORDER_UNREAD -2	  /* no reply on a connection opened for it */
 
-/* An order to a target. */
+/* A grant or a release of keys, sent to a target. */
 struct key_order {
 	uint64_t id;
-	int release; /* else a grant */
+	int release; /* or a grant */
 	uint32_t from;
 	uint32_t to; /* inclusive */
 	uint64_t fence;
@@ -64,30 +65,30 @@
 	int used;
 	int listed;
 	int leaving;
-	int evacuated; /* its data centre is */
+	int evacuated; /* its data centre is evacuated */
 	int slots;
 	usec cold_until;
-	int cold_limited; /* takes few requests until then */
-	double speed;	  /* time it takes, over what others take */
-	usec alive_at;	  /* it answered anybody */
-	int unanswered;	  /* orders in a row */
-	double limit;	  /* requests a second that it takes ... */
-	usec limited;	  /* ... as of this moment; 0 is none */
-	/* Of the plan. */
+	int cold_limited; /* has a rate limit until then */
+	double speed;	  /* response time relative to other targets */
+	usec alive_at;	  /* last reply to any host */
+	int unanswered;	  /* consecutive orders without a reply */
+	double limit;	  /* requests per second that it accepts ... */
+	usec limited;	  /* ... as of this time; 0 if never reported */
+	/* Set by each planning round. */
 	double heat;
-	double cap; /* of its weight, by its limit; 0 is none */
+	double cap; /* of its weight, from its limit; 0 is none */
 	int lost;
 };
 
 enum range_step {
-	RANGE_OWNED,   /* or without owner, where owner is NO_TARGET */
-	RANGE_PLANNED, /* next is to be in the store first */
-	RANGE_GIVING   /* the owner is to let go */
+	RANGE_OWNED,   /* no move; no owner if owner is NO_TARGET */
+	RANGE_PLANNED, /* a move waits until the store has next */
+	RANGE_GIVING   /* the owner is to release the keys */
 };
 
 /*
- * Keys in a row.  owner, fence, next and next_fence are kept in the store:
- * whoever takes control over reads from them who may hold the keys.
+ * A range of keys.  owner, fence, next and next_fence are kept in the store,
+ * from which the next controller reads who may hold the keys.
  */
 struct key_range {
 	uint32_t from;
@@ -97,18 +98,18 @@
 	int next;
 	uint64_t next_fence;
 	enum range_step step;
-	uint64_t fence_by; /* the write that makes the fence known */
-	uint64_t plan_by;  /* the write that makes next known */
-	int open;	   /* an order is under way */
-	int confirmed;	   /* the owner has answered a grant */
-	int released;	   /* the owner has answered a release */
-	int letting_go;	   /* the owner is granted no more */
-	int fresh;	   /* its new owner has not had a grant yet */
-	int inherits;	   /* next is a later life of the owner */
+	uint64_t fence_by; /* the write that stores the fence */
+	uint64_t plan_by;  /* the write that stores next */
+	int open;	   /* an order is pending */
+	int confirmed;	   /* the owner has accepted a grant */
+	int released;	   /* the owner has accepted a release */
+	int letting_go;	   /* the owner gets no further grants */
+	int fresh;	   /* no grant to the new owner has ended yet */
+	int inherits;	   /* next is a later incarnation of the owner */
 	usec renew_at;
 	usec granted_until;    /* the owner may hold the keys until then */
-	usec granted_before;   /* the same, but for the order under way */
-	usec unanswered_until; /* the same by grants without an answer */
+	usec granted_before;   /* the same without the pending order */
+	usec unanswered_until; /* the same by grants without a reply */
 	usec moved_at;
 	char handover[NAME_MAX_GS];
 };
@@ -121,7 +122,7 @@
 	void (*event)(void *, const char *service, const char *);
 };
 
-/* One order under way. */
+/* A pending order. */
 struct open_order {
 	uint64_t id;
 	int target;
@@ -136,7 +137,7 @@
 	const struct keys_out *out;
 	void *arg;
 	int active;
-	int closing; /* control is about to be handed over */
+	int closing; /* control is being handed over */
 	uint64_t term;
 
 	struct key_target targets[KEYS_TARGETS];
@@ -150,25 +151,25 @@
 	int norders;
 	uint64_t order_id;
 	uint64_t top_fence;
-	uint64_t number; /* rises with each change of who owns what */
+	uint64_t number; /* rises with each change of the owners */
 
-	/* The object in the store, and the one write that may be open. */
+	/* The object in the store, and the one write that may be pending. */
 	int loaded;
 	int claimed;
 	int get_open;
 	usec next_try;
 	uint64_t version;
 	uint64_t write_seq;  /* of the last write sent */
-	uint64_t stored_seq; /* of the last write known to be done */
+	uint64_t stored_seq; /* of the last write known to be stored */
 	int put_open;
 	int put_lost;
 	char *put_text;
 	uint64_t put_base;
-	int dirty; /* something waits for a write */
+	int dirty; /* a change is not written yet */
 	usec dirty_since;
 	int urgent;
 
-	/* What is asked for, by key; decays. */
+	/* Requests for each key, decaying; all are scaled by gain. */
 	float heat[KEYS];
 	float estimate[KEYS];
 	double gain;
--- a/decide/keys_grant.c
+++ b/decide/keys_grant.c
@@ -1,15 +1,15 @@
 /*
- * Grants and releases: when a range may be granted, what an order and its
- * answer say of who may hold it, and when it is free for the next owner.
+ * Grants and releases: when a range may be granted, who may hold it after an
+ * order and its reply, and when the next owner can have it.
  */
 #include <string.h>
 
 #include "keys.h"
 
-/* Between tries of an order that was not answered. */
+/* Delay before an order that failed is sent again. */
 #define ORDER_AGAIN MS(150)
 
-/* How long after an order's end the target may hold what it grants. */
+/* Until when a target may hold keys by a grant that arrives now or earlier. */
 static usec
 held_after(const struct keys *k, usec now)
 {
@@ -17,7 +17,7 @@
 	    now + KEYS_WAY + (usec)((double)k->conf.hold * KEYS_CLOCK_SLOW));
 }
 
-/* Sends an order for keys from one range to another, both of one owner. */
+/* Sends an order for the keys from..to, all of one owner. */
 static void
 send_order(struct keys *k, int target, int release, uint32_t from, uint32_t to,
     uint64_t fence, const char *handover)
@@ -47,10 +47,10 @@
 }
 
 /*
- * True where a range's grant may be sent or renewed.  A range that was to be
- * let go is not granted to its owner again, also when its next owner is lost
- * and another is planned: an earlier controller may have granted it to that
- * next, and both would hold it.
+ * True if a range may be granted to its owner.  A range whose release was begun
+ * is not granted to its owner again, even if the next owner becomes unavailable
+ * and another is planned: an earlier controller may have granted the range to
+ * that next owner, and both would hold it.
  */
 static int
 may_grant(const struct keys *k, const struct key_range *r)
@@ -59,14 +59,17 @@
 	    k->targets[r->owner].listed && k->stored_seq >= r->fence_by);
 }
 
-/* A range planned to go elsewhere is renewed until its owner is asked. */
+/* True if a grant is due; during a move, until the release begins. */
 static int
 renews(const struct keys *k, const struct key_range *r, usec now)
 {
 	return (may_grant(k, r) && now >= r->renew_at);
 }
 
-/* Grants the ranges from one index on that one call can name. */
+/*
+ * Grants a range, and with it those that follow and that the same grant can
+ * cover.  Returns the index of the last one.
+ */
 static int
 grant_run(struct keys *k, int first, usec now)
 {
@@ -107,13 +110,13 @@
 }
 
 /*
- * When nobody but the next owner can hold the range: a pure rule over what was
- * sent and answered.
+ * Returns the time from which nobody but the next owner can hold the range; it
+ * follows from the orders sent and their replies alone.
  *
- * A release that was answered ends what the owner held then.  A grant that was
- * never answered may be carried out seconds later, also after that release;
- * its time still counts from its arrival, so it ends by unanswered_until.
- * Without an answered release the owner may hold by its last grant.
+ * A release that got its reply ends what the owner held until then.  A grant
+ * that got no reply may be carried out seconds later, even after that release;
+ * its hold time still counts from its arrival, so it ends by unanswered_until.
+ * Without a release the owner may hold the range until its last grant lapses.
  */
 usec
 keys_clear_at(const struct key_range *r)
@@ -123,7 +126,7 @@
 	return (r->released ? r->unanswered_until : r->granted_until);
 }
 
-/* Nobody holds the range any more: it is the next's. */
+/* Completes a move: nobody holds the range any more, so next becomes owner. */
 static void
 take_next(struct keys *k, struct key_range *r, usec now)
 {
@@ -139,8 +142,8 @@
 	r->released = 0;
 	r->letting_go = 0;
 	r->fresh = 1;
-	/* What was granted to its earlier life, at the same address, a target
-	 * may have taken in the next. */
+	/* A restarted target may have received grants that were sent to its
+	 * earlier incarnation at the same address, so they still count. */
 	if (!r->inherits) {
 		r->granted_until = 0;
 		r->unanswered_until = 0;
@@ -152,7 +155,7 @@
 	keys_dirty(k, now, 0);
 }
 
-/* Moves one range on towards its next owner. */
+/* Advances the move of a range to its next owner. */
 void
 keys_range_tick(struct keys *k, struct key_range *r, usec now)
 {
@@ -179,7 +182,8 @@
 	send_order(k, r->owner, 1, r->from, r->to, r->fence, "");
 }
 
-/* A grant that was not answered may be held until then, or what it renewed. */
+/* Records that a grant without a reply may be held until then, or longer by the
+ * grant that it renews. */
 static void
 unanswered(struct key_range *r, usec until)
 {
@@ -189,7 +193,7 @@
 		r->granted_until = r->unanswered_until;
 }
 
-/* A grant ended for one range. */
+/* Handles the end of a grant, for one range. */
 static void
 granted(struct keys *k, struct key_range *r, int status, usec now)
 {
@@ -208,8 +212,8 @@
 		return;
 	}
 	if (status <= 0) {
-		/* Tries that cannot have arrived must not put off the moment
-		 * from which a lost target's keys are free. */
+		/* Orders that cannot have arrived must not postpone the time
+		 * from which a dead target's keys can be granted to others. */
 		r->granted_until = r->granted_before;
 		if (status != ORDER_NOT_SENT)
 			unanswered(r,
@@ -218,14 +222,15 @@
 		r->renew_at = now + ORDER_AGAIN;
 		return;
 	}
-	/* It has seen a higher fence: only a written one may be used. */
+	/* The target has seen a higher fence.  The next one must be stored
+	 * before it is used. */
 	r->fence = ++k->top_fence;
 	r->fence_by = k->write_seq + 1;
 	r->renew_at = now;
 	keys_dirty(k, now, 1);
 }
 
-/* A release ended for one range. */
+/* Handles the end of a release, for one range. */
 static void
 released(struct key_range *r, int status, const char *handover, usec now)
 {
@@ -238,7 +243,7 @@
 	name_copy(r->handover, sizeof(r->handover), handover);
 }
 
-/* An order ended, with an HTTP status or one of the ORDER_ outcomes. */
+/* Handles the end of an order, with an HTTP status or an ORDER_ outcome. */
 void
 keys_ordered(
     struct keys *k, usec now, uint64_t id, int status, const char *handover)
@@ -262,7 +267,7 @@
 		r = &k->ranges[i];
 		if (r->from < o.from || r->to > o.to || r->owner != o.target)
 			continue;
-		/* Also where another heir was planned meanwhile. */
+		/* Also counts if another next owner was planned meanwhile. */
 		if (o.release)
 			released(r, status, handover, now);
 		else
--- a/decide/keys_plan.c
+++ b/decide/keys_plan.c
@@ -1,4 +1,7 @@
-/* Which target is to own which keys: first shares, losses, and balance. */
+/*
+ * Plans which target owns which keys: the initial assignment, new owners for
+ * the keys of unavailable targets, and load balance.
+ */
 #include <math.h>
 #include <string.h>
 
@@ -6,57 +9,61 @@
 #include "incarnation.h"
 #include "keys.h"
 
-/* What was asked for halves in this time: long enough to tell a hot key from
- * chance, short enough to spread it within two seconds. */
+/* Half-life of a key's load in seconds: long enough to tell a hot key from
+ * random variation, short enough to spread hot keys within two seconds. */
 #define HEAT_HALF 0.8
-/* Keys count a little even where nobody asks for them, so that none of them
- * lie all with one target. */
+/* Share of the total load that is spread over all keys alike, and the least
+ * load of a key: without them one target could get all idle keys. */
 #define COLD_SHARE 0.06
 #define COLD_LEAST 1e-5
-/* A target is relieved where it has this much more than its part, and ... */
+/* A target is overloaded if its load exceeds its share by this part, and ... */
 #define EXCESS 0.15
-/* ... this many times the deviation that chance gives. */
+/* ... by this many standard deviations of its request count. */
 #define CHANCE 1.2
-/* Moves planned in one look. */
+/* Moves planned in one round at most. */
 #define MOVES_MOST 8
-/* Keys that moved are left alone for a while: their load is not known yet. */
+/* Keys that moved do not move again for this long: their load is not known
+ * yet. */
 #define REST MS(900)
-/* A target that answers nobody for so long, and no order, is taken for lost. */
+/* A target is taken for dead that has not replied to any host for so long, and
+ * not to so many orders in a row. */
 #define LOST_AFTER MS(900)
 #define LOST_ORDERS 2
-/* Beyond so many ranges for each target small cold ones are joined. */
+/* Beyond this number of ranges per target small idle ones are joined. */
 #define RANGES_EACH 6
+/* Part of its weight that a target has while it is cold. */
 #define COLD_FACTOR 0.5
-/* Weight of a cold target with a rate limit: the share of one of many hosts is
- * so small that most requests for keys it owns would be refused. */
+/* The same for a cold target with a rate limit: each of many hosts has so small
+ * a share of the limit that most requests for its keys would be refused. */
 #define COLD_LIMITED_FACTOR 0.02
+/* A large range of an unavailable target is cut into this many pieces. */
 #define PIECES 4
-/* Keys that are taken to be about as busy as each other, and what one of them
- * may show by chance. */
+/* Number of adjacent keys that are expected to have about the same load, and
+ * the load that one of them may show by chance. */
 #define NEIGHBOURS 256
 #define BY_CHANCE 2.0f
-/* A key that alone is more than its target's part moves where that target
- * would have this much less. */
+/* A key that alone overloads its target moves if its load divided by the new
+ * owner's weight is at most this part of what it is now. */
 #define WORTH_MOVING 0.85
 
-/* Requests that a second's rate of one counts for, as they halve. */
+/* Load that one request per second amounts to, with its half-life. */
 #define HEAT_OF_RATE (HEAT_HALF / M_LN2)
-/* So much of its limit a target is given; what is asked for changes. */
+/* Part of its rate limit that a target gets as load; demand varies. */
 #define LIMIT_PART 0.8
-/* A limit that no host names any more is over after this. */
+/* A rate limit ends when no host has reported it for this long. */
 #define LIMITED_FOR MS(2000)
-/* A target whose limit is near nothing keeps so much of its weight: it is to
- * be seen that it takes more again. */
+/* Part of its weight that a target keeps whatever its limit: without requests
+ * nobody would notice that it accepts more again. */
 #define CAP_LEAST 0.02
 
-/* True where a target is cold and has a rate limit meanwhile. */
+/* True if a target is cold and has a rate limit meanwhile. */
 static int
 takes_few(const struct key_target *t, usec now)
 {
 	return (t->cold_limited && now < t->cold_until);
 }
 
-/* How much of the load a target can bear beside others. */
+/* Returns the weight of a target: the load it can take relative to others. */
 double
 key_target_weight(const struct key_target *t, usec now)
 {
@@ -71,7 +78,7 @@
 	return (w);
 }
 
-/* True where a target cannot keep or get keys. */
+/* True if a target can neither keep nor get keys. */
 static int
 is_lost(const struct key_target *t, usec now)
 {
@@ -79,7 +86,7 @@
 	    (t->unanswered >= LOST_ORDERS && now - t->alive_at > LOST_AFTER));
 }
 
-/* What a key counts, as estimated at the last look. */
+/* Returns the load of a key, as estimated in this round. */
 static double
 key_heat(const struct keys *k, uint32_t key)
 {
@@ -87,12 +94,12 @@
 }
 
 /*
- * Estimates what each key counts.  Busy keys lie close to one another, and of
- * most of them a second or two shows no request, or one: taken at its word,
- * cutting moves the few keys that happened to be seen, and leaves the busy
- * neighbourhood where it was (a target at twice the mean for five seconds, in
- * the first ones of a calm day).  So what chance may give is spread over a
- * neighbourhood, and only what a key has beyond that is its own.
+ * Estimates the load of each key.  Busy keys are often close to each other, and
+ * most of them get one request or none within a second or two.  If that were
+ * taken as their load, moves would take the few keys that had a request and
+ * leave the busy neighbourhood where it is: its owner stays far above the mean
+ * load for seconds.  So the load that a key may show by chance is spread over
+ * its neighbourhood, and only what exceeds it counts for the key alone.
  */
 static void
 estimate(struct keys *k)
@@ -119,8 +126,9 @@
 }
 
 /*
- * Counts requests for keys, each standing for some.  Instead of letting all
- * keys decay, what comes later counts more.
+ * Adds requests for n keys to the load; each entry stands for `each` requests.
+ * Instead of decaying the load of all keys, later requests count more: gain
+ * grows, and by it the load is divided.
  */
 void
 keys_heat(struct keys *k, const uint16_t *key, int n, double each, usec now)
@@ -140,7 +148,8 @@
 	k->gain = 1;
 }
 
-/* Cuts a range before a key; the index of the right part, or -1. */
+/* Splits a range before a key.  Returns the index of the range that begins with
+ * the key, or -1. */
 int
 keys_split(struct keys *k, int n, uint32_t at)
 {
@@ -157,7 +166,7 @@
 	return (n + 1);
 }
 
-/* Plans that a range goes to a target. */
+/* Plans the move of a range to a target. */
 void
 keys_give(struct keys *k, int n, int target, usec now)
 {
@@ -171,14 +180,14 @@
 	keys_dirty(k, now, 1);
 }
 
-/* Who will own a range. */
+/* Returns who owns a range after its planned move. */
 static int
 heir(const struct key_range *r)
 {
 	return (r->next != NO_TARGET ? r->next : r->owner);
 }
 
-/* What a range counts; base is what each of its keys counts anyway. */
+/* Returns the load of a range; base is added for each key. */
 static double
 range_heat(const struct keys *k, const struct key_range *r, double base)
 {
@@ -190,18 +199,18 @@
 	return (sum);
 }
 
-/* One look at all loads. */
+/* The loads in one planning round. */
 struct look {
 	double base;
 	double total;
-	double weight; /* of all targets that are not lost */
+	double weight; /* of all available targets */
 	int live;
 };
 
 /*
- * Caps the weight of targets that name a limit.  By slots and speed alone they
- * go on owning as many keys as others, and whoever asks for these is refused
- * while other targets have room.
+ * Caps the weight of targets with a rate limit.  By slots and response time
+ * alone they would own as many keys as others, and requests for these keys be
+ * refused while other targets have capacity left.
  */
 static void
 cap_limited(struct keys *k, struct look *l, usec now)
@@ -222,7 +231,7 @@
 	}
 }
 
-/* Sums the loads up. */
+/* Computes the loads of the targets and their total. */
 static void
 look_around(struct keys *k, usec now, struct look *l)
 {
@@ -257,9 +266,9 @@
 }
 
 /*
- * The target with the least load for its weight; not `but`, and none that takes
- * few requests where another is there.  Where `alone` is not 0 it is the load
- * that counts, and not what each has now.
+ * Returns the target with the least load for its weight, or NO_TARGET; never
+ * `but`, and a cold one with a rate limit only if there is no other.  If
+ * `alone` is not 0, each target is taken to have this load instead of its own.
  */
 static int
 least(
@@ -289,7 +298,7 @@
 	return (best);
 }
 
-/* The target with the most load for its weight. */
+/* Returns the target with the most load for its weight, or NO_TARGET. */
 static int
 most(const struct keys *k, usec now)
 {
@@ -310,7 +319,7 @@
 	return (best);
 }
 
-/* True where no key has ever had an owner. */
+/* True if no key has an owner or is to get one. */
 static int
 untouched(const struct keys *k)
 {
@@ -318,7 +327,7 @@
 	    k->ranges[0].next == NO_TARGET);
 }
 
-/* Gives each target its part of all keys, in a row. */
+/* Assigns each target one range of keys in proportion to its weight. */
 static void
 first_shares(struct keys *k, const struct look *l, usec now)
 {
@@ -343,7 +352,7 @@
 	}
 }
 
-/* Gives a range whose heir is lost to others, in pieces where it is large. */
+/* Plans new owners for a range, in pieces if its load is large. */
 static void
 replace_heir(struct keys *k, int n, const struct look *l, usec now)
 {
@@ -368,12 +377,13 @@
 }
 
 /*
- * A later life of the owner of a range that can have it at once, or NO_TARGET.
+ * Returns a later incarnation of the range's owner that can have the range at
+ * once, or NO_TARGET.
  *
- * The owner has ended, and whoever its last grants may have reached is this
- * life: nobody else can hold the keys, so they need not wait until those run
- * out.  Not where the range was on its way: the one it was going to may have
- * been granted it by an earlier controller.
+ * The owner has ended, and its last grants can only have reached this
+ * incarnation: nobody else can hold the keys, so there is no need to wait until
+ * those grants lapse.  Not during a move: an earlier controller may have
+ * granted the range to its next owner.
  */
 static int
 inheritor(const struct keys *k, const struct key_range *r)
@@ -391,7 +401,7 @@
 	return (NO_TARGET);
 }
 
-/* Finds owners for all that have none, or a lost one. */
+/* Plans new owners for all ranges that have none or an unavailable one. */
 static void
 replace_lost(struct keys *k, const struct look *l, usec now)
 {
@@ -412,7 +422,7 @@
 	}
 }
 
-/* Keys in a row within one range, that are to move. */
+/* A part of a range that is to move. */
 struct piece {
 	int range;
 	uint32_t from;
@@ -421,8 +431,9 @@
 };
 
 /*
- * Finds in a range the fewest keys in a row that count at least `low` and at
- * most `high`; what moves is stalled and priced by its number of keys.
+ * Finds the shortest run of keys in a range with a load from `low` to `high`,
+ * if it is shorter than *best.  Requests for keys that move have to wait, so
+ * the cost of a move is taken to be its number of keys.
  */
 static void
 find_piece(const struct keys *k, int n, double base, double low, double high,
@@ -453,9 +464,9 @@
 }
 
 /*
- * True where a range of the target may move now.  Not while a grant that was
- * not answered, or that an earlier controller may have sent, has not run out:
- * the keys could not go on before it, and would be without owner for seconds.
+ * True if a range of the target may move now.  Not before every grant without a
+ * reply, and every grant of an earlier controller, has lapsed: the next owner
+ * would have to wait for it, and the keys be without an owner for seconds.
  */
 static int
 movable(const struct key_range *r, int target, usec now)
@@ -465,7 +476,7 @@
 	    (now - r->moved_at >= REST || !feature_on(FEATURE_REST)));
 }
 
-/* Cuts a piece out of its range and gives it from one target to another. */
+/* Splits a piece off its range and plans its move to another target. */
 static void
 move_piece(struct keys *k, const struct piece *p, int from, int to, usec now)
 {
@@ -480,10 +491,10 @@
 }
 
 /*
- * Moves a key that alone overloads its target to the fastest one, from where
- * others will be moved away; 0 where it has nothing to win.  Targets differ by
- * two to three times: on a slow one a third of all requests for one key would
- * time out that a fast one serves.
+ * Moves a key that alone overloads its target to the fastest target, whose
+ * other keys are then moved away; returns 0 if that gains nothing.  Response
+ * times of targets differ by two to three times: a slow target would let a
+ * third of the requests for such a key time out that a fast one can serve.
  */
 static int
 move_hottest(struct keys *k, int from, usec now)
@@ -520,7 +531,8 @@
 	return (1);
 }
 
-/* The smallest piece of a target's keys that counts so much, if any. */
+/* Returns the shortest run of a target's keys with a load from `low` to `high`;
+ * its range is -1 if there is none. */
 static struct piece
 smallest_piece(const struct keys *k, int from, double base, double low,
     double high, usec now)
@@ -535,8 +547,8 @@
 	return (p);
 }
 
-/* Plans one move from the most loaded target to the least; 0 where none is
- * worth it. */
+/* Plans one move from the most to the least loaded target; returns 0 if none is
+ * worth its cost. */
 static int
 relieve(struct keys *k, const struct look *l, usec now)
 {
@@ -555,7 +567,8 @@
 	if (over <
 	    2 * EXCESS * mean + CHANCE * sqrt(k->targets[from].heat) / wf)
 		return (0);
-	/* So much makes both equal; a little less leaves room for chance. */
+	/* Moving `need` makes both equal; aim lower, as loads vary at random.
+	 */
 	need = over / (1 / wf + 1 / wt);
 	high = fmin(need, fmax(mean * wt - k->targets[to].heat, need * 0.5));
 	p = smallest_piece(k, from, l->base, 0.6 * high, 1.1 * high, now);
@@ -568,8 +581,8 @@
 }
 
 /*
- * Gives a small range that nobody asks for to its neighbour's owner, where
- * there are many: each is renewed by a call of its own.
+ * Moves a small idle range to the owner of the range before it if there are
+ * many ranges, because each needs calls of its own for its grants.
  */
 static void
 join_cold(struct keys *k, const struct look *l, usec now)
@@ -597,7 +610,7 @@
 		keys_give(k, best, to, now);
 }
 
-/* Plans what should be different. */
+/* Runs one planning round. */
 void
 keys_plan(struct keys *k, usec now)
 {
@@ -609,8 +622,8 @@
 	if (l.live == 0)
 		return;
 	if (untouched(k)) {
-		/* Targets are still coming: given out now, the first few would
-		 * get all keys. */
+		/* While targets still register, the first few would get all
+		 * keys. */
 		if (now - k->fleet_changed >= k->conf.settle)
 			first_shares(k, &l, now);
 		return;
--- a/decide/keys_store.c
+++ b/decide/keys_store.c
@@ -1,4 +1,4 @@
-/* What the store keeps of the owners of keys, and the one write to it. */
+/* Reads and writes the owners of keys in the store, one write at a time. */
 #include <stdlib.h>
 #include <string.h>
 
@@ -6,20 +6,20 @@
 
 #include "keys.h"
 
-/* No target grants keys for longer; the platforms' bound is 10 s. */
+/* Longest hold time that is accepted from the store; platforms allow 10 s. */
 #define HOLD_MOST MS(60000)
-/* Beyond this a fence is no count of ours; each term may raise it 2^32 times.
- */
+/* Stored fences from here on are invalid.  Each term may raise the fence 2^32
+ * times. */
 #define FENCE_MOST (1ll << 62)
 #define FENCES_EACH 32
-/* Between tries at the store. */
+/* Delay before another read of the store. */
 #define STORE_AGAIN MS(250)
-/* What need not be known at once is written this much later, with others: a
- * controller that takes over before it would have to wait for both the earlier
- * and the next owner of the keys. */
+/* Longest delay of a change that nothing waits for, so that one write covers
+ * several.  A controller that takes over before the write has to wait for both
+ * the old and the new owner of the keys. */
 #define WRITE_LATER MS(400)
 
-/* One range as it is kept in the store. */
+/* Returns a range as it is kept in the store. */
 static json_t *
 range_json(const struct keys *k, const struct key_range *r)
 {
@@ -30,7 +30,7 @@
 	    (json_int_t)r->next_fence));
 }
 
-/* Everything as it is kept in the store; the caller frees it. */
+/* Returns the object to be kept in the store; the caller frees it. */
 static char *
 to_json(const struct keys *k)
 {
@@ -49,7 +49,7 @@
 	return (text);
 }
 
-/* The target that a stored range names. */
+/* Returns the target that a stored range names, or NO_TARGET. */
 static int
 stored_target(struct keys *k, const json_t *v)
 {
@@ -60,9 +60,9 @@
 }
 
 /*
- * Reads one range.  What an earlier controller granted last is not known: each
- * may be held until its last grant, sent just before it lost control, has run
- * out, whether or not a release is answered before.
+ * Reads one range.  The last grants of the earlier controller are not known: it
+ * may have sent them just before it lost control, so the range may be held
+ * until those lapse, even if a release gets its reply before.
  */
 static void
 read_range(struct keys *k, const json_t *v, usec clear_at)
@@ -76,7 +76,7 @@
 	r->next = stored_target(k, json_array_get(v, 3));
 	r->next_fence = (uint64_t)json_integer_value(json_array_get(v, 4));
 	if (r->owner == NO_TARGET) {
-		/* Nobody but the next can hold it. */
+		/* Nobody but the next owner can hold it. */
 		r->owner = r->next;
 		r->fence = r->next_fence;
 		r->next = NO_TARGET;
@@ -84,12 +84,12 @@
 	r->granted_until = clear_at;
 	r->unanswered_until = clear_at;
 	r->step = r->next == NO_TARGET ? RANGE_OWNED : RANGE_PLANNED;
-	/* The next may have been granted the keys already. */
+	/* The next owner may have been granted the keys already. */
 	r->letting_go = r->next != NO_TARGET;
 }
 
-/* When whatever an earlier controller granted for some time has run out; its
- * last grants may not have been read yet. */
+/* Returns when all grants of an earlier controller with this hold time have
+ * lapsed; targets may not have read the last of them yet. */
 static usec
 earlier_clear(const struct keys *k, usec hold, usec now)
 {
@@ -99,7 +99,7 @@
 	    (usec)((double)hold * KEYS_CLOCK_SLOW));
 }
 
-/* True for a fence or for nothing. */
+/* True for a valid fence, or 0, which is none. */
 static int
 is_fence(const json_t *v)
 {
@@ -107,7 +107,7 @@
 	    json_integer_value(v) < FENCE_MOST);
 }
 
-/* True where the list is one of ours: ranges in order, over all keys. */
+/* True if a stored list is valid: ranges in order that cover all keys. */
 static int
 makes_sense(const json_t *list)
 {
@@ -133,7 +133,7 @@
 	return (1);
 }
 
-/* Reads what the store holds; 0, or -1 where it makes no sense. */
+/* Reads the stored object; returns 0, or -1 if it is invalid. */
 static int
 from_json(struct keys *k, const char *json, size_t n, usec now)
 {
@@ -163,7 +163,7 @@
 	return (0);
 }
 
-/* Sends a write of everything. */
+/* Sends a write of the whole object. */
 static void
 put(struct keys *k)
 {
@@ -179,9 +179,9 @@
 }
 
 /*
- * Writes what was read under this term, with higher fences.  Until this is
- * done nothing is ordered: a write of an earlier controller may still be on
- * its way, and land after all that was read; once this one is done it cannot.
+ * Writes what was read back under this term, with higher fences.  No order is
+ * sent before this is stored: until then a write of an earlier controller that
+ * is still on its way could change the owners that were just read.
  */
 static void
 claim(struct keys *k)
@@ -200,7 +200,7 @@
 	put(k);
 }
 
-/* One range without an owner over all keys. */
+/* Sets one range over all keys, without an owner. */
 static void
 first_range(struct keys *k)
 {
@@ -212,23 +212,24 @@
 }
 
 /*
- * What the store holds is not ours: another has written it.  Who owned what,
- * and by which fences, is lost; so all keys wait until nobody can hold them by
- * what was granted before, and fences go on beyond all that earlier terms can
- * have used.  Left alone, no key would be granted again until someone mends it.
+ * Starts again without owners, because the stored object is invalid: something
+ * other than a controller has written it, and the owners and fences are lost.
+ * All keys wait until every earlier grant has lapsed, and fences go on above
+ * all that earlier terms can have used.  Otherwise no key could be granted
+ * until an operator repairs the object.
  */
 static void
 begin_anew(struct keys *k, usec now)
 {
-	k->out->event(
-	    k->arg, k->service, "owners in the store make no sense, anew");
+	k->out->event(k->arg, k->service,
+	    "stored owners are invalid, all keys are assigned again");
 	first_range(k);
 	k->ranges[0].granted_until = earlier_clear(k, 0, now);
 	if (k->top_fence < k->term << FENCES_EACH)
 		k->top_fence = k->term << FENCES_EACH;
 }
 
-/* A write is known to be done. */
+/* Records that the pending write is stored. */
 static void
 stored(struct keys *k, uint64_t version, usec now)
 {
@@ -244,7 +245,7 @@
 	k->out->event(k->arg, k->service, "owners claimed");
 }
 
-/* True where what the store holds is our open write. */
+/* True if the store holds the pending write. */
 static int
 is_ours(const struct keys *k, const char *json, size_t n)
 {
@@ -259,11 +260,12 @@
 	return (ours);
 }
 
-/* Control is another's: what was planned here is void. */
+/* Drops all plans and reads again, because another has written the owners. */
 static void
 lost_claim(struct keys *k, usec now)
 {
-	k->out->event(k->arg, k->service, "owners were written by another");
+	k->out->event(
+	    k->arg, k->service, "stored owners were changed by another writer");
 	k->claimed = 0;
 	k->loaded = 0;
 	k->put_open = 0;
@@ -272,7 +274,7 @@
 	k->next_try = now + STORE_AGAIN;
 }
 
-/* A read of the object was answered; found is 0 where there is none. */
+/* Handles the reply to a read; found is 0 if there is no object. */
 void
 keys_got(struct keys *k, usec now, int found, uint64_t version,
     const char *json, size_t n)
@@ -284,7 +286,8 @@
 		if (found && is_ours(k, json, n))
 			stored(k, version, now);
 		else if (!found ? k->put_base == 0 : version == k->put_base) {
-			/* Not there yet; whichever lands first ends both. */
+			/* Not there yet, so send it again: whichever copy
+			 * arrives first makes the other one fail. */
 			k->put_lost = 0;
 			k->out->put(
 			    k->arg, k->service, k->put_base, k->put_text);
@@ -301,7 +304,7 @@
 	claim(k);
 }
 
-/* A read failed. */
+/* Handles a failed read. */
 void
 keys_get_failed(struct keys *k, usec now)
 {
@@ -309,7 +312,7 @@
 	k->next_try = now + STORE_AGAIN;
 }
 
-/* Names the write sent last, among all of this and earlier terms. */
+/* Returns the id of the last write sent, unique among all terms. */
 uint64_t
 keys_write(const struct keys *k)
 {
@@ -317,8 +320,9 @@
 }
 
 /*
- * The outcome of a write.  One of an earlier term must not be taken for the
- * write that is open now: plans would be acted on that the store does not hold.
+ * Handles the outcome of a write.  The outcome of a write of an earlier term is
+ * ignored: taken for that of the pending one, it would let plans be carried out
+ * that are not stored.
  */
 void
 keys_put_ended(struct keys *k, usec now, uint64_t write, enum put_result res,
@@ -334,7 +338,7 @@
 	k->next_try = res == PUT_CONFLICT ? now : now + STORE_AGAIN;
 }
 
-/* Reads and writes the store as is due. */
+/* Sends the read or write that is due. */
 void
 keys_store_tick(struct keys *k, usec now)
 {
--- a/decide/shard.c
+++ b/decide/shard.c
@@ -6,9 +6,9 @@
 #include "shard.h"
 
 /*
- * The shard of a key, of `of` shards.  The service's name seeds the hash, so
- * that keys hot in one service do not share shards in another.  Every host
- * must compute the same: the hash is fixed for good.
+ * Returns the shard of a key, 0 to of - 1.  The service's name seeds the hash,
+ * so that keys which are hot in several services do not share a shard in all of
+ * them.  All hosts of all versions must agree, so the hash must never change.
  */
 uint32_t
 shard_of(const char *service, const char *key, size_t n, uint32_t of)
--- a/decide/shard.h
+++ b/decide/shard.h
@@ -1,4 +1,4 @@
-/* Keys to shards. */
+/* Maps keys to shards. */
 #ifndef SHARD_H
 #define SHARD_H
 
--- a/decide/share.c
+++ b/decide/share.c
@@ -1,12 +1,12 @@
 #include "share.h"
 
-/* Part of a limit that is shared out evenly, whatever the demand: a target
- * that nobody asked for a while must not have to wait for its first share. */
+/* Part of a limit that is divided evenly whatever the demand, so that a target
+ * without recent requests need not wait for its first share. */
 #define EVEN_PART 0.2
-/* A bucket holds this much of a second's rate, and one request at least. */
+/* Capacity of a bucket in seconds of its rate; at least one request. */
 #define BURST_SECONDS 0.2
 
-/* What each would get by demand. */
+/* Returns the share of a limit that demand calls for. */
 static double
 wish(const struct share *s, double sum, int n, double limit)
 {
@@ -18,10 +18,10 @@
 }
 
 /*
- * Gives shares anew.  Lowered shares are given at once, but what they free is
- * only given on after their holders have said that they use less: until then
- * both would use it and the sum pass the limit.  may_raise is 0 while some
- * holder may not have been heard yet.
+ * Recomputes the shares of a limit.  A share is lowered at once, but what that
+ * frees is assigned to others only after the holder has confirmed the lower
+ * share: until then both would use it and the sum exceed the limit.  may_raise
+ * is 0 while some holder may not have reported yet.
  */
 void
 share_plan(struct share **s, int n, double limit, int may_raise)
@@ -52,7 +52,7 @@
 	}
 }
 
-/* True where one more request is within the rate. */
+/* Takes a token for one request; false if that would exceed the rate. */
 int
 bucket_take(struct bucket *b, double rate, usec now)
 {
--- a/decide/share.h
+++ b/decide/share.h
@@ -4,13 +4,14 @@
 
 #include "clock.h"
 
-/* Rates are requests a second; a limit of 0 is none. */
+/* Rates are in requests per second; a limit of 0 is none. */
 struct share {
-	double demand; /* requests that arrived, smoothed */
-	double held;   /* the most its holder may be using now */
-	double given;  /* what it is to use from the next answer on */
+	double demand; /* arrival rate, smoothed */
+	double held;   /* the most that its holder may be using now */
+	double given;  /* what it may use from the next reply on */
 };
 
+/* Token bucket that enforces a share. */
 struct bucket {
 	double tokens;
 	usec at;
--- a/regress/unit/t_keys.c
+++ b/regress/unit/t_keys.c
@@ -1,6 +1,7 @@
 /*
- * Sole ownership of key ranges, played in virtual time against targets that
- * know nothing but grants, and a store that loses answers.
+ * Simulates the assignment of keys in virtual time, with targets that only know
+ * their grants and a store whose replies may be lost, and checks that no two
+ * targets ever hold a key at once.
  */
 #include <stdio.h>
 #include <stdlib.h>
@@ -14,11 +15,11 @@
 
 #define STEP MS(5)
 #define TARGETS 8
-#define SAMPLES 96 /* keys that are looked at */
+#define SAMPLES 96 /* keys that are checked */
 #define MAILS 4096
-#define SLOW_CLOCK 1.0204 /* a clock that is one part in fifty slow */
+#define SLOW_CLOCK 1.0204 /* hold time by a clock that runs 2% slow */
 
-/* A target as the sites describe it. */
+/* A simulated target, one for each incarnation. */
 struct fake {
 	char id[NAME_MAX_GS];
 	char addr[FLEET_ADDR];
@@ -31,14 +32,14 @@
 
 enum mail_kind { MAIL_ORDER, MAIL_ANSWER, MAIL_PUT, MAIL_PUT_ANSWER, MAIL_GET };
 
-/* Something on its way. */
+/* A message or reply in transit. */
 struct mail {
 	enum mail_kind kind;
 	usec due;
-	usec arrival; /* of an order: its time counts from here */
+	usec arrival; /* of an order: its hold time counts from here */
 	int controller;
 	struct key_order order;
-	int reader; /* the life that has it already; -1 is none yet */
+	int reader; /* index of the target that has received it, or -1 */
 	int status;
 	uint64_t base;
 	uint64_t version;
@@ -47,7 +48,7 @@
 };
 
 static struct keys ctl[2];
-static int now_ctl; /* which of the two controls; -1 is neither */
+static int now_ctl; /* index of the controller in control, or -1 */
 static struct fake fakes[TARGETS * 8];
 static int nfakes;
 static struct mail mails[MAILS];
@@ -56,22 +57,24 @@
 static uint64_t stored_version;
 static usec now;
 static uint64_t seed;
-static double lose; /* share of orders and answers that are lost or late */
-static int cut_target = -1; /* takes no connections from here on */
-static double busy; /* share of grants that open a connection, and wait */
+static double lose; /* share of orders and replies that are lost or late */
+static int cut_target =
+    -1;		    /* index of a target that cannot be connected to, or -1 */
+static double busy; /* share of grants that open a connection and wait there */
 static int store_down;
 static uint64_t top_fence[SAMPLES];
 static usec unheld_since[SAMPLES];
 static usec longest_unheld;
 static int double_held, fence_fell;
-static usec way;	      /* that an order takes to its target */
-static usec put_answer;	      /* that the answer to a write takes */
-static uint64_t stored_fence; /* the highest that the store knows of */
-static int unstored;	      /* grants with a fence beyond it */
-static int strayed;	      /* orders to an address that is another's */
+static usec way;	      /* delay of an order to its target */
+static usec put_answer;	      /* delay of the reply to a write */
+static uint64_t stored_fence; /* the highest fence in the store */
+static int unstored;	      /* grants sent with a higher fence */
+static int strayed;	      /* orders sent to another target's address */
 static struct evacuations evacuations; /* of data centres "dc0" and "dc1" */
-static usec cold_until[2];	       /* until when their targets are */
+static usec cold_until[2];	       /* of the targets of each */
 
+/* Returns a random number from 0 to 1. */
 static double
 chance(void)
 {
@@ -79,7 +82,7 @@
 	return ((double)(seed >> 11) / (double)(1ull << 53));
 }
 
-/* The n-th key that is looked at: a hot run, and others all over. */
+/* Returns the n-th key to check: half are close to each other, half spread. */
 static uint32_t
 sample(int n)
 {
@@ -87,6 +90,7 @@
 				: (uint32_t)(n - SAMPLES / 2) * 1365);
 }
 
+/* Puts a message in transit. */
 static struct mail *
 post(enum mail_kind kind, usec delay)
 {
@@ -122,16 +126,16 @@
 	m->base = base;
 	m->write = keys_write(arg);
 	m->text = strdup(json);
-	if (chance() < lose) /* it lands seconds later, and nobody hears so */
+	if (chance() < lose) /* it arrives seconds later, without a reply */
 		m->due = now + (usec)(chance() * (double)MS(6000));
-	/* Without an answer the sender gives it up. */
+	/* The sender gives up after this time without a reply. */
 	m = post(MAIL_PUT_ANSWER, MS(1500));
 	m->controller = controller_of(arg);
 	m->status = 503;
 	m->write = keys_write(arg);
 }
 
-/* True where another target has the address that an order goes to. */
+/* True if the address that an order goes to is another target's. */
 static int
 is_anothers(const struct key_order *o)
 {
@@ -162,7 +166,7 @@
 {
 }
 
-/* Who takes what is sent to a target: the life of it that is at the address. */
+/* Returns the incarnation of an order's target at its address, or NULL. */
 static struct fake *
 fake_at(const struct key_order *o)
 {
@@ -176,9 +180,9 @@
 	return (NULL);
 }
 
-/* True where a target has had a key with a fence that forbids another to take
- * it with this one.  The same grant, sent again to a target that has started
- * again meanwhile, is no other grant. */
+/* True if a target has had a key under a fence with which another target must
+ * not get it under this one.  A target that restarted may get the same grant
+ * again. */
 static int
 forbids(const struct fake *had, const struct fake *takes, int i, uint64_t fence)
 {
@@ -187,7 +191,7 @@
 	return (had->seen[i] >= fence);
 }
 
-/* A target takes a grant; HTTP status. */
+/* Handles a grant at a target; returns the HTTP status. */
 static int
 take_grant(struct fake *f, const struct mail *m)
 {
@@ -203,8 +207,8 @@
 	for (i = 0; i < SAMPLES; i++) {
 		if (sample(i) < o->from || sample(i) > o->to)
 			continue;
-		/* Above all with which others had the key; one whose time is
-		 * over when it is carried out gives no key. */
+		/* The fence must exceed those under which others had the key,
+		 * unless the grant has already lapsed and gives no key. */
 		for (t = 0; t < nfakes && until > now; t++) {
 			if (&fakes[t] != f &&
 			    forbids(&fakes[t], f, i, o->fence))
@@ -217,6 +221,7 @@
 	return (200);
 }
 
+/* Handles a release at a target. */
 static void
 take_release(struct fake *f, const struct key_order *o)
 {
@@ -228,8 +233,8 @@
 	}
 }
 
-/* Who takes an order: whoever has it already, and ends with it, or who is there
- * when it arrives. */
+/* Returns the target that carries out an order, or NULL: the incarnation that
+ * has received it, if still up, or else the one at its address now. */
 static struct fake *
 taker(const struct mail *m)
 {
@@ -238,7 +243,7 @@
 	return (fakes[m->reader].up ? &fakes[m->reader] : NULL);
 }
 
-/* An order arrives, or is carried out late without an answer. */
+/* Delivers an order, or carries out one that was delayed, without a reply. */
 static void
 deliver_order(struct mail *m)
 {
@@ -267,7 +272,7 @@
 	a->status = status;
 }
 
-/* The highest fence that the owners in the store name or leave behind. */
+/* Returns the highest fence that a stored object accounts for. */
 static uint64_t
 top_fence_in(const char *text)
 {
@@ -279,6 +284,7 @@
 	return (top);
 }
 
+/* Carries out a write to the store and sends the reply. */
 static void
 deliver_put(struct mail *m)
 {
@@ -304,6 +310,7 @@
 	a->write = write;
 }
 
+/* Delivers a message to its receiver. */
 static void
 deliver(struct mail *m)
 {
@@ -336,7 +343,7 @@
 	}
 }
 
-/* Orders without an answer are given up, as the HTTP client does. */
+/* An order that is given up at some time, as the HTTP client does. */
 struct waiting {
 	int controller;
 	uint64_t id;
@@ -347,8 +354,8 @@
 static struct waiting waits[MAILS];
 static int nwaits;
 
-/* A grant on a connection of its own waits for a slot, whatever its sender does
- * meanwhile; its time counts from then. */
+/* Delays a grant on a new connection until the target has a slot to read it,
+ * even if its sender gives up; its hold time counts from then. */
 static void
 wait_to_be_read(struct mail *m, struct waiting *w)
 {
@@ -371,9 +378,9 @@
 	waits[nwaits].until = now + (o->release ? MS(2500) : MS(500));
 	if (!o->release && chance() < busy)
 		wait_to_be_read(&mails[nmails - 1], &waits[nwaits]);
-	/* A kept connection of a dead target takes one order more; the next
-	 * finds that nobody takes connections there.  Neither is read by a
-	 * later life of the target: it has no such connection. */
+	/* The first order to a dead target goes out on a kept connection; for
+	 * the next, the connection is refused.  No later incarnation reads
+	 * either, as it does not have that connection. */
 	if (atoi(o->target + 1) == cut_target) {
 		nmails--;
 		waits[nwaits].status = ORDER_NOT_SENT;
@@ -391,6 +398,7 @@
 static const struct keys_out timed_out = {
     on_get, on_put, on_order_timed, on_event};
 
+/* Ends the orders whose time is over. */
 static void
 give_up_waiting(void)
 {
@@ -406,7 +414,7 @@
 	}
 }
 
-/* Tells a controller which targets there are. */
+/* Sends a controller the current targets. */
 static void
 tell_fleet(struct keys *k)
 {
@@ -444,7 +452,7 @@
 	nfakes++;
 }
 
-/* A target ends and starts again under its id, at its address or another. */
+/* Restarts a target under its id, at its address or another. */
 static struct fake *
 start_again(int t, int elsewhere)
 {
@@ -468,7 +476,7 @@
 	return (f);
 }
 
-/* Looks for keys that two hold, and for those that none holds. */
+/* Counts keys that two targets hold, and times those that none holds. */
 static void
 look(void)
 {
@@ -488,7 +496,7 @@
 	}
 }
 
-/* One step of virtual time. */
+/* Advances virtual time by one step. */
 static void
 step(void)
 {
@@ -509,6 +517,7 @@
 	look();
 }
 
+/* Runs the simulation for a time. */
 static void
 run(usec span)
 {
@@ -518,6 +527,7 @@
 		step();
 }
 
+/* Gives control to a controller, or to none if n is -1. */
 static void
 control(int n)
 {
@@ -528,6 +538,7 @@
 	keys_begin(&ctl[n], (uint64_t)(now / STEP), now);
 }
 
+/* Starts a simulation with all keys assigned. */
 static void
 start(uint64_t s)
 {
@@ -564,7 +575,7 @@
 	longest_unheld = 0;
 }
 
-/* Requests for a hot run of keys beside others. */
+/* Reports requests: some for a hot range of keys, others for any keys. */
 static void
 ask(int hot, int cold)
 {
@@ -578,6 +589,7 @@
 	keys_heat(&ctl[now_ctl], keys, n, 1, now);
 }
 
+/* Returns how many targets hold keys of the hot range. */
 static int
 owners_of_hot(void)
 {
@@ -594,7 +606,7 @@
 	return (n);
 }
 
-/* All keys are held, and nothing was broken on the way. */
+/* Checks that all keys are held now, and that no key was ever held twice. */
 static void
 all_held(void)
 {
@@ -606,6 +618,7 @@
 	CU_ASSERT_EQUAL(fence_fell, 0);
 }
 
+/* After a start every target gets keys, and all keys have an owner. */
 static void
 first_shares(void)
 {
@@ -617,9 +630,9 @@
 }
 
 /*
- * A hundred neighbouring keys get half of all requests: callers of one target
- * wait while the others idle.  Two seconds on they are spread over several
- * targets, and nobody else's keys have moved much.
+ * A hundred adjacent keys get half of all requests, so that one target is
+ * overloaded while the others idle.  Within two seconds they are spread over
+ * several targets, and no key is without an owner for long.
  */
 static void
 hot_run(void)
@@ -641,7 +654,7 @@
 	CU_ASSERT(n >= 4);
 	CU_ASSERT_EQUAL(double_held, 0);
 	CU_ASSERT(longest_unheld <= MS(400));
-	/* Cool again, it is left alone and its pieces come together. */
+	/* When the load is gone the small ranges are joined again. */
 	for (i = 0; i < 60; i++) {
 		ask(0, 40);
 		run(MS(200));
@@ -651,8 +664,8 @@
 }
 
 /*
- * A target says that it leaves.  Its keys are released, and the next owner has
- * them before the two seconds are over in which it still takes requests.
+ * A target announces that it leaves.  Its keys are released, and their next
+ * owners have them within the two seconds in which it still serves requests.
  */
 static void
 leaving(void)
@@ -669,7 +682,7 @@
 	CU_ASSERT(longest_unheld <= MS(400));
 }
 
-/* How many of the keys that are looked at a data centre's targets hold. */
+/* Returns how many of the checked keys the targets of a data centre hold. */
 static int
 held_in(int dc)
 {
@@ -682,7 +695,7 @@
 	return (held);
 }
 
-/* Keys stay with the targets of an evacuated data centre. */
+/* The keys of an evacuated data centre move to others, and come back after. */
 static void
 evacuated(void)
 {
@@ -696,7 +709,7 @@
 	CU_ASSERT_EQUAL(held_in(1), 0);
 	CU_ASSERT_EQUAL(held_in(0), SAMPLES);
 	CU_ASSERT(longest_unheld <= MS(400));
-	/* With all of them evacuated there is nowhere to go. */
+	/* With all data centres evacuated the keys stay where they are. */
 	evacuations_begin(&evacuations, "dc0", now);
 	tell_fleet(&ctl[0]);
 	run(MS(1500));
@@ -714,7 +727,8 @@
 	memset(&evacuations, 0, sizeof(evacuations));
 }
 
-/* Keys go to a data centre that is back while its targets take few requests. */
+/* Targets of a data centre that is back get no keys while they have a rate
+ * limit, as most requests for these keys would be refused. */
 static void
 back_cold(void)
 {
@@ -728,8 +742,7 @@
 	evacuations_end(&evacuations, "dc1", now);
 	tell_fleet(&ctl[0]);
 	for (i = 0; i < 13; i++) {
-		/* Nor where others have to be found for those of one that
-		 * leaves. */
+		/* Nor do they get the keys of a target that leaves. */
 		fakes[2].leaving = i > 4;
 		tell_fleet(&ctl[0]);
 		ask(0, 100);
@@ -744,7 +757,7 @@
 	memset(&evacuations, 0, sizeof(evacuations));
 }
 
-/* A target that is cold once more keeps its keys. */
+/* Targets that become cold again with a rate limit lose most of their keys. */
 static void
 cold_again(void)
 {
@@ -761,7 +774,7 @@
 	}
 	CU_ASSERT(held_in(1) < had / 4);
 	CU_ASSERT(longest_unheld <= MS(400));
-	/* All are cold: the keys stay somewhere. */
+	/* If all targets are cold the keys still have owners. */
 	cold_until[0] = cold_until[1];
 	tell_fleet(&ctl[0]);
 	run(MS(3000));
@@ -771,8 +784,8 @@
 }
 
 /*
- * A target dies without a word.  Whether it is dead or only unreachable nobody
- * can tell, so its keys wait until its last grant has run out, and not longer.
+ * A target dies.  It might only be unreachable, so its keys wait until its last
+ * grant has lapsed, and not longer.
  */
 static void
 crash(void)
@@ -790,8 +803,8 @@
 }
 
 /*
- * The entry of a target is gone, but it lives and serves: it was cut off from
- * the store.  Its keys go on only after it let go of them.
+ * The entry of a target is gone, but it still serves, because it was cut off
+ * from the store.  Its keys move only after it has released them.
  */
 static void
 gone_but_alive(void)
@@ -806,8 +819,8 @@
 }
 
 /*
- * Control changes hands.  The new controller grants all keys to the same
- * targets with higher fences, before the old grants run out: no caller notices.
+ * Another controller takes over.  It grants all keys to the same targets with
+ * higher fences before the old grants lapse, so that no key is unheld.
  */
 static void
 takeover(void)
@@ -835,8 +848,8 @@
 }
 
 /*
- * The store is away.  Owners keep their keys as long as that lasts, though
- * moves were planned that cannot be written.
+ * The store is unavailable.  Owners keep their keys meanwhile, although moves
+ * are planned that cannot be written.
  */
 static void
 store_away(void)
@@ -858,8 +871,8 @@
 }
 
 /*
- * A single key gets a third of all requests, and its owner is slow.  It goes
- * to the fastest target, and the other keys of that one go elsewhere.
+ * A single key with a third of all requests moves from a slow owner to the
+ * fastest target.
  */
 static void
 hot_key(void)
@@ -888,7 +901,8 @@
 	CU_ASSERT_EQUAL(double_held, 0);
 }
 
-/* Callers of a target with a limit are not refused while others have room. */
+/* A target with a rate limit gets no more load than that, and more when the
+ * limit ends. */
 static void
 limited_target(void)
 {
@@ -919,17 +933,17 @@
 		keys_heat(&ctl[0], keys, each, 1, now);
 		run(MS(200));
 	}
-	/* Two seconds each; what is allowed in so long is 1.5 times the limit
-	 * and five. */
+	/* Each count covers two seconds; 1.5 times the limit and 5 requests
+	 * more are allowed in that time. */
 	CU_ASSERT(there <= 1.5 * limit * 2 + 5);
 	CU_ASSERT(again > 2 * there);
 	CU_ASSERT_EQUAL(double_held, 0);
 }
 
 /*
- * A controller has just taken over, and a hot run needs cutting.  What an
- * earlier one granted last is not known, so keys cannot go on for seconds:
- * they stay where they are served, instead of being without owner meanwhile.
+ * A controller has just taken over, and a hot range should be split.  The last
+ * grants of the earlier controller are not known, so that a move would leave
+ * keys without an owner for seconds: they stay until those grants have lapsed.
  */
 static void
 no_moves_after_takeover(void)
@@ -954,7 +968,7 @@
 	CU_ASSERT(longest_unheld < MS(500));
 }
 
-/* One random trouble. */
+/* Causes one random fault or change. */
 static void
 trouble(void)
 {
@@ -985,10 +999,10 @@
 }
 
 /*
- * Whatever comes, in any order: crashes, targets that leave, that lose their
- * entry, orders without an answer that are carried out seconds later, writes
- * that land late, a store that is away, control that changes hands.  Two
- * targets that are up never hold one key, and fences only rise.
+ * Random faults in any order: targets crash, leave or lose their entry, orders
+ * without a reply are carried out seconds later, writes arrive late, the store
+ * is unavailable, another controller takes over.  No two targets that are up
+ * ever hold the same key, and the fences of a key only rise.
  */
 static void
 random_schedules(void)
@@ -1015,7 +1029,7 @@
 	}
 }
 
-/* Nothing more reaches one of the targets for 6 s. */
+/* Makes one target unreachable for 6 s. */
 static void
 cut_one_off(void)
 {
@@ -1029,7 +1043,7 @@
 	cut_target = -1;
 }
 
-/* A grant that arrives after it was given up makes no second holder. */
+/* A grant that arrives after its sender gave up causes no second holder. */
 static void
 long_way(void)
 {
@@ -1047,7 +1061,8 @@
 	}
 }
 
-/* No grant goes out under a fence that the store does not have. */
+/* Targets refuse grants while the store is unavailable: no grant is sent under
+ * a fence that is not stored. */
 static void
 refused_while_store_is_away(void)
 {
@@ -1069,10 +1084,10 @@
 }
 
 /*
- * Targets are so busy that grants on new connections wait in them.  One is cut
- * off from its controller meanwhile: what it reads then is never answered, and
- * the reset that should have taken it back does not arrive.  Its keys go on
- * only when what it read last has run out.
+ * Targets are so busy that grants on new connections wait to be read, and one
+ * of them becomes unreachable meanwhile.  The controller gets no reply to what
+ * it reads then, and the reset that should cancel it does not arrive.  Its keys
+ * move only after the last grant that it read has lapsed.
  */
 static void
 read_late(void)
@@ -1084,17 +1099,16 @@
 		run(MS(2000));
 		busy = 0.7;
 		run(MS(500) + (usec)(chance() * MS(1500)));
-		/* What has reached it is read. */
+		/* It still reads what has arrived before. */
 		cut_one_off();
 		CU_ASSERT_EQUAL(double_held, 0);
 	}
 }
 
 /*
- * A target leaves, and is asked to let its keys go; the one that was to have
- * them is lost before the answer comes, and another is planned.  The answer
- * counted for nothing then, and the keys stayed without owner as long as the
- * controller.
+ * A target leaves and is sent a release; the next owner becomes unavailable
+ * before the reply, and another is planned.  If the reply is ignored then, the
+ * keys stay without an owner until another controller takes over.
  */
 static void
 heir_lost_meanwhile(void)
@@ -1108,7 +1122,7 @@
 		fakes[0].leaving = 1;
 		tell_fleet(&ctl[0]);
 		run(MS(20) + (usec)(chance() * MS(200)));
-		/* Half of the others lose their entries, and end. */
+		/* Half of the others end, and their entries are gone. */
 		for (t = 1; t <= TARGETS / 2; t++)
 			fakes[t].listed = fakes[t].up = 0;
 		tell_fleet(&ctl[0]);
@@ -1119,10 +1133,10 @@
 }
 
 /*
- * A target crashes and starts again under its id 300 ms later.  Its callers are
- * refused until its keys have an owner again: nobody else can hold them, so its
- * next life gets them at once.  Waiting for what its earlier life was granted
- * took 2.9 s of this.
+ * A target crashes and restarts under its id 300 ms later.  Requests for its
+ * keys are refused until these have an owner again.  Nobody else can hold them,
+ * so the new incarnation gets them at once instead of waiting until the grants
+ * of the earlier one lapse.
  */
 static void
 started_again(void)
@@ -1137,8 +1151,8 @@
 		start_again(3, elsewhere);
 		tell_fleet(&ctl[0]);
 		run(MS(3000));
-		/* At another address, an order that the earlier life may still
-		 * be carrying out is waited for. */
+		/* At another address the controller waits for the end of an
+		 * order to the earlier incarnation. */
 		CU_ASSERT(longest_unheld < (elsewhere ? MS(1100) : MS(700)));
 		for (i = 0; i < SAMPLES; i++)
 			CU_ASSERT(fakes[3].seen[i] == 0 ||
@@ -1149,9 +1163,9 @@
 }
 
 /*
- * The same while the target is letting keys go to another, twice within a
- * heartbeat, and with a grant to its first life that is carried out 12 s late:
- * keys that were on their way go on, and nobody holds one beside another.
+ * A target restarts twice while some of its keys move to others, and a grant to
+ * its first incarnation may be carried out 12 s late: the moves complete, and
+ * no two targets hold a key at once.
  */
 static void
 started_again_in_a_move(void)
@@ -1177,8 +1191,9 @@
 }
 
 /*
- * A target starts again while the store is away and cannot take a plan.  Its
- * earlier grants still reach it at its address, so its callers lose nothing.
+ * A target restarts while the store is unavailable, so that no plan can be
+ * written.  Grants to its earlier incarnation still reach it at its address, so
+ * that it keeps its keys.
  */
 static void
 started_again_without_store(void)
@@ -1187,7 +1202,7 @@
 	run(MS(3000));
 	store_down = 1;
 	start_again(2, 0);
-	/* Nobody can tell the controller: entries are in the store. */
+	/* The controller does not learn of it, as entries are in the store. */
 	run(MS(5000));
 	CU_ASSERT(longest_unheld < MS(1200));
 	store_down = 0;
@@ -1199,7 +1214,7 @@
 	CU_ASSERT_EQUAL(fence_fell, 0);
 }
 
-/* No order reaches another target at the address of one that is gone. */
+/* No order is sent to the address of a gone target that another one uses. */
 static void
 address_of_another(void)
 {
@@ -1216,8 +1231,8 @@
 	all_held();
 }
 
-/* True where keys that a target had when `had` was noted are held by another,
- * whose entry is then lost. */
+/* Removes the entries of the targets that hold keys which `had` marks, but for
+ * target 2.  True if there were any. */
 static int
 unlist_holders(const char *had)
 {
@@ -1234,7 +1249,8 @@
 	return (any);
 }
 
-/* Keys that the next owner holds do not go back to the first at once. */
+/* A restarted target does not get keys back at once that were being moved, as
+ * their next owner may hold them although its entry is gone. */
 static void
 next_holds_them(void)
 {
@@ -1259,7 +1275,7 @@
 	}
 }
 
-/* Overwrites what the store keeps. */
+/* Overwrites the stored object. */
 static void
 spoil(const char *text)
 {
@@ -1269,9 +1285,9 @@
 }
 
 /*
- * Another writer spoils what the store keeps of the owners of keys, and then
- * control changes hands.  Nobody can read any more who owned what; the keys are
- * granted anew once nobody can hold them, under fences beyond all earlier ones.
+ * Another writer makes the stored owners invalid, and then another controller
+ * takes over.  Owners are not known any more: the keys are assigned again once
+ * all earlier grants have lapsed, with fences above all earlier ones.
  */
 static void
 spoilt(void)
@@ -1288,7 +1304,7 @@
 
 	for (i = 0; i < sizeof(texts) / sizeof(texts[0]); i++) {
 		start(30 + i);
-		/* Keys move, so that fences are higher than at the start. */
+		/* Moves raise the fences above those of the start. */
 		for (n = 0; n < 15; n++) {
 			ask(25, 5);
 			run(MS(200));
@@ -1296,7 +1312,7 @@
 		spoil(texts[i]);
 		control(-1);
 		run(MS(800));
-		/* Given out anew, keys go to others than had them. */
+		/* With one more target most keys get other owners. */
 		add_fake();
 		control(1);
 		run(MS(9000));
@@ -1304,7 +1320,7 @@
 	}
 }
 
-/* What the store keeps, as if a controller of another term had written it. */
+/* Returns the stored object as if another term's controller had written it. */
 static char *
 of_another_term(void)
 {
@@ -1317,7 +1333,7 @@
 	return (text);
 }
 
-/* What another has written is not taken for this controller's plan. */
+/* A write by another controller is not taken for this controller's own. */
 static void
 another_has_written(void)
 {
@@ -1341,7 +1357,8 @@
 	}
 }
 
-/* The answer to a write of an earlier term claims no keys. */
+/* The reply to a write of an earlier term is not taken for that to the claim.
+ */
 static void
 answer_to_an_earlier_term(void)
 {
@@ -1355,7 +1372,7 @@
 	control(-1);
 	run(MS(50));
 	control(0);
-	/* The owners are read, and the claim does not get through. */
+	/* The owners are read, and the claim does not reach the store. */
 	run(MS(10));
 	store_down = 1;
 	run(MS(1500));
@@ -1367,7 +1384,7 @@
 	CU_ASSERT_EQUAL(unstored, 0);
 }
 
-/* Keys wait for grants that busy targets read after a takeover. */
+/* After a takeover moves wait for grants that busy targets may yet read. */
 static void
 takeover_from_busy(void)
 {
@@ -1389,24 +1406,24 @@
 }
 
 static const struct unit_test tests[] = {
-    {"started again", started_again},
-    {"started again in a move", started_again_in_a_move},
-    {"started again without store", started_again_without_store},
-    {"spoilt", spoilt},
-    {"heir lost meanwhile", heir_lost_meanwhile},
-    {"address of another", address_of_another},
-    {"next holds them", next_holds_them},
-    {"another has written", another_has_written},
-    {"answer to an earlier term", answer_to_an_earlier_term},
+    {"restart", started_again},
+    {"restart during a move", started_again_in_a_move},
+    {"restart while the store is away", started_again_without_store},
+    {"invalid owners in the store", spoilt},
+    {"next owner unavailable during a release", heir_lost_meanwhile},
+    {"reused address", address_of_another},
+    {"restart while the next owner holds the keys", next_holds_them},
+    {"write by another controller", another_has_written},
+    {"reply to a write of an earlier term", answer_to_an_earlier_term},
     {"takeover from busy targets", takeover_from_busy},
-    {"read late", read_late},
-    {"long way", long_way},
-    {"refused while the store is away", refused_while_store_is_away},
-    {"first shares", first_shares},
-    {"hot run", hot_run},
+    {"grants read late", read_late},
+    {"grants delayed by the network", long_way},
+    {"grants refused while the store is away", refused_while_store_is_away},
+    {"initial assignment", first_shares},
+    {"hot range", hot_run},
     {"leaving", leaving},
-    {"evacuated", evacuated},
-    {"back cold", back_cold},
+    {"evacuated data centre", evacuated},
+    {"cold after an evacuation", back_cold},
     {"cold again", cold_again},
     {"crash", crash},
     {"gone but alive", gone_but_alive},
--- a/regress/unit/t_shard.c
+++ b/regress/unit/t_shard.c
@@ -1,11 +1,11 @@
-/* Keys to shards: the same on every host and for good, and even. */
+/* Keys map to shards evenly, and alike on all hosts and versions. */
 #include <stdio.h>
 #include <string.h>
 
 #include "shard.h"
 #include "unit.h"
 
-/* Any change here would send keys to servers that do not own them. */
+/* A changed hash would send requests to targets that do not own their key. */
 static void
 fixed_for_good(void)
 {
@@ -14,6 +14,7 @@
 	CU_ASSERT_EQUAL(shard_of("lookup", "", 0, 64), 0);
 }
 
+/* Shards get about the same number of keys. */
 static void
 even(void)
 {
--- a/regress/unit/t_share.c
+++ b/regress/unit/t_share.c
@@ -1,6 +1,6 @@
 /*
- * Shares of a limit: in sum never above it, whatever is lost or late; they
- * follow demand.
+ * Shares of a rate limit follow demand, and their sum never exceeds the limit,
+ * whichever reports are lost or late.
  */
 #include <stdlib.h>
 
@@ -34,8 +34,8 @@
 	return (sum);
 }
 
-/* Demand moves to one target: it gets most of the limit, once the others
- * have said that they use less. */
+/* Demand moves to one target: it gets most of the limit once the others have
+ * confirmed their lower shares. */
 static void
 follows_demand(void)
 {
@@ -54,7 +54,7 @@
 	CU_ASSERT(s[1].given > 3);
 }
 
-/* Reports come late, in any order, or never; demand jumps about. */
+/* Reports come late, in any order or never, while demand changes at random. */
 static void
 never_above_the_limit(void)
 {
@@ -66,7 +66,7 @@
 	for (i = 0; i < 20000; i++) {
 		k = (int)(random() % N);
 		s[k].demand = (double)(random() % 1000);
-		/* A holder says what it uses: the last it was given. */
+		/* A holder reports what it uses: the last share it got. */
 		if (random() % 3 == 0)
 			s[random() % N].held = s[k].held;
 		for (k = 0; k < N; k++) {
@@ -83,7 +83,7 @@
 	CU_ASSERT_EQUAL(bad, 0);
 }
 
-/* Not all have been heard: nothing is raised. */
+/* No share is raised before all holders have reported. */
 static void
 unheard_means_no_raise(void)
 {
@@ -93,7 +93,7 @@
 	CU_ASSERT(held() == 0);
 }
 
-/* The bucket keeps the rate over time, with a short burst. */
+/* A bucket limits the average rate and allows a short burst. */
 static void
 bucket_keeps_the_rate(void)
 {
