--- a/decide/keys.c
+++ b/decide/keys.c
@@ -4,17 +4,17 @@
 #include "keys.h"
 
 /* Interval between planning rounds. */
-#define PLAN_EVERY MS(200)
+#define PLAN_INTERVAL MS(200)
 
 /* Initialises the key assignment of one service, not yet in control. */
 void
 keys_init(struct keys *k, const char *service, const struct keys_conf *conf,
-    const struct keys_out *out, void *arg)
+    const struct keys_out *cb, void *arg)
 {
 	memset(k, 0, sizeof(*k));
 	name_copy(k->service, sizeof(k->service), service);
 	k->conf = *conf;
-	k->out = out;
+	k->cb = cb;
 	k->arg = arg;
 	k->gain = 1;
 }
@@ -33,7 +33,7 @@
 {
 	keys_end(k);
 	k->active = 1;
-	k->closing = 0;
+	k->handing_over = 0;
 	k->term = term;
 	k->next_try = now;
 }
@@ -45,9 +45,9 @@
 	k->active = 0;
 	k->loaded = 0;
 	k->claimed = 0;
-	k->get_open = 0;
-	k->put_open = 0;
-	k->put_lost = 0;
+	k->get_pending = 0;
+	k->put_pending = 0;
+	k->put_unknown = 0;
 	k->nranges = 0;
 	k->norders = 0;
 	k->dirty = 0;
@@ -59,7 +59,7 @@
 
 /* Requests a write; urgent if a move or a grant waits for it. */
 void
-keys_dirty(struct keys *k, usec now, int urgent)
+keys_mark_dirty(struct keys *k, usec now, int urgent)
 {
 	if (!k->dirty)
 		k->dirty_since = now;
@@ -82,7 +82,7 @@
 
 /* True if a range or a pending order refers to the target. */
 static int
-target_named(const struct keys *k, int n)
+target_referenced(const struct keys *k, int n)
 {
 	int i;
 
@@ -109,7 +109,7 @@
 		return (n);
 	for (i = 0; i < k->ntargets && k->targets[i].used; i++)
 		;
-	if (i == KEYS_TARGETS)
+	if (i == KEYS_TARGETS_MAX)
 		return (NO_TARGET);
 	if (i == k->ntargets)
 		k->ntargets++;
@@ -124,11 +124,11 @@
 }
 
 /*
- * Stops orders to leaving targets whose address another target uses now: it
- * must not get orders that are meant for them.
+ * Stops orders to leaving targets whose address f uses now, so that f does not
+ * get orders that are meant for them.
  */
 static void
-avoid_reused(struct keys *k, const struct fleet_target *f)
+unlist_reused_addrs(struct keys *k, const struct fleet_target *f)
 {
 	struct key_target *t;
 	int i;
@@ -143,13 +143,14 @@
 
 /* Sets until when a target is cold, after its start or an evacuation. */
 static void
-take_cold(const struct keys *k, struct key_target *t, const struct fleet *f,
-    const struct fleet_target *told)
+set_cold(const struct keys *k, struct key_target *t, const struct fleet *f,
+    const struct fleet_target *entry)
 {
-	usec back = evacuations_cold_until(
-	    &f->evacuations, told->dc, k->conf.cold_start);
+	usec after_evacuation = evacuations_cold_until(
+	    &f->evacuations, entry->dc, k->conf.cold_start);
 
-	t->cold_until = told->cold_until > back ? told->cold_until : back;
+	t->cold_until = entry->cold_until > after_evacuation ? entry->cold_until
+							     : after_evacuation;
 	t->cold_limited = k->conf.cold_limited;
 }
 
@@ -172,9 +173,9 @@
 		t->leaving = f->targets[i].leaving;
 		t->evacuated =
 		    evacuations_active(&f->evacuations, f->targets[i].dc);
-		take_cold(k, t, f, &f->targets[i]);
-		if (!t->listed && t->alive_at == 0)
-			t->alive_at = now;
+		set_cold(k, t, f, &f->targets[i]);
+		if (!t->listed && t->last_reply == 0)
+			t->last_reply = now;
 		t->listed = 1;
 		size += !t->leaving && !t->evacuated;
 	}
@@ -183,10 +184,10 @@
 		if (!t->used || t->listed)
 			continue;
 		t->leaving = 1;
-		t->used = target_named(k, i);
+		t->used = target_referenced(k, i);
 	}
 	for (i = 0; i < f->ntargets; i++)
-		avoid_reused(k, &f->targets[i]);
+		unlist_reused_addrs(k, &f->targets[i]);
 	if (size != k->fleet_size) {
 		k->fleet_changed = now;
 		k->next_plan = now;
@@ -211,31 +212,31 @@
 /* Smooths the relative response time of a target, as reported by a host. */
 void
 keys_learnt(
-    struct keys *k, const char *target, double speed, int answers, usec now)
+    struct keys *k, const char *target, double speed, int replies, usec now)
 {
 	int n = target_find(k, target);
 
-	if (n == NO_TARGET || answers == 0)
+	if (n == NO_TARGET || replies == 0)
 		return;
-	k->targets[n].alive_at = now;
+	k->targets[n].last_reply = now;
 	k->targets[n].speed += 0.15 * (speed - k->targets[n].speed);
 }
 
 /* Sets the rate limit of a target: requests per second from all hosts. */
 void
-keys_limited(struct keys *k, const char *target, double limit, usec now)
+keys_limited(struct keys *k, const char *target, double rate_limit, usec now)
 {
 	int n = target_find(k, target);
 
 	if (n == NO_TARGET)
 		return;
-	k->targets[n].limit = limit;
-	k->targets[n].limited = now;
+	k->targets[n].rate_limit = rate_limit;
+	k->targets[n].limit_reported_at = now;
 }
 
 /* Joins adjacent ranges that one grant can cover. */
 static void
-join(struct keys *k, usec now)
+join_ranges(struct keys *k, usec now)
 {
 	struct key_range *a, *b;
 	int i, n = 0;
@@ -243,10 +244,10 @@
 	for (i = 1; i < k->nranges; i++) {
 		a = &k->ranges[n];
 		b = &k->ranges[i];
-		if (a->step != RANGE_OWNED || b->step != RANGE_OWNED ||
-		    a->owner != b->owner || a->owner == NO_TARGET || a->open ||
-		    b->open || !a->confirmed || !b->confirmed ||
-		    now - b->moved_at < k->conf.renew ||
+		if (a->phase != RANGE_OWNED || b->phase != RANGE_OWNED ||
+		    a->owner != b->owner || a->owner == NO_TARGET ||
+		    a->order_pending || b->order_pending || !a->confirmed ||
+		    !b->confirmed || now - b->moved_at < k->conf.renew ||
 		    now - a->moved_at < k->conf.renew) {
 			k->ranges[++n] = *b;
 			continue;
@@ -259,8 +260,8 @@
 			a->granted_until = b->granted_until;
 		if (b->unanswered_until > a->unanswered_until)
 			a->unanswered_until = b->unanswered_until;
-		if (b->renew_at < a->renew_at)
-			a->renew_at = b->renew_at;
+		if (b->next_order_at < a->next_order_at)
+			a->next_order_at = b->next_order_at;
 	}
 	k->nranges = n + 1;
 }
@@ -277,7 +278,7 @@
 void
 keys_close(struct keys *k)
 {
-	k->closing = 1;
+	k->handing_over = 1;
 }
 
 /*
@@ -291,10 +292,10 @@
 
 	if (!k->claimed)
 		return (1);
-	if (k->dirty || k->put_open)
+	if (k->dirty || k->put_pending)
 		return (0);
 	for (i = 0; i < k->nranges; i++) {
-		if (k->ranges[i].step != RANGE_OWNED)
+		if (k->ranges[i].phase != RANGE_OWNED)
 			return (0);
 	}
 	return (1);
@@ -314,39 +315,41 @@
 	for (i = 0; i < k->nranges; i++)
 		keys_range_tick(k, &k->ranges[i], now);
 	keys_grants_tick(k, now);
-	if (now < k->next_plan || k->closing)
+	if (now < k->next_plan || k->handing_over)
 		return;
-	k->next_plan = now + PLAN_EVERY;
-	join(k, now);
+	k->next_plan = now + PLAN_INTERVAL;
+	join_ranges(k, now);
 	keys_plan(k, now);
 	keys_store_tick(k, now);
 }
 
-/* Fills in the owners, for hosts that send requests; out->ranges is the
+/* Fills in the owners, for hosts that send requests; owners->ranges is the
  * caller's to free, NULL if out of memory. */
 void
-keys_view(const struct keys *k, struct owner_service *out)
+keys_view(const struct keys *k, struct owner_service *owners)
 {
 	const struct key_range *r;
 	struct owner_range *o;
 	int i;
 
-	name_copy(out->name, sizeof(out->name), k->service);
-	out->nranges = 0;
-	out->ranges = calloc((size_t)k->nranges + 1, sizeof(*out->ranges));
-	if (out->ranges == NULL)
+	name_copy(owners->name, sizeof(owners->name), k->service);
+	owners->nranges = 0;
+	owners->ranges =
+	    calloc((size_t)k->nranges + 1, sizeof(*owners->ranges));
+	if (owners->ranges == NULL)
 		return;
 	for (i = 0; i < k->nranges; i++) {
 		r = &k->ranges[i];
-		o = &out->ranges[out->nranges++];
+		o = &owners->ranges[owners->nranges++];
 		o->from = r->from;
 		o->to = r->to;
 		o->target = r->owner;
 		/* A request that is sent before the grant arrives would be
 		 * refused, and count as a retry when it is sent again. */
-		o->moving = r->letting_go || r->fresh;
-		o->back_at = r->letting_go ? keys_clear_at(r) : 0;
-		if (o->moving && (r->inherits || (!r->released && r->open)))
+		o->moving = r->releasing || r->awaiting_grant;
+		o->back_at = r->releasing ? keys_grants_lapse_at(r) : 0;
+		if (o->moving &&
+		    (r->owner_restarted || (!r->released && r->order_pending)))
 			o->back_at = 0;
 	}
 }
--- a/decide/keys.h
+++ b/decide/keys.h
@@ -15,9 +15,9 @@
 #include "term.h"
 
 /* A target's clock may run up to 2% slow, and the target hold keys longer. */
-#define KEYS_CLOCK_SLOW 1.02
+#define KEYS_CLOCK_DRIFT 1.02
 /* Longest delay of an order by the network or by a pause of its sender. */
-#define KEYS_WAY MS(150)
+#define KEYS_NETWORK_DELAY MS(150)
 /*
  * A grant that is sent on a new connection may wait for a slot of a busy target
  * before it is read, and its hold time counts from then, even if the sender has
@@ -25,18 +25,18 @@
  * read up to 1.4 s after that, so they are waited for 1.5 s, and their hold
  * time is assumed to begin up to this much later.
  */
-#define KEYS_UNREAD MS(500)
+#define KEYS_READ_DELAY MS(500)
 
-#define KEYS_TARGETS 1024
-#define KEYS_RANGES 4096
-#define KEYS_ORDERS 2048
+#define KEYS_TARGETS_MAX 1024
+#define KEYS_RANGES_MAX 4096
+#define KEYS_ORDERS_MAX 2048
 #define NO_TARGET (-1)
 
 struct keys_conf {
-	usec hold;	 /* hold time of a grant */
-	usec renew;	 /* interval between grants of the same keys */
-	usec order_wait; /* a grant without a reply is given up by then */
-	usec settle; /* the fleet is unchanged so long before the first plan */
+	usec hold;	  /* hold time of a grant */
+	usec renew;	  /* interval between grants of the same keys */
+	usec order_wait;  /* a grant without a reply is given up by then */
+	usec settle_time; /* fleet unchanged before the first plan */
 	usec cold_start;  /* targets are cold for so long after their start */
 	int cold_limited; /* cold targets have a rate limit */
 };
@@ -49,7 +49,7 @@
 /* A grant or a release of keys, sent to a target. */
 struct key_order {
 	uint64_t id;
-	int release; /* or a grant */
+	int release; /* not a grant */
 	uint32_t from;
 	uint32_t to; /* inclusive */
 	uint64_t fence;
@@ -68,22 +68,22 @@
 	int evacuated; /* its data centre is evacuated */
 	int slots;
 	usec cold_until;
-	int cold_limited; /* has a rate limit until then */
-	double speed;	  /* response time relative to other targets */
-	usec alive_at;	  /* last reply to any host */
-	int unanswered;	  /* consecutive orders without a reply */
-	double limit;	  /* requests per second that it accepts ... */
-	usec limited;	  /* ... as of this time; 0 if never reported */
+	int cold_limited;	/* has a rate limit until then */
+	double speed;		/* response time relative to other targets */
+	usec last_reply;	/* last reply to any host */
+	int unanswered_streak;	/* consecutive orders without a reply */
+	double rate_limit;	/* requests per second that it accepts ... */
+	usec limit_reported_at; /* ... as of this time; 0 if never reported */
 	/* Set by each planning round. */
 	double heat;
-	double cap; /* of its weight, from its limit; 0 is none */
-	int lost;
+	double weight_cap; /* of its weight, from its limit; 0 is none */
+	int unavailable;
 };
 
-enum range_step {
-	RANGE_OWNED,   /* no move; no owner if owner is NO_TARGET */
-	RANGE_PLANNED, /* a move waits until the store has next */
-	RANGE_GIVING   /* the owner is to release the keys */
+enum range_phase {
+	RANGE_OWNED,	/* no move; no owner if owner is NO_TARGET */
+	RANGE_PLANNED,	/* a move waits until the store has next */
+	RANGE_RELEASING /* the owner is to release the keys */
 };
 
 /*
@@ -97,19 +97,19 @@
 	uint64_t fence;
 	int next;
 	uint64_t next_fence;
-	enum range_step step;
-	uint64_t fence_by; /* the write that stores the fence */
-	uint64_t plan_by;  /* the write that stores next */
-	int open;	   /* an order is pending */
-	int confirmed;	   /* the owner has accepted a grant */
-	int released;	   /* the owner has accepted a release */
-	int letting_go;	   /* the owner gets no further grants */
-	int fresh;	   /* no grant to the new owner has ended yet */
-	int inherits;	   /* next is a later incarnation of the owner */
-	usec renew_at;
-	usec granted_until;    /* the owner may hold the keys until then */
-	usec granted_before;   /* the same without the pending order */
-	usec unanswered_until; /* the same by grants without a reply */
+	enum range_phase phase;
+	uint64_t fence_write; /* the write that stores the fence */
+	uint64_t plan_write;  /* the write that stores next */
+	int order_pending;    /* an order is pending */
+	int confirmed;	      /* the owner has accepted a grant */
+	int released;	      /* the owner has accepted a release */
+	int releasing;	      /* the owner gets no further grants */
+	int awaiting_grant;   /* no grant to the new owner has ended yet */
+	int owner_restarted;  /* next is a later incarnation of the owner */
+	usec next_order_at;
+	usec granted_until;	  /* the owner may hold the keys until then */
+	usec prior_granted_until; /* the same without the pending order */
+	usec unanswered_until;	  /* the same by grants without a reply */
 	usec moved_at;
 	char handover[NAME_MAX_GS];
 };
@@ -123,7 +123,7 @@
 };
 
 /* A pending order. */
-struct open_order {
+struct pending_order {
 	uint64_t id;
 	int target;
 	int release;
@@ -134,20 +134,20 @@
 struct keys {
 	char service[NAME_MAX_GS];
 	struct keys_conf conf;
-	const struct keys_out *out;
+	const struct keys_out *cb;
 	void *arg;
 	int active;
-	int closing; /* control is being handed over */
+	int handing_over; /* control is being handed over */
 	uint64_t term;
 
-	struct key_target targets[KEYS_TARGETS];
+	struct key_target targets[KEYS_TARGETS_MAX];
 	int ntargets;
 	int have_fleet;
 	usec fleet_changed;
 	int fleet_size;
-	struct key_range ranges[KEYS_RANGES];
+	struct key_range ranges[KEYS_RANGES_MAX];
 	int nranges;
-	struct open_order orders[KEYS_ORDERS];
+	struct pending_order orders[KEYS_ORDERS_MAX];
 	int norders;
 	uint64_t order_id;
 	uint64_t top_fence;
@@ -156,15 +156,15 @@
 	/* The object in the store, and the one write that may be pending. */
 	int loaded;
 	int claimed;
-	int get_open;
+	int get_pending;
 	usec next_try;
 	uint64_t version;
 	uint64_t write_seq;  /* of the last write sent */
 	uint64_t stored_seq; /* of the last write known to be stored */
-	int put_open;
-	int put_lost;
+	int put_pending;
+	int put_unknown;
 	char *put_text;
-	uint64_t put_base;
+	uint64_t base_version;
 	int dirty; /* a change is not written yet */
 	usec dirty_since;
 	int urgent;
@@ -173,7 +173,7 @@
 	float heat[KEYS];
 	float estimate[KEYS];
 	double gain;
-	usec heat_at;
+	usec gain_updated_at;
 	usec next_plan;
 };
 
@@ -186,9 +186,10 @@
 void keys_cold(struct keys *, usec cold_start, int limited);
 void keys_heat(
     struct keys *, const uint16_t *key, int n, double each, usec now);
-void keys_limited(struct keys *, const char *target, double limit, usec now);
+void keys_limited(
+    struct keys *, const char *target, double rate_limit, usec now);
 void keys_learnt(
-    struct keys *, const char *target, double speed, int answers, usec now);
+    struct keys *, const char *target, double speed, int replies, usec now);
 void keys_got(struct keys *, usec now, int found, uint64_t version,
     const char *json, size_t n);
 void keys_get_failed(struct keys *, usec now);
@@ -206,19 +207,19 @@
 /* keys_grant.c */
 void keys_range_tick(struct keys *, struct key_range *, usec now);
 void keys_grants_tick(struct keys *, usec now);
-usec keys_clear_at(const struct key_range *);
+usec keys_grants_lapse_at(const struct key_range *);
 
 /* keys_store.c */
 void keys_store_tick(struct keys *, usec now);
 
 /* For keys_store.c and keys_plan.c. */
-void keys_dirty(struct keys *, usec now, int urgent);
+void keys_mark_dirty(struct keys *, usec now, int urgent);
 int keys_target_add(struct keys *, const char *id);
 
 /* keys_plan.c */
 void keys_plan(struct keys *, usec now);
-int keys_split(struct keys *, int range, uint32_t at);
-void keys_give(struct keys *, int range, int target, usec now);
-double key_target_weight(const struct key_target *, usec now);
+int keys_split_range(struct keys *, int range, uint32_t at);
+void keys_plan_move(struct keys *, int range, int target, usec now);
+double keys_target_weight(const struct key_target *, usec now);
 
 #endif
--- a/decide/keys_grant.c
+++ b/decide/keys_grant.c
@@ -7,14 +7,14 @@
 #include "keys.h"
 
 /* Delay before an order that failed is sent again. */
-#define ORDER_AGAIN MS(150)
+#define ORDER_RETRY_DELAY MS(150)
 
 /* Until when a target may hold keys by a grant that arrives now or earlier. */
 static usec
-held_after(const struct keys *k, usec now)
+held_until(const struct keys *k, usec now)
 {
-	return (
-	    now + KEYS_WAY + (usec)((double)k->conf.hold * KEYS_CLOCK_SLOW));
+	return (now + KEYS_NETWORK_DELAY +
+	    (usec)((double)k->conf.hold * KEYS_CLOCK_DRIFT));
 }
 
 /* Sends an order for the keys from..to, all of one owner. */
@@ -23,9 +23,9 @@
     uint64_t fence, const char *handover)
 {
 	struct key_order o;
-	struct open_order *open;
+	struct pending_order *pending;
 
-	if (k->norders == KEYS_ORDERS)
+	if (k->norders == KEYS_ORDERS_MAX)
 		return;
 	memset(&o, 0, sizeof(o));
 	o.id = ++k->order_id;
@@ -37,13 +37,13 @@
 	name_copy(o.handover, sizeof(o.handover), handover);
 	name_copy(o.target, sizeof(o.target), k->targets[target].id);
 	name_copy(o.addr, sizeof(o.addr), k->targets[target].addr);
-	open = &k->orders[k->norders++];
-	open->id = o.id;
-	open->target = target;
-	open->release = release;
-	open->from = from;
-	open->to = to;
-	k->out->order(k->arg, k->service, &o);
+	pending = &k->orders[k->norders++];
+	pending->id = o.id;
+	pending->target = target;
+	pending->release = release;
+	pending->from = from;
+	pending->to = to;
+	k->cb->order(k->arg, k->service, &o);
 }
 
 /*
@@ -55,15 +55,15 @@
 static int
 may_grant(const struct keys *k, const struct key_range *r)
 {
-	return (!r->letting_go && r->owner != NO_TARGET && !r->open &&
-	    k->targets[r->owner].listed && k->stored_seq >= r->fence_by);
+	return (!r->releasing && r->owner != NO_TARGET && !r->order_pending &&
+	    k->targets[r->owner].listed && k->stored_seq >= r->fence_write);
 }
 
 /* True if a grant is due; during a move, until the release begins. */
 static int
-renews(const struct keys *k, const struct key_range *r, usec now)
+renewal_due(const struct keys *k, const struct key_range *r, usec now)
 {
-	return (may_grant(k, r) && now >= r->renew_at);
+	return (may_grant(k, r) && now >= r->next_order_at);
 }
 
 /*
@@ -71,11 +71,11 @@
  * cover.  Returns the index of the last one.
  */
 static int
-grant_run(struct keys *k, int first, usec now)
+send_grant(struct keys *k, int first, usec now)
 {
 	struct key_range *a = &k->ranges[first], *r;
 	int n = first, i;
-	usec until = held_after(k, now) + k->conf.order_wait;
+	usec until = held_until(k, now) + k->conf.order_wait;
 
 	while (n + 1 < k->nranges && a->handover[0] == '\0') {
 		r = &k->ranges[n + 1];
@@ -86,9 +86,9 @@
 	}
 	for (i = first; i <= n; i++) {
 		r = &k->ranges[i];
-		r->open = 1;
-		r->renew_at = now + k->conf.renew;
-		r->granted_before = r->granted_until;
+		r->order_pending = 1;
+		r->next_order_at = now + k->conf.renew;
+		r->prior_granted_until = r->granted_until;
 		if (r->granted_until < until)
 			r->granted_until = until;
 	}
@@ -104,8 +104,8 @@
 	int i;
 
 	for (i = 0; i < k->nranges; i++) {
-		if (renews(k, &k->ranges[i], now))
-			i = grant_run(k, i, now);
+		if (renewal_due(k, &k->ranges[i], now))
+			i = send_grant(k, i, now);
 	}
 }
 
@@ -119,7 +119,7 @@
  * Without a release the owner may hold the range until its last grant lapses.
  */
 usec
-keys_clear_at(const struct key_range *r)
+keys_grants_lapse_at(const struct key_range *r)
 {
 	if (r->owner == NO_TARGET)
 		return (r->granted_until);
@@ -128,64 +128,65 @@
 
 /* Completes a move: nobody holds the range any more, so next becomes owner. */
 static void
-take_next(struct keys *k, struct key_range *r, usec now)
+complete_move(struct keys *k, struct key_range *r, usec now)
 {
 	r->owner = r->next;
 	r->fence = r->next_fence;
-	r->fence_by = r->plan_by;
+	r->fence_write = r->plan_write;
 	r->next = NO_TARGET;
 	r->next_fence = 0;
-	r->step = RANGE_OWNED;
+	r->phase = RANGE_OWNED;
 	r->confirmed = 0;
 	if (!r->released)
 		r->handover[0] = '\0';
 	r->released = 0;
-	r->letting_go = 0;
-	r->fresh = 1;
+	r->releasing = 0;
+	r->awaiting_grant = 1;
 	/* A restarted target may have received grants that were sent to its
 	 * earlier incarnation at the same address, so they still count. */
-	if (!r->inherits) {
+	if (!r->owner_restarted) {
 		r->granted_until = 0;
 		r->unanswered_until = 0;
 	}
-	r->inherits = 0;
-	r->renew_at = now;
+	r->owner_restarted = 0;
+	r->next_order_at = now;
 	r->moved_at = now;
 	k->number++;
-	keys_dirty(k, now, 0);
+	keys_mark_dirty(k, now, 0);
 }
 
 /* Advances the move of a range to its next owner. */
 void
 keys_range_tick(struct keys *k, struct key_range *r, usec now)
 {
-	if (r->step == RANGE_PLANNED && k->stored_seq >= r->plan_by) {
-		r->step = RANGE_GIVING;
-		if (!r->letting_go) {
+	if (r->phase == RANGE_PLANNED && k->stored_seq >= r->plan_write) {
+		r->phase = RANGE_RELEASING;
+		if (!r->releasing) {
 			r->released = 0;
 			r->handover[0] = '\0';
 		}
-		r->letting_go = 1;
-		r->renew_at = now;
+		r->releasing = 1;
+		r->next_order_at = now;
 		k->number++;
 	}
-	if (r->step != RANGE_GIVING)
+	if (r->phase != RANGE_RELEASING)
 		return;
-	if (!r->open && (r->inherits || now >= keys_clear_at(r))) {
-		take_next(k, r, now);
+	if (!r->order_pending &&
+	    (r->owner_restarted || now >= keys_grants_lapse_at(r))) {
+		complete_move(k, r, now);
 		return;
 	}
-	if (r->owner == NO_TARGET || r->released || r->open ||
-	    now < r->renew_at || !k->targets[r->owner].listed)
+	if (r->owner == NO_TARGET || r->released || r->order_pending ||
+	    now < r->next_order_at || !k->targets[r->owner].listed)
 		return;
-	r->open = 1;
+	r->order_pending = 1;
 	send_order(k, r->owner, 1, r->from, r->to, r->fence, "");
 }
 
 /* Records that a grant without a reply may be held until then, or longer by the
  * grant that it renews. */
 static void
-unanswered(struct key_range *r, usec until)
+note_unanswered(struct key_range *r, usec until)
 {
 	if (r->unanswered_until < until)
 		r->unanswered_until = until;
@@ -195,13 +196,13 @@
 
 /* Handles the end of a grant, for one range. */
 static void
-granted(struct keys *k, struct key_range *r, int status, usec now)
+grant_done(struct keys *k, struct key_range *r, int status, usec now)
 {
-	usec until = held_after(k, now);
+	usec until = held_until(k, now);
 
-	r->open = 0;
-	if (r->fresh) {
-		r->fresh = 0;
+	r->order_pending = 0;
+	if (r->awaiting_grant) {
+		r->awaiting_grant = 0;
 		k->number++;
 	}
 	if (status == 200) {
@@ -214,29 +215,29 @@
 	if (status <= 0) {
 		/* Orders that cannot have arrived must not postpone the time
 		 * from which a dead target's keys can be granted to others. */
-		r->granted_until = r->granted_before;
+		r->granted_until = r->prior_granted_until;
 		if (status != ORDER_NOT_SENT)
-			unanswered(r,
-			    status == ORDER_UNREAD ? until + KEYS_UNREAD
+			note_unanswered(r,
+			    status == ORDER_UNREAD ? until + KEYS_READ_DELAY
 						   : until);
-		r->renew_at = now + ORDER_AGAIN;
+		r->next_order_at = now + ORDER_RETRY_DELAY;
 		return;
 	}
 	/* The target has seen a higher fence.  The next one must be stored
 	 * before it is used. */
 	r->fence = ++k->top_fence;
-	r->fence_by = k->write_seq + 1;
-	r->renew_at = now;
-	keys_dirty(k, now, 1);
+	r->fence_write = k->write_seq + 1;
+	r->next_order_at = now;
+	keys_mark_dirty(k, now, 1);
 }
 
 /* Handles the end of a release, for one range. */
 static void
-released(struct key_range *r, int status, const char *handover, usec now)
+release_done(struct key_range *r, int status, const char *handover, usec now)
 {
-	r->open = 0;
+	r->order_pending = 0;
 	if (status != 200) {
-		r->renew_at = now + ORDER_AGAIN;
+		r->next_order_at = now + ORDER_RETRY_DELAY;
 		return;
 	}
 	r->released = 1;
@@ -248,7 +249,7 @@
 keys_ordered(
     struct keys *k, usec now, uint64_t id, int status, const char *handover)
 {
-	struct open_order o;
+	struct pending_order o;
 	struct key_range *r;
 	int i;
 
@@ -259,19 +260,19 @@
 	o = k->orders[i];
 	k->orders[i] = k->orders[--k->norders];
 	if (status > 0) {
-		k->targets[o.target].alive_at = now;
-		k->targets[o.target].unanswered = 0;
+		k->targets[o.target].last_reply = now;
+		k->targets[o.target].unanswered_streak = 0;
 	} else
-		k->targets[o.target].unanswered++;
+		k->targets[o.target].unanswered_streak++;
 	for (i = 0; i < k->nranges; i++) {
 		r = &k->ranges[i];
 		if (r->from < o.from || r->to > o.to || r->owner != o.target)
 			continue;
 		/* Also counts if another next owner was planned meanwhile. */
 		if (o.release)
-			released(r, status, handover, now);
+			release_done(r, status, handover, now);
 		else
-			granted(k, r, status, now);
+			grant_done(k, r, status, now);
 	}
 	k->number += o.release;
 }
--- a/decide/keys_plan.c
+++ b/decide/keys_plan.c
@@ -11,84 +11,85 @@
 
 /* Half-life of a key's load in seconds: long enough to tell a hot key from
  * random variation, short enough to spread hot keys within two seconds. */
-#define HEAT_HALF 0.8
+#define LOAD_HALF_LIFE 0.8
 /* Share of the total load that is spread over all keys alike, and the least
  * load of a key: without them one target could get all idle keys. */
-#define COLD_SHARE 0.06
-#define COLD_LEAST 1e-5
+#define IDLE_SHARE 0.06
+#define IDLE_LOAD_MIN 1e-5
 /* A target is overloaded if its load exceeds its share by this part, and ... */
-#define EXCESS 0.15
+#define EXCESS_MIN 0.15
 /* ... by this many standard deviations of its request count. */
-#define CHANCE 1.2
+#define EXCESS_DEVIATIONS 1.2
 /* Moves planned in one round at most. */
-#define MOVES_MOST 8
+#define MOVES_MAX 8
 /* Keys that moved do not move again for this long: their load is not known
  * yet. */
-#define REST MS(900)
+#define MOVE_COOLDOWN MS(900)
 /* A target is taken for dead that has not replied to any host for so long, and
  * not to so many orders in a row. */
-#define LOST_AFTER MS(900)
-#define LOST_ORDERS 2
+#define DEAD_AFTER MS(900)
+#define DEAD_ORDERS 2
 /* Beyond this number of ranges per target small idle ones are joined. */
-#define RANGES_EACH 6
+#define RANGES_PER_TARGET 6
 /* Part of its weight that a target has while it is cold. */
-#define COLD_FACTOR 0.5
+#define COLD_WEIGHT 0.5
 /* The same for a cold target with a rate limit: each of many hosts has so small
  * a share of the limit that most requests for its keys would be refused. */
-#define COLD_LIMITED_FACTOR 0.02
+#define COLD_LIMITED_WEIGHT 0.02
 /* A large range of an unavailable target is cut into this many pieces. */
-#define PIECES 4
+#define SPLIT_PIECES 4
 /* Number of adjacent keys that are expected to have about the same load, and
  * the load that one of them may show by chance. */
-#define NEIGHBOURS 256
-#define BY_CHANCE 2.0f
+#define NEIGHBOURHOOD 256
+#define NOISE_LOAD 2.0f
 /* A key that alone overloads its target moves if its load divided by the new
  * owner's weight is at most this part of what it is now. */
-#define WORTH_MOVING 0.85
+#define MOVE_RATIO_MAX 0.85
 
 /* Load that one request per second amounts to, with its half-life. */
-#define HEAT_OF_RATE (HEAT_HALF / M_LN2)
+#define LOAD_PER_RATE (LOAD_HALF_LIFE / M_LN2)
 /* Part of its rate limit that a target gets as load; demand varies. */
-#define LIMIT_PART 0.8
+#define LIMIT_SHARE 0.8
 /* A rate limit ends when no host has reported it for this long. */
-#define LIMITED_FOR MS(2000)
+#define LIMIT_EXPIRY MS(2000)
 /* Part of its weight that a target keeps whatever its limit: without requests
  * nobody would notice that it accepts more again. */
-#define CAP_LEAST 0.02
+#define CAP_MIN 0.02
 
 /* True if a target is cold and has a rate limit meanwhile. */
 static int
-takes_few(const struct key_target *t, usec now)
+is_cold_limited(const struct key_target *t, usec now)
 {
 	return (t->cold_limited && now < t->cold_until);
 }
 
 /* Returns the weight of a target: the load it can take relative to others. */
 double
-key_target_weight(const struct key_target *t, usec now)
+keys_target_weight(const struct key_target *t, usec now)
 {
 	double w = t->slots / fmax(t->speed, 0.25);
 
-	if (takes_few(t, now))
-		w *= COLD_LIMITED_FACTOR;
+	if (is_cold_limited(t, now))
+		w *= COLD_LIMITED_WEIGHT;
 	else if (now < t->cold_until && feature_on(FEATURE_COLD))
-		w *= COLD_FACTOR;
-	if (t->cap > 0)
-		w = fmin(w, t->cap);
+		w *= COLD_WEIGHT;
+	if (t->weight_cap > 0)
+		w = fmin(w, t->weight_cap);
 	return (w);
 }
 
 /* True if a target can neither keep nor get keys. */
 static int
-is_lost(const struct key_target *t, usec now)
+is_unavailable(const struct key_target *t, usec now)
 {
 	return (!t->used || !t->listed || t->leaving || t->evacuated ||
-	    (t->unanswered >= LOST_ORDERS && now - t->alive_at > LOST_AFTER));
+	    (t->unanswered_streak >= DEAD_ORDERS &&
+		now - t->last_reply > DEAD_AFTER));
 }
 
 /* Returns the load of a key, as estimated in this round. */
 static double
-key_heat(const struct keys *k, uint32_t key)
+key_load(const struct keys *k, uint32_t key)
 {
 	return ((double)k->estimate[key]);
 }
@@ -102,7 +103,7 @@
  * its neighbourhood, and only what exceeds it counts for the key alone.
  */
 static void
-estimate(struct keys *k)
+estimate_load(struct keys *k)
 {
 	float own, shared, gain = (float)k->gain;
 	uint32_t i, first;
@@ -112,33 +113,34 @@
 			k->estimate[i] = k->heat[i] / gain;
 		return;
 	}
-	for (first = 0; first < KEYS; first += NEIGHBOURS) {
+	for (first = 0; first < KEYS; first += NEIGHBOURHOOD) {
 		shared = 0;
-		for (i = first; i < first + NEIGHBOURS; i++) {
+		for (i = first; i < first + NEIGHBOURHOOD; i++) {
 			own = k->heat[i] / gain;
-			k->estimate[i] = own > BY_CHANCE ? own - BY_CHANCE : 0;
+			k->estimate[i] =
+			    own > NOISE_LOAD ? own - NOISE_LOAD : 0;
 			shared += own - k->estimate[i];
 		}
-		shared /= NEIGHBOURS;
-		for (i = first; i < first + NEIGHBOURS; i++)
+		shared /= NEIGHBOURHOOD;
+		for (i = first; i < first + NEIGHBOURHOOD; i++)
 			k->estimate[i] += shared;
 	}
 }
 
 /*
  * Adds requests for n keys to the load; each entry stands for `each` requests.
- * Instead of decaying the load of all keys, later requests count more: gain
- * grows, and by it the load is divided.
+ * Instead of decaying all loads, new requests are multiplied by a gain that
+ * grows by the same factor; a load divided by the gain is the decayed one.
  */
 void
 keys_heat(struct keys *k, const uint16_t *key, int n, double each, usec now)
 {
 	int i;
 
-	if (k->heat_at != 0 && now > k->heat_at)
-		k->gain *=
-		    exp2((double)(now - k->heat_at) / US_PER_SEC / HEAT_HALF);
-	k->heat_at = now;
+	if (k->gain_updated_at != 0 && now > k->gain_updated_at)
+		k->gain *= exp2((double)(now - k->gain_updated_at) /
+		    US_PER_SEC / LOAD_HALF_LIFE);
+	k->gain_updated_at = now;
 	for (i = 0; i < n; i++)
 		k->heat[key[i]] += (float)(each * k->gain);
 	if (k->gain < 1e12)
@@ -151,13 +153,13 @@
 /* Splits a range before a key.  Returns the index of the range that begins with
  * the key, or -1. */
 int
-keys_split(struct keys *k, int n, uint32_t at)
+keys_split_range(struct keys *k, int n, uint32_t at)
 {
 	struct key_range *r = &k->ranges[n];
 
 	if (at <= r->from)
 		return (n);
-	if (at > r->to || k->nranges == KEYS_RANGES)
+	if (at > r->to || k->nranges == KEYS_RANGES_MAX)
 		return (-1);
 	memmove(r + 1, r, sizeof(*r) * (size_t)(k->nranges - n));
 	k->nranges++;
@@ -168,43 +170,43 @@
 
 /* Plans the move of a range to a target. */
 void
-keys_give(struct keys *k, int n, int target, usec now)
+keys_plan_move(struct keys *k, int n, int target, usec now)
 {
 	struct key_range *r = &k->ranges[n];
 
 	r->next = target;
 	r->next_fence = ++k->top_fence;
-	r->plan_by = k->write_seq + 1;
-	r->step = RANGE_PLANNED;
-	r->inherits = 0;
-	keys_dirty(k, now, 1);
+	r->plan_write = k->write_seq + 1;
+	r->phase = RANGE_PLANNED;
+	r->owner_restarted = 0;
+	keys_mark_dirty(k, now, 1);
 }
 
 /* Returns who owns a range after its planned move. */
 static int
-heir(const struct key_range *r)
+planned_owner(const struct key_range *r)
 {
 	return (r->next != NO_TARGET ? r->next : r->owner);
 }
 
 /* Returns the load of a range; base is added for each key. */
 static double
-range_heat(const struct keys *k, const struct key_range *r, double base)
+range_load(const struct keys *k, const struct key_range *r, double base)
 {
 	double sum = base * (r->to - r->from + 1);
 	uint32_t i;
 
 	for (i = r->from; i <= r->to; i++)
-		sum += key_heat(k, i);
+		sum += key_load(k, i);
 	return (sum);
 }
 
 /* The loads in one planning round. */
-struct look {
+struct load_summary {
 	double base;
 	double total;
 	double weight; /* of all available targets */
-	int live;
+	int available;
 };
 
 /*
@@ -213,7 +215,7 @@
  * refused while other targets have capacity left.
  */
 static void
-cap_limited(struct keys *k, struct look *l, usec now)
+cap_weights(struct keys *k, struct load_summary *l, usec now)
 {
 	double mean = l->total / l->weight, w;
 	struct key_target *t;
@@ -221,78 +223,80 @@
 
 	for (i = 0; i < k->ntargets; i++) {
 		t = &k->targets[i];
-		if (t->lost || t->limited == 0 ||
-		    now - t->limited > LIMITED_FOR)
+		if (t->unavailable || t->limit_reported_at == 0 ||
+		    now - t->limit_reported_at > LIMIT_EXPIRY)
 			continue;
-		w = key_target_weight(t, now);
-		t->cap = fmax(
-		    LIMIT_PART * HEAT_OF_RATE * t->limit / mean, CAP_LEAST * w);
-		l->weight += key_target_weight(t, now) - w;
+		w = keys_target_weight(t, now);
+		t->weight_cap =
+		    fmax(LIMIT_SHARE * LOAD_PER_RATE * t->rate_limit / mean,
+			CAP_MIN * w);
+		l->weight += keys_target_weight(t, now) - w;
 	}
 }
 
 /* Computes the loads of the targets and their total. */
 static void
-look_around(struct keys *k, usec now, struct look *l)
+sum_loads(struct keys *k, usec now, struct load_summary *l)
 {
 	struct key_target *t;
-	double asked = 0;
+	double requested = 0;
 	int i, n;
 
 	memset(l, 0, sizeof(*l));
-	estimate(k);
+	estimate_load(k);
 	for (i = 0; i < KEYS; i++)
-		asked += key_heat(k, (uint32_t)i);
-	l->base = asked * COLD_SHARE / KEYS + COLD_LEAST;
+		requested += key_load(k, (uint32_t)i);
+	l->base = requested * IDLE_SHARE / KEYS + IDLE_LOAD_MIN;
 	for (i = 0; i < k->ntargets; i++) {
 		t = &k->targets[i];
 		t->heat = 0;
-		t->cap = 0;
-		t->lost = is_lost(t, now);
-		if (t->lost)
+		t->weight_cap = 0;
+		t->unavailable = is_unavailable(t, now);
+		if (t->unavailable)
 			continue;
-		l->weight += key_target_weight(t, now);
-		l->live++;
+		l->weight += keys_target_weight(t, now);
+		l->available++;
 	}
 	for (i = 0; i < k->nranges; i++) {
-		n = heir(&k->ranges[i]);
-		if (n == NO_TARGET || k->targets[n].lost)
+		n = planned_owner(&k->ranges[i]);
+		if (n == NO_TARGET || k->targets[n].unavailable)
 			continue;
-		k->targets[n].heat += range_heat(k, &k->ranges[i], l->base);
+		k->targets[n].heat += range_load(k, &k->ranges[i], l->base);
 	}
-	l->total = asked + l->base * KEYS;
+	l->total = requested + l->base * KEYS;
 	if (l->weight > 0)
-		cap_limited(k, l, now);
+		cap_weights(k, l, now);
 }
 
 /*
  * Returns the target with the least load for its weight, or NO_TARGET; never
- * `but`, and a cold one with a rate limit only if there is no other.  If
- * `alone` is not 0, each target is taken to have this load instead of its own.
+ * `exclude`, and a cold one with a rate limit only if there is no other.  If
+ * `assumed_load` is not 0, each target is taken to have this load instead of
+ * its own.
  */
 static int
-least(
-    const struct keys *k, const struct key_target *but, double alone, usec now)
+least_loaded(const struct keys *k, const struct key_target *exclude,
+    double assumed_load, usec now)
 {
 	const struct key_target *t;
-	double load, best_load = 0;
-	int i, best = NO_TARGET, few, best_few = 0;
+	double ratio, best_ratio = 0;
+	int i, best = NO_TARGET, is_limited, best_limited = 0;
 
 	for (i = 0; i < k->ntargets; i++) {
 		t = &k->targets[i];
-		if (t->lost || (but != NULL && t == but))
+		if (t->unavailable || (exclude != NULL && t == exclude))
 			continue;
-		few = takes_few(t, now);
-		if (few && best != NO_TARGET && !best_few)
+		is_limited = is_cold_limited(t, now);
+		if (is_limited && best != NO_TARGET && !best_limited)
 			continue;
-		if (!few && best_few)
+		if (!is_limited && best_limited)
 			best = NO_TARGET;
-		load =
-		    (alone > 0 ? alone : t->heat) / key_target_weight(t, now);
-		if (best == NO_TARGET || load < best_load) {
+		ratio = (assumed_load > 0 ? assumed_load : t->heat) /
+		    keys_target_weight(t, now);
+		if (best == NO_TARGET || ratio < best_ratio) {
 			best = i;
-			best_load = load;
-			best_few = few;
+			best_ratio = ratio;
+			best_limited = is_limited;
 		}
 	}
 	return (best);
@@ -300,20 +304,20 @@
 
 /* Returns the target with the most load for its weight, or NO_TARGET. */
 static int
-most(const struct keys *k, usec now)
+most_loaded(const struct keys *k, usec now)
 {
 	const struct key_target *t;
-	double load, best_load = 0;
+	double ratio, best_ratio = 0;
 	int i, best = NO_TARGET;
 
 	for (i = 0; i < k->ntargets; i++) {
 		t = &k->targets[i];
-		if (t->lost)
+		if (t->unavailable)
 			continue;
-		load = t->heat / key_target_weight(t, now);
-		if (best == NO_TARGET || load > best_load) {
+		ratio = t->heat / keys_target_weight(t, now);
+		if (best == NO_TARGET || ratio > best_ratio) {
 			best = i;
-			best_load = load;
+			best_ratio = ratio;
 		}
 	}
 	return (best);
@@ -321,7 +325,7 @@
 
 /* True if no key has an owner or is to get one. */
 static int
-untouched(const struct keys *k)
+is_unassigned(const struct keys *k)
 {
 	return (k->nranges == 1 && k->ranges[0].owner == NO_TARGET &&
 	    k->ranges[0].next == NO_TARGET);
@@ -329,49 +333,51 @@
 
 /* Assigns each target one range of keys in proportion to its weight. */
 static void
-first_shares(struct keys *k, const struct look *l, usec now)
+assign_initially(struct keys *k, const struct load_summary *l, usec now)
 {
 	double sum = 0;
 	int i, n = 0, last = NO_TARGET;
 	uint32_t at;
 
 	for (i = 0; i < k->ntargets; i++) {
-		if (!k->targets[i].lost)
+		if (!k->targets[i].unavailable)
 			last = i;
 	}
 	for (i = 0; i <= last; i++) {
-		if (k->targets[i].lost)
+		if (k->targets[i].unavailable)
 			continue;
-		sum += key_target_weight(&k->targets[i], now);
+		sum += keys_target_weight(&k->targets[i], now);
 		at = (uint32_t)(sum / l->weight * KEYS);
-		if (i != last && at < KEYS && keys_split(k, n, at) == n + 1) {
-			keys_give(k, n, i, now);
+		if (i != last && at < KEYS &&
+		    keys_split_range(k, n, at) == n + 1) {
+			keys_plan_move(k, n, i, now);
 			n++;
 		} else if (i == last)
-			keys_give(k, n, i, now);
+			keys_plan_move(k, n, i, now);
 	}
 }
 
 /* Plans new owners for a range, in pieces if its load is large. */
 static void
-replace_heir(struct keys *k, int n, const struct look *l, usec now)
+reassign_range(struct keys *k, int n, const struct load_summary *l, usec now)
 {
-	uint32_t size = k->ranges[n].to - k->ranges[n].from + 1, step;
+	uint32_t size = k->ranges[n].to - k->ranges[n].from + 1, piece_size;
 	double heat;
-	int to, i, pieces = PIECES;
+	int to, i, pieces = SPLIT_PIECES;
 
-	if (range_heat(k, &k->ranges[n], l->base) <
-	    0.3 * l->total / (l->live > 0 ? l->live : 1))
+	if (range_load(k, &k->ranges[n], l->base) <
+	    0.3 * l->total / (l->available > 0 ? l->available : 1))
 		pieces = 1;
-	step = size / (uint32_t)pieces;
-	for (i = 1; i < pieces && step > 0; i++)
-		keys_split(k, n + i - 1, k->ranges[n + i - 1].from + step);
-	for (i = 0; i < pieces && (step > 0 || i == 0); i++, n++) {
-		to = least(k, NULL, 0, now);
+	piece_size = size / (uint32_t)pieces;
+	for (i = 1; i < pieces && piece_size > 0; i++)
+		keys_split_range(
+		    k, n + i - 1, k->ranges[n + i - 1].from + piece_size);
+	for (i = 0; i < pieces && (piece_size > 0 || i == 0); i++, n++) {
+		to = least_loaded(k, NULL, 0, now);
 		if (to == NO_TARGET)
 			return;
-		heat = range_heat(k, &k->ranges[n], l->base);
-		keys_give(k, n, to, now);
+		heat = range_load(k, &k->ranges[n], l->base);
+		keys_plan_move(k, n, to, now);
 		k->targets[to].heat += heat;
 	}
 }
@@ -386,14 +392,14 @@
  * granted the range to its next owner.
  */
 static int
-inheritor(const struct keys *k, const struct key_range *r)
+restarted_owner(const struct keys *k, const struct key_range *r)
 {
 	int i;
 
-	if (r->owner == NO_TARGET || r->letting_go || r->next != NO_TARGET)
+	if (r->owner == NO_TARGET || r->releasing || r->next != NO_TARGET)
 		return (NO_TARGET);
 	for (i = 0; i < k->ntargets; i++) {
-		if (!k->targets[i].lost &&
+		if (!k->targets[i].unavailable &&
 		    incarnation_follows(
 			k->targets[i].id, k->targets[r->owner].id))
 			return (i);
@@ -403,22 +409,22 @@
 
 /* Plans new owners for all ranges that have none or an unavailable one. */
 static void
-replace_lost(struct keys *k, const struct look *l, usec now)
+reassign_unavailable(struct keys *k, const struct load_summary *l, usec now)
 {
 	int i, n;
 
 	for (i = 0; i < k->nranges; i++) {
-		n = heir(&k->ranges[i]);
-		if (n != NO_TARGET && !k->targets[n].lost)
+		n = planned_owner(&k->ranges[i]);
+		if (n != NO_TARGET && !k->targets[n].unavailable)
 			continue;
-		n = inheritor(k, &k->ranges[i]);
+		n = restarted_owner(k, &k->ranges[i]);
 		if (n == NO_TARGET) {
-			replace_heir(k, i, l, now);
+			reassign_range(k, i, l, now);
 			continue;
 		}
-		keys_give(k, i, n, now);
-		k->ranges[i].inherits = 1;
-		k->targets[n].heat += range_heat(k, &k->ranges[i], l->base);
+		keys_plan_move(k, i, n, now);
+		k->ranges[i].owner_restarted = 1;
+		k->targets[n].heat += range_load(k, &k->ranges[i], l->base);
 	}
 }
 
@@ -444,13 +450,13 @@
 	double sum = 0;
 
 	for (b = r->from; b <= r->to; b++) {
-		sum += key_heat(k, b) + base;
+		sum += key_load(k, b) + base;
 		while (a <= b && sum > high) {
-			sum -= key_heat(k, a) + base;
+			sum -= key_load(k, a) + base;
 			a++;
 		}
-		while (a < b && sum - key_heat(k, a) - base >= low) {
-			sum -= key_heat(k, a) + base;
+		while (a < b && sum - key_load(k, a) - base >= low) {
+			sum -= key_load(k, a) + base;
 			a++;
 		}
 		if (sum >= low && a <= b &&
@@ -471,21 +477,21 @@
 static int
 movable(const struct key_range *r, int target, usec now)
 {
-	return (r->step == RANGE_OWNED && r->owner == target && r->confirmed &&
+	return (r->phase == RANGE_OWNED && r->owner == target && r->confirmed &&
 	    now >= r->unanswered_until &&
-	    (now - r->moved_at >= REST || !feature_on(FEATURE_REST)));
+	    (now - r->moved_at >= MOVE_COOLDOWN || !feature_on(FEATURE_REST)));
 }
 
 /* Splits a piece off its range and plans its move to another target. */
 static void
 move_piece(struct keys *k, const struct piece *p, int from, int to, usec now)
 {
-	int n = keys_split(k, p->range, p->from);
+	int n = keys_split_range(k, p->range, p->from);
 
 	if (n < 0 ||
-	    (p->to < k->ranges[n].to && keys_split(k, n, p->to + 1) < 0))
+	    (p->to < k->ranges[n].to && keys_split_range(k, n, p->to + 1) < 0))
 		return;
-	keys_give(k, n, to, now);
+	keys_plan_move(k, n, to, now);
 	k->targets[from].heat -= p->heat;
 	k->targets[to].heat += p->heat;
 }
@@ -501,7 +507,7 @@
 {
 	const struct key_range *r;
 	struct piece p = {-1, 0, 0, 0};
-	double heat = k->targets[from].heat, there;
+	double heat = k->targets[from].heat, new_ratio;
 	uint32_t key;
 	int i, to;
 
@@ -512,20 +518,20 @@
 		if (!movable(r, from, now))
 			continue;
 		for (key = r->from; key <= r->to; key++) {
-			if (p.range >= 0 && key_heat(k, key) <= p.heat)
+			if (p.range >= 0 && key_load(k, key) <= p.heat)
 				continue;
 			p.range = i;
 			p.from = p.to = key;
-			p.heat = key_heat(k, key);
+			p.heat = key_load(k, key);
 		}
 	}
 	if (p.range < 0 || p.heat < heat / 2)
 		return (0);
-	to = least(k, NULL, p.heat, now);
-	there = p.heat / key_target_weight(&k->targets[to], now);
+	to = least_loaded(k, NULL, p.heat, now);
+	new_ratio = p.heat / keys_target_weight(&k->targets[to], now);
 	if (to == from ||
-	    there > WORTH_MOVING * p.heat /
-		    key_target_weight(&k->targets[from], now))
+	    new_ratio > MOVE_RATIO_MAX * p.heat /
+		    keys_target_weight(&k->targets[from], now))
 		return (0);
 	move_piece(k, &p, from, to, now);
 	return (1);
@@ -550,30 +556,33 @@
 /* Plans one move from the most to the least loaded target; returns 0 if none is
  * worth its cost. */
 static int
-relieve(struct keys *k, const struct look *l, usec now)
+balance_once(struct keys *k, const struct load_summary *l, usec now)
 {
-	int from = most(k, now), to;
+	int from = most_loaded(k, now), to;
 	struct piece p;
-	double mean = l->total / l->weight, wf, wt, high, need, over;
+	double mean = l->total / l->weight, from_weight, to_weight, high,
+	       to_equal, excess;
 
 	if (from == NO_TARGET)
 		return (0);
-	to = least(k, &k->targets[from], 0, now);
+	to = least_loaded(k, &k->targets[from], 0, now);
 	if (to == NO_TARGET)
 		return (0);
-	wf = key_target_weight(&k->targets[from], now);
-	wt = key_target_weight(&k->targets[to], now);
-	over = k->targets[from].heat / wf - k->targets[to].heat / wt;
-	if (over <
-	    2 * EXCESS * mean + CHANCE * sqrt(k->targets[from].heat) / wf)
+	from_weight = keys_target_weight(&k->targets[from], now);
+	to_weight = keys_target_weight(&k->targets[to], now);
+	excess = k->targets[from].heat / from_weight -
+	    k->targets[to].heat / to_weight;
+	if (excess < 2 * EXCESS_MIN * mean +
+		EXCESS_DEVIATIONS * sqrt(k->targets[from].heat) / from_weight)
 		return (0);
-	/* Moving `need` makes both equal; aim lower, as loads vary at random.
-	 */
-	need = over / (1 / wf + 1 / wt);
-	high = fmin(need, fmax(mean * wt - k->targets[to].heat, need * 0.5));
+	/* Moving to_equal makes both equal; aim lower, as loads vary. */
+	to_equal = excess / (1 / from_weight + 1 / to_weight);
+	high = fmin(to_equal,
+	    fmax(mean * to_weight - k->targets[to].heat, to_equal * 0.5));
 	p = smallest_piece(k, from, l->base, 0.6 * high, 1.1 * high, now);
 	if (p.range < 0)
-		p = smallest_piece(k, from, l->base, 0.15 * high, need, now);
+		p = smallest_piece(
+		    k, from, l->base, 0.15 * high, to_equal, now);
 	if (p.range < 0)
 		return (move_hottest(k, from, now));
 	move_piece(k, &p, from, to, now);
@@ -585,20 +594,21 @@
  * many ranges, because each needs calls of its own for its grants.
  */
 static void
-join_cold(struct keys *k, const struct look *l, usec now)
+join_idle(struct keys *k, const struct load_summary *l, usec now)
 {
 	struct key_range *r;
 	uint32_t size, best_size = KEYS;
 	int i, best = 0, to;
 
-	if (k->nranges <= RANGES_EACH * l->live || !feature_on(FEATURE_JOIN))
+	if (k->nranges <= RANGES_PER_TARGET * l->available ||
+	    !feature_on(FEATURE_JOIN))
 		return;
 	for (i = 1; i < k->nranges; i++) {
 		r = &k->ranges[i];
 		size = r->to - r->from + 1;
 		if (!movable(r, r->owner, now) || size >= best_size ||
-		    r[-1].step != RANGE_OWNED || r[-1].owner == r->owner ||
-		    range_heat(k, r, l->base) > 0.02 * l->total / l->live)
+		    r[-1].phase != RANGE_OWNED || r[-1].owner == r->owner ||
+		    range_load(k, r, l->base) > 0.02 * l->total / l->available)
 			continue;
 		best = i;
 		best_size = size;
@@ -606,30 +616,30 @@
 	if (best == 0)
 		return;
 	to = k->ranges[best - 1].owner;
-	if (to != NO_TARGET && !k->targets[to].lost)
-		keys_give(k, best, to, now);
+	if (to != NO_TARGET && !k->targets[to].unavailable)
+		keys_plan_move(k, best, to, now);
 }
 
 /* Runs one planning round. */
 void
 keys_plan(struct keys *k, usec now)
 {
-	struct look l;
+	struct load_summary l;
 	int i;
 
 	keys_heat(k, NULL, 0, 0, now);
-	look_around(k, now, &l);
-	if (l.live == 0)
+	sum_loads(k, now, &l);
+	if (l.available == 0)
 		return;
-	if (untouched(k)) {
+	if (is_unassigned(k)) {
 		/* While targets still register, the first few would get all
 		 * keys. */
-		if (now - k->fleet_changed >= k->conf.settle)
-			first_shares(k, &l, now);
+		if (now - k->fleet_changed >= k->conf.settle_time)
+			assign_initially(k, &l, now);
 		return;
 	}
-	replace_lost(k, &l, now);
-	for (i = 0; i < MOVES_MOST && relieve(k, &l, now); i++)
+	reassign_unavailable(k, &l, now);
+	for (i = 0; i < MOVES_MAX && balance_once(k, &l, now); i++)
 		;
-	join_cold(k, &l, now);
+	join_idle(k, &l, now);
 }
--- a/decide/keys_store.c
+++ b/decide/keys_store.c
@@ -7,17 +7,17 @@
 #include "keys.h"
 
 /* Longest hold time that is accepted from the store; platforms allow 10 s. */
-#define HOLD_MOST MS(60000)
+#define HOLD_MAX MS(60000)
 /* Stored fences from here on are invalid.  Each term may raise the fence 2^32
  * times. */
-#define FENCE_MOST (1ll << 62)
-#define FENCES_EACH 32
+#define FENCE_MAX (1ll << 62)
+#define FENCE_TERM_SHIFT 32
 /* Delay before another read of the store. */
-#define STORE_AGAIN MS(250)
+#define STORE_RETRY_DELAY MS(250)
 /* Longest delay of a change that nothing waits for, so that one write covers
  * several.  A controller that takes over before the write has to wait for both
  * the old and the new owner of the keys. */
-#define WRITE_LATER MS(400)
+#define WRITE_DELAY MS(400)
 
 /* Returns a range as it is kept in the store. */
 static json_t *
@@ -65,7 +65,7 @@
  * until those lapse, even if a release gets its reply before.
  */
 static void
-read_range(struct keys *k, const json_t *v, usec clear_at)
+read_range(struct keys *k, const json_t *v, usec grants_lapse_at)
 {
 	struct key_range *r = &k->ranges[k->nranges++];
 
@@ -81,22 +81,22 @@
 		r->fence = r->next_fence;
 		r->next = NO_TARGET;
 	}
-	r->granted_until = clear_at;
-	r->unanswered_until = clear_at;
-	r->step = r->next == NO_TARGET ? RANGE_OWNED : RANGE_PLANNED;
+	r->granted_until = grants_lapse_at;
+	r->unanswered_until = grants_lapse_at;
+	r->phase = r->next == NO_TARGET ? RANGE_OWNED : RANGE_PLANNED;
 	/* The next owner may have been granted the keys already. */
-	r->letting_go = r->next != NO_TARGET;
+	r->releasing = r->next != NO_TARGET;
 }
 
 /* Returns when all grants of an earlier controller with this hold time have
  * lapsed; targets may not have read the last of them yet. */
 static usec
-earlier_clear(const struct keys *k, usec hold, usec now)
+earlier_grants_lapse_at(const struct keys *k, usec hold, usec now)
 {
 	if (hold < k->conf.hold)
 		hold = k->conf.hold;
-	return (now + k->conf.order_wait + KEYS_WAY +
-	    (usec)((double)hold * KEYS_CLOCK_SLOW));
+	return (now + k->conf.order_wait + KEYS_NETWORK_DELAY +
+	    (usec)((double)hold * KEYS_CLOCK_DRIFT));
 }
 
 /* True for a valid fence, or 0, which is none. */
@@ -104,19 +104,19 @@
 is_fence(const json_t *v)
 {
 	return (json_is_integer(v) && json_integer_value(v) >= 0 &&
-	    json_integer_value(v) < FENCE_MOST);
+	    json_integer_value(v) < FENCE_MAX);
 }
 
 /* True if a stored list is valid: ranges in order that cover all keys. */
 static int
-makes_sense(const json_t *list)
+is_valid_list(const json_t *list)
 {
 	json_int_t last = -1, from;
 	const json_t *v;
 	size_t i;
 
 	if (!json_is_array(list) || json_array_size(list) == 0 ||
-	    json_array_size(list) > KEYS_RANGES)
+	    json_array_size(list) > KEYS_RANGES_MAX)
 		return (0);
 	json_array_foreach(list, i, v)
 	{
@@ -139,23 +139,23 @@
 {
 	json_t *o = json_loadb(json, n, 0, NULL), *list;
 	json_int_t hold_ms;
-	usec clear_at;
+	usec grants_lapse_at;
 	size_t i;
 	int r;
 
 	list = json_object_get(o, "ranges");
 	hold_ms = json_integer_value(json_object_get(o, "hold_ms"));
-	if (!makes_sense(list) || !is_fence(json_object_get(o, "fence")) ||
-	    hold_ms < 0 || hold_ms > HOLD_MOST / MS(1)) {
+	if (!is_valid_list(list) || !is_fence(json_object_get(o, "fence")) ||
+	    hold_ms < 0 || hold_ms > HOLD_MAX / MS(1)) {
 		json_decref(o);
 		return (-1);
 	}
 	k->top_fence =
 	    (uint64_t)json_integer_value(json_object_get(o, "fence"));
-	clear_at = earlier_clear(k, MS(hold_ms), now);
+	grants_lapse_at = earlier_grants_lapse_at(k, MS(hold_ms), now);
 	k->nranges = 0;
 	for (i = 0; i < json_array_size(list); i++)
-		read_range(k, json_array_get(list, i), clear_at);
+		read_range(k, json_array_get(list, i), grants_lapse_at);
 	for (r = 0; r < k->nranges; r++)
 		k->ranges[r].to =
 		    r + 1 < k->nranges ? k->ranges[r + 1].from - 1 : KEYS - 1;
@@ -165,17 +165,17 @@
 
 /* Sends a write of the whole object. */
 static void
-put(struct keys *k)
+send_write(struct keys *k)
 {
 	k->write_seq++;
 	k->dirty = 0;
 	k->urgent = 0;
 	free(k->put_text);
 	k->put_text = to_json(k);
-	k->put_base = k->version;
-	k->put_open = 1;
-	k->put_lost = 0;
-	k->out->put(k->arg, k->service, k->put_base, k->put_text);
+	k->base_version = k->version;
+	k->put_pending = 1;
+	k->put_unknown = 0;
+	k->cb->put(k->arg, k->service, k->base_version, k->put_text);
 }
 
 /*
@@ -193,16 +193,16 @@
 		k->ranges[i].fence = k->top_fence;
 		if (k->ranges[i].next != NO_TARGET)
 			k->ranges[i].next_fence = k->top_fence + 1;
-		k->ranges[i].fence_by = k->write_seq + 1;
-		k->ranges[i].plan_by = k->write_seq + 1;
+		k->ranges[i].fence_write = k->write_seq + 1;
+		k->ranges[i].plan_write = k->write_seq + 1;
 	}
 	k->top_fence++;
-	put(k);
+	send_write(k);
 }
 
 /* Sets one range over all keys, without an owner. */
 static void
-first_range(struct keys *k)
+init_ranges(struct keys *k)
 {
 	memset(&k->ranges[0], 0, sizeof(k->ranges[0]));
 	k->ranges[0].to = KEYS - 1;
@@ -219,22 +219,22 @@
  * until an operator repairs the object.
  */
 static void
-begin_anew(struct keys *k, usec now)
+reset_owners(struct keys *k, usec now)
 {
-	k->out->event(k->arg, k->service,
+	k->cb->event(k->arg, k->service,
 	    "stored owners are invalid, all keys are assigned again");
-	first_range(k);
-	k->ranges[0].granted_until = earlier_clear(k, 0, now);
-	if (k->top_fence < k->term << FENCES_EACH)
-		k->top_fence = k->term << FENCES_EACH;
+	init_ranges(k);
+	k->ranges[0].granted_until = earlier_grants_lapse_at(k, 0, now);
+	if (k->top_fence < k->term << FENCE_TERM_SHIFT)
+		k->top_fence = k->term << FENCE_TERM_SHIFT;
 }
 
 /* Records that the pending write is stored. */
 static void
-stored(struct keys *k, uint64_t version, usec now)
+write_stored(struct keys *k, uint64_t version, usec now)
 {
-	k->put_open = 0;
-	k->put_lost = 0;
+	k->put_pending = 0;
+	k->put_unknown = 0;
 	k->version = version;
 	k->stored_seq = k->write_seq;
 	if (k->claimed)
@@ -242,36 +242,36 @@
 	k->claimed = 1;
 	k->next_plan = now;
 	k->number++;
-	k->out->event(k->arg, k->service, "owners claimed");
+	k->cb->event(k->arg, k->service, "owners claimed");
 }
 
 /* True if the store holds the pending write. */
 static int
-is_ours(const struct keys *k, const char *json, size_t n)
+is_own_write(const struct keys *k, const char *json, size_t n)
 {
 	json_t *o = json_loadb(json, n, 0, NULL);
-	int ours;
+	int own;
 
-	ours = (uint64_t)json_integer_value(json_object_get(o, "term")) ==
+	own = (uint64_t)json_integer_value(json_object_get(o, "term")) ==
 		k->term &&
 	    (uint64_t)json_integer_value(json_object_get(o, "write")) ==
 		k->write_seq;
 	json_decref(o);
-	return (ours);
+	return (own);
 }
 
 /* Drops all plans and reads again, because another has written the owners. */
 static void
-lost_claim(struct keys *k, usec now)
+drop_claim(struct keys *k, usec now)
 {
-	k->out->event(
+	k->cb->event(
 	    k->arg, k->service, "stored owners were changed by another writer");
 	k->claimed = 0;
 	k->loaded = 0;
-	k->put_open = 0;
-	k->put_lost = 0;
+	k->put_pending = 0;
+	k->put_unknown = 0;
 	k->norders = 0;
-	k->next_try = now + STORE_AGAIN;
+	k->next_try = now + STORE_RETRY_DELAY;
 }
 
 /* Handles the reply to a read; found is 0 if there is no object. */
@@ -279,27 +279,28 @@
 keys_got(struct keys *k, usec now, int found, uint64_t version,
     const char *json, size_t n)
 {
-	k->get_open = 0;
-	if (!k->active || (k->put_open && !k->put_lost))
+	k->get_pending = 0;
+	if (!k->active || (k->put_pending && !k->put_unknown))
 		return;
-	if (k->put_lost) {
-		if (found && is_ours(k, json, n))
-			stored(k, version, now);
-		else if (!found ? k->put_base == 0 : version == k->put_base) {
+	if (k->put_unknown) {
+		if (found && is_own_write(k, json, n))
+			write_stored(k, version, now);
+		else if (!found ? k->base_version == 0
+				: version == k->base_version) {
 			/* Not there yet, so send it again: whichever copy
 			 * arrives first makes the other one fail. */
-			k->put_lost = 0;
-			k->out->put(
-			    k->arg, k->service, k->put_base, k->put_text);
+			k->put_unknown = 0;
+			k->cb->put(
+			    k->arg, k->service, k->base_version, k->put_text);
 		} else
-			lost_claim(k, now);
+			drop_claim(k, now);
 		return;
 	}
 	k->version = found ? version : 0;
 	if (!found)
-		first_range(k);
+		init_ranges(k);
 	else if (from_json(k, json, n, now) != 0)
-		begin_anew(k, now);
+		reset_owners(k, now);
 	k->loaded = 1;
 	claim(k);
 }
@@ -308,8 +309,8 @@
 void
 keys_get_failed(struct keys *k, usec now)
 {
-	k->get_open = 0;
-	k->next_try = now + STORE_AGAIN;
+	k->get_pending = 0;
+	k->next_try = now + STORE_RETRY_DELAY;
 }
 
 /* Returns the id of the last write sent, unique among all terms. */
@@ -328,28 +329,29 @@
 keys_put_ended(struct keys *k, usec now, uint64_t write, enum put_result res,
     uint64_t version)
 {
-	if (!k->put_open || write != keys_write(k))
+	if (!k->put_pending || write != keys_write(k))
 		return;
 	if (res == PUT_DONE) {
-		stored(k, version, now);
+		write_stored(k, version, now);
 		return;
 	}
-	k->put_lost = 1;
-	k->next_try = res == PUT_CONFLICT ? now : now + STORE_AGAIN;
+	k->put_unknown = 1;
+	k->next_try = res == PUT_CONFLICT ? now : now + STORE_RETRY_DELAY;
 }
 
 /* Sends the read or write that is due. */
 void
 keys_store_tick(struct keys *k, usec now)
 {
-	int want = !k->loaded || k->put_lost;
+	int want = !k->loaded || k->put_unknown;
 
-	if (want && !k->get_open && now >= k->next_try) {
-		k->get_open = 1;
-		k->next_try = now + STORE_AGAIN;
-		k->out->get(k->arg, k->service);
+	if (want && !k->get_pending && now >= k->next_try) {
+		k->get_pending = 1;
+		k->next_try = now + STORE_RETRY_DELAY;
+		k->cb->get(k->arg, k->service);
 	}
-	if (k->claimed && !k->put_open && k->dirty &&
-	    (k->urgent || k->closing || now - k->dirty_since >= WRITE_LATER))
-		put(k);
+	if (k->claimed && !k->put_pending && k->dirty &&
+	    (k->urgent || k->handing_over ||
+		now - k->dirty_since >= WRITE_DELAY))
+		send_write(k);
 }
--- a/decide/share.c
+++ b/decide/share.c
@@ -2,19 +2,19 @@
 
 /* Part of a limit that is divided evenly whatever the demand, so that a target
  * without recent requests need not wait for its first share. */
-#define EVEN_PART 0.2
+#define EVEN_SHARE 0.2
 /* Capacity of a bucket in seconds of its rate; at least one request. */
 #define BURST_SECONDS 0.2
 
 /* Returns the share of a limit that demand calls for. */
 static double
-wish(const struct share *s, double sum, int n, double limit)
+share_by_demand(const struct share *s, double sum, int n, double limit)
 {
-	double even = limit * EVEN_PART / n;
+	double even = limit * EVEN_SHARE / n;
 
 	if (sum <= 0)
 		return (limit / n);
-	return (even + limit * (1 - EVEN_PART) * s->demand / sum);
+	return (even + limit * (1 - EVEN_SHARE) * s->demand / sum);
 }
 
 /*
@@ -26,29 +26,29 @@
 void
 share_plan(struct share **s, int n, double limit, int may_raise)
 {
-	double sum = 0, used = 0, w, room;
+	double sum = 0, used = 0, wanted, unassigned;
 	int i;
 
 	for (i = 0; i < n; i++)
 		sum += s[i]->demand;
 	for (i = 0; i < n; i++) {
-		w = wish(s[i], sum, n, limit);
-		if (w < s[i]->given)
-			s[i]->given = w;
+		wanted = share_by_demand(s[i], sum, n, limit);
+		if (wanted < s[i]->given)
+			s[i]->given = wanted;
 		if (s[i]->held < s[i]->given)
 			s[i]->held = s[i]->given;
 		used += s[i]->held;
 	}
 	for (i = 0; i < n && may_raise; i++) {
-		w = wish(s[i], sum, n, limit);
-		room = limit - used;
-		if (w <= s[i]->held || room <= 0)
+		wanted = share_by_demand(s[i], sum, n, limit);
+		unassigned = limit - used;
+		if (wanted <= s[i]->held || unassigned <= 0)
 			continue;
-		if (w - s[i]->held > room)
-			w = s[i]->held + room;
-		used += w - s[i]->held;
-		s[i]->given = w;
-		s[i]->held = w;
+		if (wanted - s[i]->held > unassigned)
+			wanted = s[i]->held + unassigned;
+		used += wanted - s[i]->held;
+		s[i]->given = wanted;
+		s[i]->held = wanted;
 	}
 }
 
--- a/regress/unit/t_keys.c
+++ b/regress/unit/t_keys.c
@@ -16,7 +16,7 @@
 #define STEP MS(5)
 #define TARGETS 8
 #define SAMPLES 96 /* keys that are checked */
-#define MAILS 4096
+#define MESSAGES_MAX 4096
 #define SLOW_CLOCK 1.0204 /* hold time by a clock that runs 2% slow */
 
 /* A simulated target, one for each incarnation. */
@@ -26,20 +26,26 @@
 	int up;
 	int listed;
 	int leaving;
-	uint64_t seen[SAMPLES];
-	usec until[SAMPLES];
+	uint64_t fence_seen[SAMPLES];
+	usec held_until[SAMPLES];
 };
 
-enum mail_kind { MAIL_ORDER, MAIL_ANSWER, MAIL_PUT, MAIL_PUT_ANSWER, MAIL_GET };
+enum message_kind {
+	MESSAGE_ORDER,
+	MESSAGE_ORDER_REPLY,
+	MESSAGE_PUT,
+	MESSAGE_PUT_REPLY,
+	MESSAGE_GET
+};
 
 /* A message or reply in transit. */
-struct mail {
-	enum mail_kind kind;
+struct message {
+	enum message_kind kind;
 	usec due;
 	usec arrival; /* of an order: its hold time counts from here */
 	int controller;
 	struct key_order order;
-	int reader; /* index of the target that has received it, or -1 */
+	int receiver; /* index of the target that has received it, or -1 */
 	int status;
 	uint64_t base;
 	uint64_t version;
@@ -48,29 +54,30 @@
 };
 
 static struct keys ctl[2];
-static int now_ctl; /* index of the controller in control, or -1 */
+static int active_ctl; /* index of the controller in control, or -1 */
 static struct fake fakes[TARGETS * 8];
 static int nfakes;
-static struct mail mails[MAILS];
-static int nmails;
+static struct message messages[MESSAGES_MAX];
+static int nmessages;
 static char *stored;
 static uint64_t stored_version;
 static usec now;
 static uint64_t seed;
-static double lose; /* share of orders and replies that are lost or late */
-static int cut_target =
-    -1;		    /* index of a target that cannot be connected to, or -1 */
-static double busy; /* share of grants that open a connection and wait there */
+static double loss; /* share of orders and replies that are lost or late */
+/* Index of a target that cannot be connected to, or -1. */
+static int unreachable_target = -1;
+/* Share of grants that open a connection and wait there. */
+static double read_late_share;
 static int store_down;
 static uint64_t top_fence[SAMPLES];
 static usec unheld_since[SAMPLES];
 static usec longest_unheld;
-static int double_held, fence_fell;
-static usec way;	      /* delay of an order to its target */
-static usec put_answer;	      /* delay of the reply to a write */
-static uint64_t stored_fence; /* the highest fence in the store */
-static int unstored;	      /* grants sent with a higher fence */
-static int strayed;	      /* orders sent to another target's address */
+static int double_held, fence_violations;
+static usec order_delay;       /* delay of an order to its target */
+static usec put_reply_delay;   /* delay of the reply to a write */
+static uint64_t stored_fence;  /* the highest fence in the store */
+static int unstored_grants;    /* grants sent with a higher fence */
+static int misdirected_orders; /* orders sent to another target's address */
 static struct evacuations evacuations; /* of data centres "dc0" and "dc1" */
 static usec cold_until[2];	       /* of the targets of each */
 
@@ -91,16 +98,16 @@
 }
 
 /* Puts a message in transit. */
-static struct mail *
-post(enum mail_kind kind, usec delay)
+static struct message *
+send_message(enum message_kind kind, usec delay)
 {
-	struct mail *m = &mails[nmails++];
+	struct message *m = &messages[nmessages++];
 
-	if (nmails == MAILS)
+	if (nmessages == MESSAGES_MAX)
 		abort();
 	memset(m, 0, sizeof(*m));
 	m->kind = kind;
-	m->reader = -1;
+	m->receiver = -1;
 	m->due = now + delay;
 	return (m);
 }
@@ -114,22 +121,22 @@
 static void
 on_get(void *arg, const char *service)
 {
-	post(MAIL_GET, MS(4))->controller = controller_of(arg);
+	send_message(MESSAGE_GET, MS(4))->controller = controller_of(arg);
 }
 
 static void
 on_put(void *arg, const char *service, uint64_t base, const char *json)
 {
-	struct mail *m = post(MAIL_PUT, MS(4));
+	struct message *m = send_message(MESSAGE_PUT, MS(4));
 
 	m->controller = controller_of(arg);
 	m->base = base;
 	m->write = keys_write(arg);
 	m->text = strdup(json);
-	if (chance() < lose) /* it arrives seconds later, without a reply */
+	if (chance() < loss) /* it arrives seconds later, without a reply */
 		m->due = now + (usec)(chance() * (double)MS(6000));
 	/* The sender gives up after this time without a reply. */
-	m = post(MAIL_PUT_ANSWER, MS(1500));
+	m = send_message(MESSAGE_PUT_REPLY, MS(1500));
 	m->controller = controller_of(arg);
 	m->status = 503;
 	m->write = keys_write(arg);
@@ -137,7 +144,7 @@
 
 /* True if the address that an order goes to is another target's. */
 static int
-is_anothers(const struct key_order *o)
+is_reused_addr(const struct key_order *o)
 {
 	int i;
 
@@ -152,10 +159,10 @@
 static void
 on_order(void *arg, const char *service, const struct key_order *o)
 {
-	struct mail *m = post(MAIL_ORDER, way);
+	struct message *m = send_message(MESSAGE_ORDER, order_delay);
 
-	unstored += !o->release && o->fence > stored_fence;
-	strayed += is_anothers(o);
+	unstored_grants += !o->release && o->fence > stored_fence;
+	misdirected_orders += is_reused_addr(o);
 	m->controller = controller_of(arg);
 	m->order = *o;
 	m->arrival = m->due;
@@ -184,16 +191,17 @@
  * not get it under this one.  A target that restarted may get the same grant
  * again. */
 static int
-forbids(const struct fake *had, const struct fake *takes, int i, uint64_t fence)
+fence_conflicts(
+    const struct fake *had, const struct fake *takes, int i, uint64_t fence)
 {
 	if (incarnation_same_target(had->id, takes->id))
-		return (had->seen[i] > fence);
-	return (had->seen[i] >= fence);
+		return (had->fence_seen[i] > fence);
+	return (had->fence_seen[i] >= fence);
 }
 
 /* Handles a grant at a target; returns the HTTP status. */
 static int
-take_grant(struct fake *f, const struct mail *m)
+handle_grant(struct fake *f, const struct message *m)
 {
 	const struct key_order *o = &m->order;
 	usec until = m->arrival + (usec)(MS(o->hold_ms) * SLOW_CLOCK);
@@ -201,7 +209,7 @@
 
 	for (i = 0; i < SAMPLES; i++) {
 		if (sample(i) >= o->from && sample(i) <= o->to &&
-		    f->seen[i] > o->fence)
+		    f->fence_seen[i] > o->fence)
 			return (409);
 	}
 	for (i = 0; i < SAMPLES; i++) {
@@ -211,61 +219,61 @@
 		 * unless the grant has already lapsed and gives no key. */
 		for (t = 0; t < nfakes && until > now; t++) {
 			if (&fakes[t] != f &&
-			    forbids(&fakes[t], f, i, o->fence))
-				fence_fell++;
+			    fence_conflicts(&fakes[t], f, i, o->fence))
+				fence_violations++;
 		}
-		f->seen[i] = o->fence;
-		if (f->until[i] < until)
-			f->until[i] = until;
+		f->fence_seen[i] = o->fence;
+		if (f->held_until[i] < until)
+			f->held_until[i] = until;
 	}
 	return (200);
 }
 
 /* Handles a release at a target. */
 static void
-take_release(struct fake *f, const struct key_order *o)
+handle_release(struct fake *f, const struct key_order *o)
 {
 	int i;
 
 	for (i = 0; i < SAMPLES; i++) {
 		if (sample(i) >= o->from && sample(i) <= o->to)
-			f->until[i] = 0;
+			f->held_until[i] = 0;
 	}
 }
 
 /* Returns the target that carries out an order, or NULL: the incarnation that
  * has received it, if still up, or else the one at its address now. */
 static struct fake *
-taker(const struct mail *m)
+order_receiver(const struct message *m)
 {
-	if (m->reader < 0)
+	if (m->receiver < 0)
 		return (fake_at(&m->order));
-	return (fakes[m->reader].up ? &fakes[m->reader] : NULL);
+	return (fakes[m->receiver].up ? &fakes[m->receiver] : NULL);
 }
 
 /* Delivers an order, or carries out one that was delayed, without a reply. */
 static void
-deliver_order(struct mail *m)
+deliver_order(struct message *m)
 {
-	struct fake *f = taker(m);
-	struct mail copy = *m, *a;
+	struct fake *f = order_receiver(m);
+	struct message copy = *m, *a;
 	int status = 200;
 
 	if (f == NULL)
 		return;
-	if (m->due == m->arrival && chance() < lose) {
+	if (m->due == m->arrival && chance() < loss) {
 		copy.due = now + MS(2000) + (usec)(chance() * MS(10000));
-		copy.reader = (int)(f - fakes);
-		mails[nmails++] = copy;
+		copy.receiver = (int)(f - fakes);
+		messages[nmessages++] = copy;
 		return;
 	}
 	if (m->order.release)
-		take_release(f, &m->order);
+		handle_release(f, &m->order);
 	else
-		status = take_grant(f, m);
-	if (m->due != m->arrival || chance() < lose / 2)
+		status = handle_grant(f, m);
+	if (m->due != m->arrival || chance() < loss / 2)
 		return;
-	a = post(MAIL_ANSWER,
+	a = send_message(MESSAGE_ORDER_REPLY,
 	    m->order.release ? MS(1) + (usec)(chance() * MS(250)) : MS(1));
 	a->controller = copy.controller;
 	a->order = copy.order;
@@ -286,9 +294,9 @@
 
 /* Carries out a write to the store and sends the reply. */
 static void
-deliver_put(struct mail *m)
+deliver_put(struct message *m)
 {
-	struct mail *a;
+	struct message *a;
 	char *text = m->text;
 	int c = m->controller, ok = stored_version == m->base && !store_down;
 	uint64_t version, write = m->write;
@@ -301,9 +309,9 @@
 	} else
 		free(text);
 	version = stored_version;
-	if (chance() < lose)
+	if (chance() < loss)
 		return;
-	a = post(MAIL_PUT_ANSWER, put_answer);
+	a = send_message(MESSAGE_PUT_REPLY, put_reply_delay);
 	a->controller = c;
 	a->status = store_down ? 503 : ok ? 200 : 409;
 	a->version = version;
@@ -312,28 +320,28 @@
 
 /* Delivers a message to its receiver. */
 static void
-deliver(struct mail *m)
+deliver(struct message *m)
 {
 	struct keys *k = &ctl[m->controller];
 
 	switch (m->kind) {
-	case MAIL_ORDER:
+	case MESSAGE_ORDER:
 		deliver_order(m);
 		break;
-	case MAIL_ANSWER:
+	case MESSAGE_ORDER_REPLY:
 		keys_ordered(k, now, m->order.id, m->status, "token");
 		break;
-	case MAIL_PUT:
+	case MESSAGE_PUT:
 		deliver_put(m);
 		break;
-	case MAIL_PUT_ANSWER:
+	case MESSAGE_PUT_REPLY:
 		keys_put_ended(k, now, m->write,
 		    m->status == 200	   ? PUT_DONE
 			: m->status == 409 ? PUT_CONFLICT
 					   : PUT_LOST,
 		    m->version);
 		break;
-	case MAIL_GET:
+	case MESSAGE_GET:
 		if (store_down)
 			keys_get_failed(k, now);
 		else
@@ -344,79 +352,79 @@
 }
 
 /* An order that is given up at some time, as the HTTP client does. */
-struct waiting {
+struct open_call {
 	int controller;
 	uint64_t id;
 	int status;
 	usec until;
 };
-static int refuses[128];
-static struct waiting waits[MAILS];
-static int nwaits;
+static int refused[128];
+static struct open_call calls[MESSAGES_MAX];
+static int ncalls;
 
 /* Delays a grant on a new connection until the target has a slot to read it,
  * even if its sender gives up; its hold time counts from then. */
 static void
-wait_to_be_read(struct mail *m, struct waiting *w)
+delay_read(struct message *m, struct open_call *call)
 {
 	struct fake *f = fake_at(&m->order);
 
-	m->reader = f == NULL ? -1 : (int)(f - fakes);
+	m->receiver = f == NULL ? -1 : (int)(f - fakes);
 	m->due = now + (usec)(chance() * (double)MS(1950));
 	m->arrival = m->due;
-	w->status = ORDER_UNREAD;
-	w->until = now + MS(1500);
+	call->status = ORDER_UNREAD;
+	call->until = now + MS(1500);
 }
 
 static void
-on_order_timed(void *arg, const char *service, const struct key_order *o)
+on_order_with_timeout(void *arg, const char *service, const struct key_order *o)
 {
 	on_order(arg, service, o);
-	waits[nwaits].controller = controller_of(arg);
-	waits[nwaits].id = o->id;
-	waits[nwaits].status = ORDER_SILENT;
-	waits[nwaits].until = now + (o->release ? MS(2500) : MS(500));
-	if (!o->release && chance() < busy)
-		wait_to_be_read(&mails[nmails - 1], &waits[nwaits]);
+	calls[ncalls].controller = controller_of(arg);
+	calls[ncalls].id = o->id;
+	calls[ncalls].status = ORDER_SILENT;
+	calls[ncalls].until = now + (o->release ? MS(2500) : MS(500));
+	if (!o->release && chance() < read_late_share)
+		delay_read(&messages[nmessages - 1], &calls[ncalls]);
 	/* The first order to a dead target goes out on a kept connection; for
 	 * the next, the connection is refused.  No later incarnation reads
 	 * either, as it does not have that connection. */
-	if (atoi(o->target + 1) == cut_target) {
-		nmails--;
-		waits[nwaits].status = ORDER_NOT_SENT;
-		waits[nwaits].until = now + MS(300);
+	if (atoi(o->target + 1) == unreachable_target) {
+		nmessages--;
+		calls[ncalls].status = ORDER_NOT_SENT;
+		calls[ncalls].until = now + MS(300);
 	} else if (fake_at(o) == NULL) {
-		nmails--;
-		if (refuses[atoi(o->target + 1)]++ > 0) {
-			waits[nwaits].status = ORDER_NOT_SENT;
-			waits[nwaits].until = now + MS(300);
+		nmessages--;
+		if (refused[atoi(o->target + 1)]++ > 0) {
+			calls[ncalls].status = ORDER_NOT_SENT;
+			calls[ncalls].until = now + MS(300);
 		}
 	}
-	nwaits++;
+	ncalls++;
 }
 
-static const struct keys_out timed_out = {
-    on_get, on_put, on_order_timed, on_event};
+static const struct keys_out callbacks = {
+    on_get, on_put, on_order_with_timeout, on_event};
 
 /* Ends the orders whose time is over. */
 static void
-give_up_waiting(void)
+expire_calls(void)
 {
-	struct waiting w;
+	struct open_call w;
 	int i;
 
-	for (i = 0; i < nwaits; i++) {
-		if (now < waits[i].until)
+	for (i = 0; i < ncalls; i++) {
+		if (now < calls[i].until)
 			continue;
-		w = waits[i];
-		waits[i--] = waits[--nwaits];
+		w = calls[i];
+		calls[i--] = calls[--ncalls];
 		keys_ordered(&ctl[w.controller], now, w.id, w.status, "");
 	}
 }
 
 /* Sends a controller the current targets. */
 static void
-tell_fleet(struct keys *k)
+send_fleet(struct keys *k)
 {
 	struct fleet_target t[TARGETS * 8];
 	struct fleet f = {.targets = t};
@@ -454,7 +462,7 @@
 
 /* Restarts a target under its id, at its address or another. */
 static struct fake *
-start_again(int t, int elsewhere)
+restart(int t, int elsewhere)
 {
 	struct fake *f;
 	char id[NAME_MAX_GS];
@@ -478,14 +486,14 @@
 
 /* Counts keys that two targets hold, and times those that none holds. */
 static void
-look(void)
+check_holders(void)
 {
 	int i, t, holders;
 
 	for (i = 0; i < SAMPLES; i++) {
 		holders = 0;
 		for (t = 0; t < nfakes; t++)
-			holders += fakes[t].up && fakes[t].until[i] > now;
+			holders += fakes[t].up && fakes[t].held_until[i] > now;
 		double_held += holders > 1;
 		if (holders > 0)
 			unheld_since[i] = 0;
@@ -500,21 +508,21 @@
 static void
 step(void)
 {
-	struct mail m;
+	struct message m;
 	int i;
 
 	now += STEP;
-	for (i = 0; i < nmails; i++) {
-		if (mails[i].due > now)
+	for (i = 0; i < nmessages; i++) {
+		if (messages[i].due > now)
 			continue;
-		m = mails[i];
-		mails[i--] = mails[--nmails];
+		m = messages[i];
+		messages[i--] = messages[--nmessages];
 		deliver(&m);
 	}
-	give_up_waiting();
-	if (now_ctl >= 0)
-		keys_tick(&ctl[now_ctl], now);
-	look();
+	expire_calls();
+	if (active_ctl >= 0)
+		keys_tick(&ctl[active_ctl], now);
+	check_holders();
 }
 
 /* Runs the simulation for a time. */
@@ -531,10 +539,10 @@
 static void
 control(int n)
 {
-	now_ctl = n;
+	active_ctl = n;
 	if (n < 0)
 		return;
-	tell_fleet(&ctl[n]);
+	send_fleet(&ctl[n]);
 	keys_begin(&ctl[n], (uint64_t)(now / STEP), now);
 }
 
@@ -548,25 +556,26 @@
 
 	seed = s * 7919 + 1;
 	now = MS(1000);
-	for (i = 0; i < nmails; i++)
-		free(mails[i].text);
-	nmails = nwaits = nfakes = 0;
+	for (i = 0; i < nmessages; i++)
+		free(messages[i].text);
+	nmessages = ncalls = nfakes = 0;
 	free(stored);
 	stored = NULL;
 	stored_version = 0;
 	store_down = 0;
-	lose = 0;
-	busy = 0;
-	double_held = fence_fell = unstored = strayed = 0;
-	way = MS(1);
-	put_answer = MS(1);
+	loss = 0;
+	read_late_share = 0;
+	double_held = fence_violations = unstored_grants = misdirected_orders =
+	    0;
+	order_delay = MS(1);
+	put_reply_delay = MS(1);
 	stored_fence = 0;
-	memset(refuses, 0, sizeof(refuses));
+	memset(refused, 0, sizeof(refused));
 	memset(top_fence, 0, sizeof(top_fence));
 	memset(unheld_since, 0, sizeof(unheld_since));
 	for (i = 0; i < 2; i++) {
 		keys_free(&ctl[i]);
-		keys_init(&ctl[i], "s", &conf, &timed_out, &ctl[i]);
+		keys_init(&ctl[i], "s", &conf, &callbacks, &ctl[i]);
 	}
 	for (i = 0; i < TARGETS; i++)
 		add_fake();
@@ -577,7 +586,7 @@
 
 /* Reports requests: some for a hot range of keys, others for any keys. */
 static void
-ask(int hot, int cold)
+send_requests(int hot, int cold)
 {
 	uint16_t keys[256];
 	int i, n = 0;
@@ -586,19 +595,19 @@
 		keys[n++] = (uint16_t)(30000 + (int)(chance() * 100));
 	for (i = 0; i < cold && n < 256; i++)
 		keys[n++] = (uint16_t)(chance() * 65536);
-	keys_heat(&ctl[now_ctl], keys, n, 1, now);
+	keys_heat(&ctl[active_ctl], keys, n, 1, now);
 }
 
 /* Returns how many targets hold keys of the hot range. */
 static int
 owners_of_hot(void)
 {
-	int i, t, n = 0, seen[TARGETS * 8] = {0};
+	int i, t, n = 0, counted[TARGETS * 8] = {0};
 
 	for (i = 0; i < SAMPLES / 2; i++) {
 		for (t = 0; t < nfakes; t++) {
-			if (fakes[t].until[i] > now && !seen[t]) {
-				seen[t] = 1;
+			if (fakes[t].held_until[i] > now && !counted[t]) {
+				counted[t] = 1;
 				n++;
 			}
 		}
@@ -608,19 +617,19 @@
 
 /* Checks that all keys are held now, and that no key was ever held twice. */
 static void
-all_held(void)
+check_all_held(void)
 {
 	longest_unheld = 0;
 	memset(unheld_since, 0, sizeof(unheld_since));
 	run(MS(1000));
 	CU_ASSERT_EQUAL(longest_unheld, 0);
 	CU_ASSERT_EQUAL(double_held, 0);
-	CU_ASSERT_EQUAL(fence_fell, 0);
+	CU_ASSERT_EQUAL(fence_violations, 0);
 }
 
 /* After a start every target gets keys, and all keys have an owner. */
 static void
-first_shares(void)
+initial_assignment(void)
 {
 	start(1);
 	run(MS(1000));
@@ -635,19 +644,19 @@
  * several targets, and no key is without an owner for long.
  */
 static void
-hot_run(void)
+hot_range(void)
 {
 	int i, n;
 
 	start(2);
 	for (i = 0; i < 20; i++) {
-		ask(0, 40);
+		send_requests(0, 40);
 		run(MS(200));
 	}
 	n = owners_of_hot();
 	CU_ASSERT_EQUAL(n, 1);
 	for (i = 0; i < 10; i++) {
-		ask(20, 20);
+		send_requests(20, 20);
 		run(MS(200));
 	}
 	n = owners_of_hot();
@@ -656,7 +665,7 @@
 	CU_ASSERT(longest_unheld <= MS(400));
 	/* When the load is gone the small ranges are joined again. */
 	for (i = 0; i < 60; i++) {
-		ask(0, 40);
+		send_requests(0, 40);
 		run(MS(200));
 	}
 	CU_ASSERT(ctl[0].nranges <= 8 * TARGETS);
@@ -674,10 +683,10 @@
 
 	start(3);
 	fakes[2].leaving = 1;
-	tell_fleet(&ctl[0]);
+	send_fleet(&ctl[0]);
 	run(MS(1500));
 	for (i = 0; i < SAMPLES; i++)
-		CU_ASSERT(fakes[2].until[i] <= now);
+		CU_ASSERT(fakes[2].held_until[i] <= now);
 	CU_ASSERT_EQUAL(double_held, 0);
 	CU_ASSERT(longest_unheld <= MS(400));
 }
@@ -690,35 +699,35 @@
 
 	for (i = dc; i < nfakes; i += 2) {
 		for (n = 0; n < SAMPLES; n++)
-			held += fakes[i].until[n] > now;
+			held += fakes[i].held_until[n] > now;
 	}
 	return (held);
 }
 
 /* The keys of an evacuated data centre move to others, and come back after. */
 static void
-evacuated(void)
+evacuated_dc(void)
 {
 	int i;
 
 	start(8);
 	CU_ASSERT(held_in(1) > 0);
 	evacuations_begin(&evacuations, "dc1", now);
-	tell_fleet(&ctl[0]);
+	send_fleet(&ctl[0]);
 	run(MS(1500));
 	CU_ASSERT_EQUAL(held_in(1), 0);
 	CU_ASSERT_EQUAL(held_in(0), SAMPLES);
 	CU_ASSERT(longest_unheld <= MS(400));
 	/* With all data centres evacuated the keys stay where they are. */
 	evacuations_begin(&evacuations, "dc0", now);
-	tell_fleet(&ctl[0]);
+	send_fleet(&ctl[0]);
 	run(MS(1500));
 	CU_ASSERT_EQUAL(held_in(0), SAMPLES);
 	evacuations_end(&evacuations, "dc0", now);
 	evacuations_end(&evacuations, "dc1", now);
-	tell_fleet(&ctl[0]);
+	send_fleet(&ctl[0]);
 	for (i = 0; i < 30; i++) {
-		ask(0, 100);
+		send_requests(0, 100);
 		run(MS(200));
 	}
 	CU_ASSERT(held_in(1) > 0);
@@ -730,27 +739,27 @@
 /* Targets of a data centre that is back get no keys while they have a rate
  * limit, as most requests for these keys would be refused. */
 static void
-back_cold(void)
+cold_after_evacuation(void)
 {
 	int i;
 
 	start(8);
 	keys_cold(&ctl[0], MS(3000), 1);
 	evacuations_begin(&evacuations, "dc1", now);
-	tell_fleet(&ctl[0]);
+	send_fleet(&ctl[0]);
 	run(MS(1500));
 	evacuations_end(&evacuations, "dc1", now);
-	tell_fleet(&ctl[0]);
+	send_fleet(&ctl[0]);
 	for (i = 0; i < 13; i++) {
 		/* Nor do they get the keys of a target that leaves. */
 		fakes[2].leaving = i > 4;
-		tell_fleet(&ctl[0]);
-		ask(0, 100);
+		send_fleet(&ctl[0]);
+		send_requests(0, 100);
 		run(MS(200));
 		CU_ASSERT_EQUAL(held_in(1), 0);
 	}
 	for (i = 0; i < 30; i++) {
-		ask(0, 100);
+		send_requests(0, 100);
 		run(MS(200));
 	}
 	CU_ASSERT(held_in(1) > SAMPLES / 8);
@@ -767,16 +776,16 @@
 	keys_cold(&ctl[0], MS(3000), 1);
 	had = held_in(1);
 	cold_until[1] = now + MS(20000);
-	tell_fleet(&ctl[0]);
+	send_fleet(&ctl[0]);
 	for (i = 0; i < 25; i++) {
-		ask(0, 100);
+		send_requests(0, 100);
 		run(MS(200));
 	}
 	CU_ASSERT(held_in(1) < had / 4);
 	CU_ASSERT(longest_unheld <= MS(400));
 	/* If all targets are cold the keys still have owners. */
 	cold_until[0] = cold_until[1];
-	tell_fleet(&ctl[0]);
+	send_fleet(&ctl[0]);
 	run(MS(3000));
 	CU_ASSERT_EQUAL(held_in(0) + held_in(1), SAMPLES);
 	CU_ASSERT_EQUAL(double_held, 0);
@@ -807,11 +816,11 @@
  * from the store.  Its keys move only after it has released them.
  */
 static void
-gone_but_alive(void)
+gone_but_serving(void)
 {
 	start(5);
 	fakes[1].leaving = 1;
-	tell_fleet(&ctl[0]);
+	send_fleet(&ctl[0]);
 	fakes[1].listed = 1;
 	run(MS(3000));
 	CU_ASSERT_EQUAL(double_held, 0);
@@ -832,7 +841,7 @@
 	for (i = 0; i < SAMPLES; i++) {
 		was[i] = -1;
 		for (t = 0; t < nfakes; t++) {
-			if (fakes[t].until[i] > now)
+			if (fakes[t].held_until[i] > now)
 				was[i] = t;
 		}
 	}
@@ -841,10 +850,10 @@
 	control(1);
 	run(MS(3000));
 	for (i = 0; i < SAMPLES; i++)
-		CU_ASSERT(fakes[was[i]].until[i] > now);
+		CU_ASSERT(fakes[was[i]].held_until[i] > now);
 	CU_ASSERT_EQUAL(longest_unheld, 0);
 	CU_ASSERT_EQUAL(double_held, 0);
-	CU_ASSERT_EQUAL(fence_fell, 0);
+	CU_ASSERT_EQUAL(fence_violations, 0);
 }
 
 /*
@@ -852,14 +861,14 @@
  * are planned that cannot be written.
  */
 static void
-store_away(void)
+store_unavailable(void)
 {
 	int i;
 
 	start(7);
 	store_down = 1;
 	for (i = 0; i < 60; i++) {
-		ask(20, 20);
+		send_requests(20, 20);
 		run(MS(200));
 	}
 	CU_ASSERT_EQUAL(longest_unheld, 0);
@@ -907,7 +916,7 @@
 limited_target(void)
 {
 	const int limit = 2, each = 30, rounds = 40, last_rounds = 10;
-	int i, n, t, there = 0, again = 0;
+	int i, n, t, limited_requests = 0, unlimited_requests = 0;
 	uint16_t keys[30];
 
 	start(8);
@@ -925,9 +934,10 @@
 					       .id,
 					fakes[2].id) != 0)
 					continue;
-				there +=
+				limited_requests +=
 				    i >= rounds - last_rounds && i < rounds;
-				again += i >= 2 * rounds - last_rounds;
+				unlimited_requests +=
+				    i >= 2 * rounds - last_rounds;
 			}
 		}
 		keys_heat(&ctl[0], keys, each, 1, now);
@@ -935,8 +945,8 @@
 	}
 	/* Each count covers two seconds; 1.5 times the limit and 5 requests
 	 * more are allowed in that time. */
-	CU_ASSERT(there <= 1.5 * limit * 2 + 5);
-	CU_ASSERT(again > 2 * there);
+	CU_ASSERT(limited_requests <= 1.5 * limit * 2 + 5);
+	CU_ASSERT(unlimited_requests > 2 * limited_requests);
 	CU_ASSERT_EQUAL(double_held, 0);
 }
 
@@ -956,12 +966,12 @@
 	control(1);
 	run(MS(300));
 	for (i = 0; i < 10; i++) {
-		ask(25, 15);
+		send_requests(25, 15);
 		run(MS(200));
 	}
 	CU_ASSERT_EQUAL(longest_unheld, 0);
 	for (i = 0; i < 20; i++) {
-		ask(25, 15);
+		send_requests(25, 15);
 		run(MS(200));
 	}
 	CU_ASSERT(owners_of_hot() >= 4);
@@ -970,13 +980,13 @@
 
 /* Causes one random fault or change. */
 static void
-trouble(void)
+random_fault(void)
 {
 	int t = (int)(chance() * nfakes);
 	double x = chance();
 
 	if (x < 0.08 && nfakes < TARGETS * 8) {
-		start_again(t, chance() < 0.3);
+		restart(t, chance() < 0.3);
 	} else if (x < 0.15 && nfakes < TARGETS * 8) {
 		add_fake();
 	} else if (x < 0.3) {
@@ -986,16 +996,16 @@
 	} else if (x < 0.45) {
 		fakes[t].listed = 0;
 	} else if (x < 0.6) {
-		lose = lose > 0 ? 0 : 0.4;
+		loss = loss > 0 ? 0 : 0.4;
 	} else if (x < 0.7) {
 		store_down = !store_down;
 	} else if (x < 0.85) {
 		control(-1);
 		run((usec)(chance() * MS(2500)));
-		control(now_ctl == 0 ? 1 : (int)(chance() * 2));
+		control(active_ctl == 0 ? 1 : (int)(chance() * 2));
 	}
-	if (now_ctl >= 0)
-		tell_fleet(&ctl[now_ctl]);
+	if (active_ctl >= 0)
+		send_fleet(&ctl[active_ctl]);
 }
 
 /*
@@ -1007,64 +1017,64 @@
 static void
 random_schedules(void)
 {
-	const char *more = getenv("KEYS_SEEDS");
-	int s, i, seeds = more == NULL ? 25 : atoi(more);
+	const char *env = getenv("KEYS_SEEDS");
+	int s, i, seeds = env == NULL ? 25 : atoi(env);
 
 	for (s = 100; s < 100 + seeds; s++) {
 		start((uint64_t)s);
-		busy = s % 2 == 0 ? 0 : 0.2;
+		read_late_share = s % 2 == 0 ? 0 : 0.2;
 		for (i = 0; i < 60; i++) {
-			if (now_ctl >= 0)
-				ask(15, 15);
+			if (active_ctl >= 0)
+				send_requests(15, 15);
 			run(MS(100) + (usec)(chance() * MS(700)));
 			if (chance() < 0.4)
-				trouble();
+				random_fault();
 		}
-		if (double_held + fence_fell > 0)
+		if (double_held + fence_violations > 0)
 			printf("seed %d: %d double, %d fences\n", s,
-			    double_held, fence_fell);
+			    double_held, fence_violations);
 		CU_ASSERT_EQUAL(double_held, 0);
-		CU_ASSERT_EQUAL(fence_fell, 0);
-		CU_ASSERT_EQUAL(unstored, 0);
+		CU_ASSERT_EQUAL(fence_violations, 0);
+		CU_ASSERT_EQUAL(unstored_grants, 0);
 	}
 }
 
 /* Makes one target unreachable for 6 s. */
 static void
-cut_one_off(void)
+cut_off_one(void)
 {
 	int i;
 
-	cut_target = (int)(chance() * TARGETS);
+	unreachable_target = (int)(chance() * TARGETS);
 	for (i = 0; i < 4; i++) {
 		run(MS(1500));
-		tell_fleet(&ctl[now_ctl]);
+		send_fleet(&ctl[active_ctl]);
 	}
-	cut_target = -1;
+	unreachable_target = -1;
 }
 
 /* A grant that arrives after its sender gave up causes no second holder. */
 static void
-long_way(void)
+grants_delayed(void)
 {
 	int s;
 
 	for (s = 0; s < 40; s++) {
 		start((uint64_t)s);
 		run(MS(2000));
-		way = MS(640);
+		order_delay = MS(640);
 		run(MS(700) + (usec)(chance() * MS(1000)));
-		way = MS(1);
-		cut_one_off();
+		order_delay = MS(1);
+		cut_off_one();
 		CU_ASSERT_EQUAL(double_held, 0);
-		CU_ASSERT_EQUAL(unstored, 0);
+		CU_ASSERT_EQUAL(unstored_grants, 0);
 	}
 }
 
 /* Targets refuse grants while the store is unavailable: no grant is sent under
  * a fence that is not stored. */
 static void
-refused_while_store_is_away(void)
+refused_without_store(void)
 {
 	int i;
 
@@ -1072,15 +1082,15 @@
 	run(MS(2000));
 	store_down = 1;
 	for (i = 0; i < SAMPLES; i++) {
-		if (fakes[1].until[i] > now)
-			fakes[1].seen[i] = stored_fence + 2;
+		if (fakes[1].held_until[i] > now)
+			fakes[1].fence_seen[i] = stored_fence + 2;
 	}
 	run(MS(2500));
-	CU_ASSERT_EQUAL(unstored, 0);
+	CU_ASSERT_EQUAL(unstored_grants, 0);
 	store_down = 0;
 	run(MS(4000));
-	all_held();
-	CU_ASSERT_EQUAL(unstored, 0);
+	check_all_held();
+	CU_ASSERT_EQUAL(unstored_grants, 0);
 }
 
 /*
@@ -1090,17 +1100,17 @@
  * move only after the last grant that it read has lapsed.
  */
 static void
-read_late(void)
+grants_read_late(void)
 {
 	int s;
 
 	for (s = 0; s < 40; s++) {
 		start((uint64_t)s);
 		run(MS(2000));
-		busy = 0.7;
+		read_late_share = 0.7;
 		run(MS(500) + (usec)(chance() * MS(1500)));
 		/* It still reads what has arrived before. */
-		cut_one_off();
+		cut_off_one();
 		CU_ASSERT_EQUAL(double_held, 0);
 	}
 }
@@ -1111,7 +1121,7 @@
  * keys stay without an owner until another controller takes over.
  */
 static void
-heir_lost_meanwhile(void)
+next_owner_unavailable(void)
 {
 	int s, t;
 
@@ -1120,12 +1130,12 @@
 		run(MS(5000));
 		longest_unheld = 0;
 		fakes[0].leaving = 1;
-		tell_fleet(&ctl[0]);
+		send_fleet(&ctl[0]);
 		run(MS(20) + (usec)(chance() * MS(200)));
 		/* Half of the others end, and their entries are gone. */
 		for (t = 1; t <= TARGETS / 2; t++)
 			fakes[t].listed = fakes[t].up = 0;
-		tell_fleet(&ctl[0]);
+		send_fleet(&ctl[0]);
 		run(MS(9000));
 		CU_ASSERT(longest_unheld < MS(5000));
 		CU_ASSERT_EQUAL(double_held, 0);
@@ -1139,7 +1149,7 @@
  * of the earlier one lapse.
  */
 static void
-started_again(void)
+restarted(void)
 {
 	int elsewhere, i;
 
@@ -1148,17 +1158,17 @@
 		run(MS(3000));
 		fakes[3].up = 0;
 		run(MS(300));
-		start_again(3, elsewhere);
-		tell_fleet(&ctl[0]);
+		restart(3, elsewhere);
+		send_fleet(&ctl[0]);
 		run(MS(3000));
 		/* At another address the controller waits for the end of an
 		 * order to the earlier incarnation. */
 		CU_ASSERT(longest_unheld < (elsewhere ? MS(1100) : MS(700)));
 		for (i = 0; i < SAMPLES; i++)
-			CU_ASSERT(fakes[3].seen[i] == 0 ||
-			    fakes[nfakes - 1].until[i] > now);
+			CU_ASSERT(fakes[3].fence_seen[i] == 0 ||
+			    fakes[nfakes - 1].held_until[i] > now);
 		CU_ASSERT_EQUAL(double_held, 0);
-		CU_ASSERT_EQUAL(fence_fell, 0);
+		CU_ASSERT_EQUAL(fence_violations, 0);
 	}
 }
 
@@ -1168,25 +1178,25 @@
  * no two targets hold a key at once.
  */
 static void
-started_again_in_a_move(void)
+restarted_in_move(void)
 {
 	int s, i;
 
 	for (s = 0; s < 40; s++) {
 		start((uint64_t)s);
-		lose = s % 2 == 0 ? 0 : 0.3;
+		loss = s % 2 == 0 ? 0 : 0.3;
 		for (i = 0; i < 5; i++) {
-			ask(25, 5);
+			send_requests(25, 5);
 			run(MS(150) + (usec)(chance() * MS(100)));
 		}
-		start_again((int)(chance() * TARGETS), s % 3 == 0);
+		restart((int)(chance() * TARGETS), s % 3 == 0);
 		run((usec)(chance() * MS(400)));
-		start_again(nfakes - 1, s % 5 == 0);
-		tell_fleet(&ctl[0]);
+		restart(nfakes - 1, s % 5 == 0);
+		send_fleet(&ctl[0]);
 		run(MS(4000));
-		lose = 0;
+		loss = 0;
 		run(MS(14000));
-		all_held();
+		check_all_held();
 	}
 }
 
@@ -1196,27 +1206,27 @@
  * that it keeps its keys.
  */
 static void
-started_again_without_store(void)
+restarted_without_store(void)
 {
 	start(21);
 	run(MS(3000));
 	store_down = 1;
-	start_again(2, 0);
+	restart(2, 0);
 	/* The controller does not learn of it, as entries are in the store. */
 	run(MS(5000));
 	CU_ASSERT(longest_unheld < MS(1200));
 	store_down = 0;
-	tell_fleet(&ctl[0]);
+	send_fleet(&ctl[0]);
 	longest_unheld = 0;
 	run(MS(3000));
 	CU_ASSERT(longest_unheld < MS(400));
 	CU_ASSERT_EQUAL(double_held, 0);
-	CU_ASSERT_EQUAL(fence_fell, 0);
+	CU_ASSERT_EQUAL(fence_violations, 0);
 }
 
 /* No order is sent to the address of a gone target that another one uses. */
 static void
-address_of_another(void)
+reused_address(void)
 {
 	start(24);
 	run(MS(2000));
@@ -1224,11 +1234,11 @@
 	fakes[2].leaving = 1;
 	add_fake();
 	name_copy(fakes[TARGETS].addr, FLEET_ADDR, fakes[2].addr);
-	tell_fleet(&ctl[0]);
-	strayed = 0;
+	send_fleet(&ctl[0]);
+	misdirected_orders = 0;
 	run(MS(6000));
-	CU_ASSERT_EQUAL(strayed, 0);
-	all_held();
+	CU_ASSERT_EQUAL(misdirected_orders, 0);
+	check_all_held();
 }
 
 /* Removes the entries of the targets that hold keys which `had` marks, but for
@@ -1240,7 +1250,7 @@
 
 	for (t = 0; t < nfakes; t++) {
 		for (i = 0; i < SAMPLES; i++) {
-			if (!had[i] || t == 2 || fakes[t].until[i] <= now)
+			if (!had[i] || t == 2 || fakes[t].held_until[i] <= now)
 				continue;
 			fakes[t].listed = 0;
 			any = 1;
@@ -1252,7 +1262,7 @@
 /* A restarted target does not get keys back at once that were being moved, as
  * their next owner may hold them although its entry is gone. */
 static void
-next_holds_them(void)
+next_owner_holds(void)
 {
 	char had[SAMPLES];
 	int s, i;
@@ -1261,23 +1271,23 @@
 		start((uint64_t)s);
 		run(MS(3000));
 		for (i = 0; i < SAMPLES; i++)
-			had[i] = fakes[2].until[i] > now;
+			had[i] = fakes[2].held_until[i] > now;
 		fakes[2].leaving = 1;
-		tell_fleet(&ctl[0]);
+		send_fleet(&ctl[0]);
 		for (i = 0; i < 200 && !unlist_holders(had); i++)
 			step();
 		control(-1);
-		start_again(2, 0);
+		restart(2, 0);
 		run(MS(300));
 		control(1);
 		run(MS(8000));
-		all_held();
+		check_all_held();
 	}
 }
 
 /* Overwrites the stored object. */
 static void
-spoil(const char *text)
+overwrite_store(const char *text)
 {
 	free(stored);
 	stored = strdup(text);
@@ -1290,7 +1300,7 @@
  * all earlier grants have lapsed, with fences above all earlier ones.
  */
 static void
-spoilt(void)
+invalid_store(void)
 {
 	static const char *const texts[] = {"", "[]", "{\"ranges\":7}",
 	    "{\"ranges\":[[70000,\"t1\",1,\"\",0]],\"fence\":1}",
@@ -1306,23 +1316,23 @@
 		start(30 + i);
 		/* Moves raise the fences above those of the start. */
 		for (n = 0; n < 15; n++) {
-			ask(25, 5);
+			send_requests(25, 5);
 			run(MS(200));
 		}
-		spoil(texts[i]);
+		overwrite_store(texts[i]);
 		control(-1);
 		run(MS(800));
 		/* With one more target most keys get other owners. */
 		add_fake();
 		control(1);
 		run(MS(9000));
-		all_held();
+		check_all_held();
 	}
 }
 
 /* Returns the stored object as if another term's controller had written it. */
 static char *
-of_another_term(void)
+as_other_term(void)
 {
 	const char *rest = strstr(stored, "\"write\"");
 	size_t n = strlen(stored) + 64;
@@ -1335,7 +1345,7 @@
 
 /* A write by another controller is not taken for this controller's own. */
 static void
-another_has_written(void)
+other_writer(void)
 {
 	char *text;
 	int i;
@@ -1343,30 +1353,30 @@
 	for (i = 0; i < 20; i++) {
 		start(60 + (uint64_t)i);
 		run(MS(2000));
-		text = of_another_term();
-		spoil(text);
+		text = as_other_term();
+		overwrite_store(text);
 		free(text);
-		lose = i % 2 == 0 ? 0 : 0.3;
+		loss = i % 2 == 0 ? 0 : 0.3;
 		fakes[2].leaving = 1;
-		tell_fleet(&ctl[0]);
+		send_fleet(&ctl[0]);
 		run(MS(4000));
-		lose = 0;
+		loss = 0;
 		run(MS(8000));
-		all_held();
-		CU_ASSERT_EQUAL(unstored, 0);
+		check_all_held();
+		CU_ASSERT_EQUAL(unstored_grants, 0);
 	}
 }
 
 /* The reply to a write of an earlier term is not taken for that to the claim.
  */
 static void
-answer_to_an_earlier_term(void)
+reply_to_earlier_term(void)
 {
 	start(80);
 	run(MS(2000));
-	put_answer = MS(900);
+	put_reply_delay = MS(900);
 	fakes[2].leaving = 1;
-	tell_fleet(&ctl[0]);
+	send_fleet(&ctl[0]);
 	run(MS(300));
 	keys_end(&ctl[0]);
 	control(-1);
@@ -1376,12 +1386,12 @@
 	run(MS(10));
 	store_down = 1;
 	run(MS(1500));
-	CU_ASSERT_EQUAL(unstored, 0);
+	CU_ASSERT_EQUAL(unstored_grants, 0);
 	store_down = 0;
-	put_answer = MS(1);
+	put_reply_delay = MS(1);
 	run(MS(9000));
-	all_held();
-	CU_ASSERT_EQUAL(unstored, 0);
+	check_all_held();
+	CU_ASSERT_EQUAL(unstored_grants, 0);
 }
 
 /* After a takeover moves wait for grants that busy targets may yet read. */
@@ -1393,42 +1403,42 @@
 	for (s = 0; s < 40; s++) {
 		start((uint64_t)s);
 		run(MS(2000));
-		busy = 1;
+		read_late_share = 1;
 		run(MS(1000) + (usec)(chance() * MS(1000)));
-		busy = 0;
+		read_late_share = 0;
 		control(-1);
 		run(MS(1200));
 		fakes[3].leaving = 1;
 		control(1);
 		run(MS(8000));
-		all_held();
+		check_all_held();
 	}
 }
 
 static const struct unit_test tests[] = {
-    {"restart", started_again},
-    {"restart during a move", started_again_in_a_move},
-    {"restart while the store is away", started_again_without_store},
-    {"invalid owners in the store", spoilt},
-    {"next owner unavailable during a release", heir_lost_meanwhile},
-    {"reused address", address_of_another},
-    {"restart while the next owner holds the keys", next_holds_them},
-    {"write by another controller", another_has_written},
-    {"reply to a write of an earlier term", answer_to_an_earlier_term},
+    {"restart", restarted},
+    {"restart during a move", restarted_in_move},
+    {"restart while the store is unavailable", restarted_without_store},
+    {"invalid owners in the store", invalid_store},
+    {"next owner unavailable during a release", next_owner_unavailable},
+    {"reused address", reused_address},
+    {"restart while the next owner holds the keys", next_owner_holds},
+    {"write by another controller", other_writer},
+    {"reply to a write of an earlier term", reply_to_earlier_term},
     {"takeover from busy targets", takeover_from_busy},
-    {"grants read late", read_late},
-    {"grants delayed by the network", long_way},
-    {"grants refused while the store is away", refused_while_store_is_away},
-    {"initial assignment", first_shares},
-    {"hot range", hot_run},
+    {"grants read late", grants_read_late},
+    {"grants delayed by the network", grants_delayed},
+    {"grants refused while the store is unavailable", refused_without_store},
+    {"initial assignment", initial_assignment},
+    {"hot range", hot_range},
     {"leaving", leaving},
-    {"evacuated data centre", evacuated},
-    {"cold after an evacuation", back_cold},
+    {"evacuated data centre", evacuated_dc},
+    {"cold after an evacuation", cold_after_evacuation},
     {"cold again", cold_again},
     {"crash", crash},
-    {"gone but alive", gone_but_alive},
+    {"gone but alive", gone_but_serving},
     {"takeover", takeover},
-    {"store away", store_away},
+    {"store unavailable", store_unavailable},
     {"hot key", hot_key},
     {"limited target", limited_target},
     {"no moves after a takeover", no_moves_after_takeover},
--- a/regress/unit/t_shard.c
+++ b/regress/unit/t_shard.c
@@ -7,7 +7,7 @@
 
 /* A changed hash would send requests to targets that do not own their key. */
 static void
-fixed_for_good(void)
+known_values(void)
 {
 	CU_ASSERT_EQUAL(shard_of("lookup", "parish-1", 8, 64), 21);
 	CU_ASSERT_EQUAL(shard_of("reserve", "parish-1", 8, 64), 0);
@@ -30,7 +30,7 @@
 }
 
 static const struct unit_test tests[] = {
-    {"fixed for good", fixed_for_good},
+    {"known values", known_values},
     {"even", even},
 };
 UNIT_MAIN("shard", tests)
--- a/regress/unit/t_share.c
+++ b/regress/unit/t_share.c
@@ -10,21 +10,23 @@
 #define N 5
 
 static struct share s[N];
-static struct share *list[N];
+static struct share *shares[N];
 
+/* Clears all shares. */
 static void
-fresh(void)
+reset_shares(void)
 {
 	int i;
 
 	for (i = 0; i < N; i++) {
 		s[i] = (struct share){0, 0, 0};
-		list[i] = &s[i];
+		shares[i] = &s[i];
 	}
 }
 
+/* Returns the sum of all shares that may be in use. */
 static double
-held(void)
+sum_held(void)
 {
 	double sum = 0;
 	int i;
@@ -41,27 +43,27 @@
 {
 	int i;
 
-	fresh();
-	share_plan(list, N, 100, 1);
+	reset_shares();
+	share_plan(shares, N, 100, 1);
 	CU_ASSERT(s[0].given > 19 && s[0].given < 21);
 	s[0].demand = 500;
-	share_plan(list, N, 100, 1);
+	share_plan(shares, N, 100, 1);
 	CU_ASSERT(s[0].given < 21);
 	for (i = 1; i < N; i++)
 		s[i].held = s[i].given;
-	share_plan(list, N, 100, 1);
+	share_plan(shares, N, 100, 1);
 	CU_ASSERT(s[0].given > 80);
 	CU_ASSERT(s[1].given > 3);
 }
 
 /* Reports come late, in any order or never, while demand changes at random. */
 static void
-never_above_the_limit(void)
+never_above_limit(void)
 {
 	double limit = 100;
 	int i, k, bad = 0;
 
-	fresh();
+	reset_shares();
 	srandom(3);
 	for (i = 0; i < 20000; i++) {
 		k = (int)(random() % N);
@@ -75,27 +77,27 @@
 			if (s[k].held < s[k].given)
 				s[k].held = s[k].given;
 		}
-		if (held() > limit + 0.001)
+		if (sum_held() > limit + 0.001)
 			continue;
-		share_plan(list, N, limit, random() % 2);
-		bad += held() > limit + 0.001;
+		share_plan(shares, N, limit, random() % 2);
+		bad += sum_held() > limit + 0.001;
 	}
 	CU_ASSERT_EQUAL(bad, 0);
 }
 
 /* No share is raised before all holders have reported. */
 static void
-unheard_means_no_raise(void)
+no_raise_before_reports(void)
 {
-	fresh();
+	reset_shares();
 	s[1].demand = 10;
-	share_plan(list, N, 100, 0);
-	CU_ASSERT(held() == 0);
+	share_plan(shares, N, 100, 0);
+	CU_ASSERT(sum_held() == 0);
 }
 
 /* A bucket limits the average rate and allows a short burst. */
 static void
-bucket_keeps_the_rate(void)
+bucket_limits_rate(void)
 {
 	struct bucket b = {0, 0};
 	int i, n = 0;
@@ -110,8 +112,8 @@
 
 static const struct unit_test tests[] = {
     {"follows demand", follows_demand},
-    {"never above the limit", never_above_the_limit},
-    {"unheard means no raise", unheard_means_no_raise},
-    {"bucket keeps the rate", bucket_keeps_the_rate},
+    {"never above the limit", never_above_limit},
+    {"no raise before all reports", no_raise_before_reports},
+    {"bucket keeps the rate", bucket_limits_rate},
 };
 UNIT_MAIN("share", tests)
