--- a/decide/keys_plan.c
+++ b/decide/keys_plan.c
@@ -16,8 +16,7 @@
  * load of a key: without them one target could get all idle keys. */
 #define IDLE_SHARE 0.06
 #define IDLE_LOAD_MIN 1e-5
-/* A target is overloaded if its load exceeds its share by this part of it, ...
- */
+/* A target is overloaded if its load exceeds its share by this part, ... */
 #define EXCESS_MIN 0.15
 /* ... plus this many standard deviations of its request count. */
 #define EXCESS_DEVIATIONS 1.2
