--- a/decide/keys.c
+++ b/decide/keys.c
@@ -97,8 +97,7 @@
 	return (0);
 }
 
-/* Returns the target with an id, added if new; NO_TARGET if there is no room.
- */
+/* Returns the target with an id, added if new; NO_TARGET if that fails. */
 int
 keys_target_add(struct keys *k, const char *id)
 {
--- a/regress/unit/t_keys.c
+++ b/regress/unit/t_keys.c
@@ -1367,8 +1367,7 @@
 	}
 }
 
-/* The reply to a write of an earlier term is not taken for that to the claim.
- */
+/* The reply to a write of an earlier term does not confirm the claim. */
 static void
 reply_to_earlier_term(void)
 {
