--- a/decide/keys.c
+++ b/decide/keys.c
@@ -3,23 +3,23 @@
 
 #include "keys.h"
 
-/* Between looks at the balance. */
-#define PLAN_EVERY MS(200)
+/* Interval between planning rounds. */
+#define PLAN_INTERVAL MS(200)
 
-/* Prepares the rules for one service. */
+/* Initialises the key assignment of one service, not yet in control. */
 void
 keys_init(struct keys *k, const char *service, const struct keys_conf *conf,
-    const struct keys_out *out, void *arg)
+    const struct keys_out *cb, void *arg)
 {
 	memset(k, 0, sizeof(*k));
 	name_copy(k->service, sizeof(k->service), service);
 	k->conf = *conf;
-	k->out = out;
+	k->cb = cb;
 	k->arg = arg;
 	k->gain = 1;
 }
 
-/* Frees what the rules keep. */
+/* Frees the memory that belongs to the assignment, but not k itself. */
 void
 keys_free(struct keys *k)
 {
@@ -27,27 +27,27 @@
 	k->put_text = NULL;
 }
 
-/* This host controls from now on: first it reads what was decided. */
+/* Takes control under a term: the next tick reads the owners from the store. */
 void
 keys_begin(struct keys *k, uint64_t term, usec now)
 {
 	keys_end(k);
 	k->active = 1;
-	k->closing = 0;
+	k->handing_over = 0;
 	k->term = term;
 	k->next_try = now;
 }
 
-/* This host no longer controls. */
+/* Gives up control and forgets all owners and orders. */
 void
 keys_end(struct keys *k)
 {
 	k->active = 0;
 	k->loaded = 0;
 	k->claimed = 0;
-	k->get_open = 0;
-	k->put_open = 0;
-	k->put_lost = 0;
+	k->get_pending = 0;
+	k->put_pending = 0;
+	k->put_unknown = 0;
 	k->nranges = 0;
 	k->norders = 0;
 	k->dirty = 0;
@@ -57,9 +57,9 @@
 	k->put_text = NULL;
 }
 
-/* Notes that something must be written; urgent where a plan waits for it. */
+/* Requests a write; urgent if a move or a grant waits for it. */
 void
-keys_dirty(struct keys *k, usec now, int urgent)
+keys_mark_dirty(struct keys *k, usec now, int urgent)
 {
 	if (!k->dirty)
 		k->dirty_since = now;
@@ -67,7 +67,7 @@
 	k->urgent |= urgent;
 }
 
-/* The target with an id; NO_TARGET where there is none. */
+/* Returns the index of the target with an id, or NO_TARGET. */
 static int
 target_find(const struct keys *k, const char *id)
 {
@@ -80,9 +80,9 @@
 	return (NO_TARGET);
 }
 
-/* True where a range or an open order names the target. */
+/* True if a range or a pending order refers to the target. */
 static int
-target_named(const struct keys *k, int n)
+target_referenced(const struct keys *k, int n)
 {
 	int i;
 
@@ -97,7 +97,7 @@
 	return (0);
 }
 
-/* The target with an id, made where there is none; NO_TARGET where full. */
+/* Returns the target with an id, added if new; NO_TARGET if that fails. */
 int
 keys_target_add(struct keys *k, const char *id)
 {
@@ -108,7 +108,7 @@
 		return (n);
 	for (i = 0; i < k->ntargets && k->targets[i].used; i++)
 		;
-	if (i == KEYS_TARGETS)
+	if (i == KEYS_TARGETS_MAX)
 		return (NO_TARGET);
 	if (i == k->ntargets)
 		k->ntargets++;
@@ -123,11 +123,11 @@
 }
 
 /*
- * A target that is gone may have left its address to another, which must not
- * be given orders that were meant for it.
+ * Stops orders to leaving targets whose address f uses now, so that f does not
+ * get orders that are meant for them.
  */
 static void
-avoid_reused(struct keys *k, const struct fleet_target *f)
+unlist_reused_addrs(struct keys *k, const struct fleet_target *f)
 {
 	struct key_target *t;
 	int i;
@@ -140,19 +140,20 @@
 	}
 }
 
-/* Sets until when a target is cold. */
+/* Sets until when a target is cold, after its start or an evacuation. */
 static void
-take_cold(const struct keys *k, struct key_target *t, const struct fleet *f,
-    const struct fleet_target *told)
+set_cold(const struct keys *k, struct key_target *t, const struct fleet *f,
+    const struct fleet_target *entry)
 {
-	usec back = evacuations_cold_until(
-	    &f->evacuations, told->dc, k->conf.cold_start);
+	usec after_evacuation = evacuations_cold_until(
+	    &f->evacuations, entry->dc, k->conf.cold_start);
 
-	t->cold_until = told->cold_until > back ? told->cold_until : back;
+	t->cold_until = entry->cold_until > after_evacuation ? entry->cold_until
+							     : after_evacuation;
 	t->cold_limited = k->conf.cold_limited;
 }
 
-/* Takes in the targets that are known now. */
+/* Updates the targets from the fleet known now. */
 void
 keys_fleet(struct keys *k, const struct fleet *f, usec now)
 {
@@ -171,9 +172,9 @@
 		t->leaving = f->targets[i].leaving;
 		t->evacuated =
 		    evacuations_active(&f->evacuations, f->targets[i].dc);
-		take_cold(k, t, f, &f->targets[i]);
-		if (!t->listed && t->alive_at == 0)
-			t->alive_at = now;
+		set_cold(k, t, f, &f->targets[i]);
+		if (!t->listed && t->last_reply == 0)
+			t->last_reply = now;
 		t->listed = 1;
 		size += !t->leaving && !t->evacuated;
 	}
@@ -182,10 +183,10 @@
 		if (!t->used || t->listed)
 			continue;
 		t->leaving = 1;
-		t->used = target_named(k, i);
+		t->used = target_referenced(k, i);
 	}
 	for (i = 0; i < f->ntargets; i++)
-		avoid_reused(k, &f->targets[i]);
+		unlist_reused_addrs(k, &f->targets[i]);
 	if (size != k->fleet_size) {
 		k->fleet_changed = now;
 		k->next_plan = now;
@@ -194,8 +195,8 @@
 	k->have_fleet = 1;
 }
 
-/* How long targets are cold after a start, and whether they then take few
- * requests. */
+/* Sets how long targets are cold after a start, and whether cold targets have
+ * a rate limit. */
 void
 keys_cold(struct keys *k, usec cold_start, int limited)
 {
@@ -207,34 +208,34 @@
 		k->targets[i].cold_limited = limited;
 }
 
-/* What hosts learnt of a target. */
+/* Smooths the relative response time of a target, as reported by a host. */
 void
 keys_learnt(
-    struct keys *k, const char *target, double speed, int answers, usec now)
+    struct keys *k, const char *target, double speed, int replies, usec now)
 {
 	int n = target_find(k, target);
 
-	if (n == NO_TARGET || answers == 0)
+	if (n == NO_TARGET || replies == 0)
 		return;
-	k->targets[n].alive_at = now;
+	k->targets[n].last_reply = now;
 	k->targets[n].speed += 0.15 * (speed - k->targets[n].speed);
 }
 
-/* A target takes so many requests a second from all hosts. */
+/* Sets the rate limit of a target: requests per second from all hosts. */
 void
-keys_limited(struct keys *k, const char *target, double limit, usec now)
+keys_limited(struct keys *k, const char *target, double rate_limit, usec now)
 {
 	int n = target_find(k, target);
 
 	if (n == NO_TARGET)
 		return;
-	k->targets[n].limit = limit;
-	k->targets[n].limited = now;
+	k->targets[n].rate_limit = rate_limit;
+	k->targets[n].limit_reported_at = now;
 }
 
-/* Joins neighbours that one grant can name. */
+/* Joins adjacent ranges that one grant can cover. */
 static void
-join(struct keys *k, usec now)
+join_ranges(struct keys *k, usec now)
 {
 	struct key_range *a, *b;
 	int i, n = 0;
@@ -242,46 +243,46 @@
 	for (i = 1; i < k->nranges; i++) {
 		a = &k->ranges[n];
 		b = &k->ranges[i];
-		if (a->step != RANGE_OWNED || b->step != RANGE_OWNED ||
-		    a->owner != b->owner || a->owner == NO_TARGET || a->open ||
-		    b->open || !a->confirmed || !b->confirmed ||
-		    now - b->moved_at < k->conf.renew ||
+		if (a->phase != RANGE_OWNED || b->phase != RANGE_OWNED ||
+		    a->owner != b->owner || a->owner == NO_TARGET ||
+		    a->order_pending || b->order_pending || !a->confirmed ||
+		    !b->confirmed || now - b->moved_at < k->conf.renew ||
 		    now - a->moved_at < k->conf.renew) {
 			k->ranges[++n] = *b;
 			continue;
 		}
 		a->to = b->to;
-		/* The higher of two fences, both of which are written. */
+		/* Either fence is stored; the higher one is valid for both. */
 		if (b->fence > a->fence)
 			a->fence = b->fence;
 		if (b->granted_until > a->granted_until)
 			a->granted_until = b->granted_until;
 		if (b->unanswered_until > a->unanswered_until)
 			a->unanswered_until = b->unanswered_until;
-		if (b->renew_at < a->renew_at)
-			a->renew_at = b->renew_at;
+		if (b->next_order_at < a->next_order_at)
+			a->next_order_at = b->next_order_at;
 	}
 	k->nranges = n + 1;
 }
 
-/* True once the owners are this controller's, and the targets are known: plans
- * can be made, and others be told. */
+/* True once this controller has claimed the owners and knows the targets, so
+ * that it can plan and publish the owners. */
 int
 keys_settled(const struct keys *k)
 {
 	return (k->claimed && k->have_fleet);
 }
 
-/* Begins no more moves, and writes at once what is done. */
+/* Prepares for a handover: begins no more moves and writes without delay. */
 void
 keys_close(struct keys *k)
 {
-	k->closing = 1;
+	k->handing_over = 1;
 }
 
 /*
- * True where all that was decided is done and written.  Whoever takes control
- * now need not wait for owners before and after a move.
+ * True if no move is under way and all is written.  A controller that takes
+ * over then need not wait for the old and the new owner of any keys.
  */
 int
 keys_quiet(const struct keys *k)
@@ -290,16 +291,16 @@
 
 	if (!k->claimed)
 		return (1);
-	if (k->dirty || k->put_open)
+	if (k->dirty || k->put_pending)
 		return (0);
 	for (i = 0; i < k->nranges; i++) {
-		if (k->ranges[i].step != RANGE_OWNED)
+		if (k->ranges[i].phase != RANGE_OWNED)
 			return (0);
 	}
 	return (1);
 }
 
-/* Does what is due; only while this host may order targets. */
+/* Does what is due; call it only while this host may send orders. */
 void
 keys_tick(struct keys *k, usec now)
 {
@@ -313,38 +314,41 @@
 	for (i = 0; i < k->nranges; i++)
 		keys_range_tick(k, &k->ranges[i], now);
 	keys_grants_tick(k, now);
-	if (now < k->next_plan || k->closing)
+	if (now < k->next_plan || k->handing_over)
 		return;
-	k->next_plan = now + PLAN_EVERY;
-	join(k, now);
+	k->next_plan = now + PLAN_INTERVAL;
+	join_ranges(k, now);
 	keys_plan(k, now);
 	keys_store_tick(k, now);
 }
 
-/* Who owns what, for hosts that send requests. */
+/* Fills in the owners, for hosts that send requests; owners->ranges is the
+ * caller's to free, NULL if out of memory. */
 void
-keys_view(const struct keys *k, struct owner_service *out)
+keys_view(const struct keys *k, struct owner_service *owners)
 {
 	const struct key_range *r;
 	struct owner_range *o;
 	int i;
 
-	name_copy(out->name, sizeof(out->name), k->service);
-	out->nranges = 0;
-	out->ranges = calloc((size_t)k->nranges + 1, sizeof(*out->ranges));
-	if (out->ranges == NULL)
+	name_copy(owners->name, sizeof(owners->name), k->service);
+	owners->nranges = 0;
+	owners->ranges =
+	    calloc((size_t)k->nranges + 1, sizeof(*owners->ranges));
+	if (owners->ranges == NULL)
 		return;
 	for (i = 0; i < k->nranges; i++) {
 		r = &k->ranges[i];
-		o = &out->ranges[out->nranges++];
+		o = &owners->ranges[owners->nranges++];
 		o->from = r->from;
 		o->to = r->to;
 		o->target = r->owner;
-		/* Sent before the grant is there, a request would be turned
-		 * away, and count as a repeat when it is sent again. */
-		o->moving = r->letting_go || r->fresh;
-		o->back_at = r->letting_go ? keys_clear_at(r) : 0;
-		if (o->moving && (r->inherits || (!r->released && r->open)))
+		/* A request that is sent before the grant arrives would be
+		 * refused, and count as a retry when it is sent again. */
+		o->moving = r->releasing || r->awaiting_grant;
+		o->back_at = r->releasing ? keys_grants_lapse_at(r) : 0;
+		if (o->moving &&
+		    (r->owner_restarted || (!r->released && r->order_pending)))
 			o->back_at = 0;
 	}
 }
--- a/regress/unit/t_shard.c
+++ b/regress/unit/t_shard.c
@@ -1,19 +1,20 @@
-/* Keys to shards: the same on every host and for good, and even. */
+/* Keys map to shards evenly, and alike on all hosts and versions. */
 #include <stdio.h>
 #include <string.h>
 
 #include "shard.h"
 #include "unit.h"
 
-/* Any change here would send keys to servers that do not own them. */
+/* A changed hash would send requests to targets that do not own their key. */
 static void
-fixed_for_good(void)
+known_values(void)
 {
 	CU_ASSERT_EQUAL(shard_of("lookup", "parish-1", 8, 64), 21);
 	CU_ASSERT_EQUAL(shard_of("reserve", "parish-1", 8, 64), 0);
 	CU_ASSERT_EQUAL(shard_of("lookup", "", 0, 64), 0);
 }
 
+/* Shards get about the same number of keys. */
 static void
 even(void)
 {
@@ -29,7 +30,7 @@
 }
 
 static const struct unit_test tests[] = {
-    {"fixed for good", fixed_for_good},
+    {"known values", known_values},
     {"even", even},
 };
 UNIT_MAIN("shard", tests)
