--- a/bench/overload.c
+++ b/bench/overload.c
@@ -104,7 +104,7 @@
 			r->job.arrived = now;
 			r->job.deadline = now + (k ? LONG_LIFE : SHORT_LIFE);
 			r->job.caller = (uint64_t)(random() % 8) + 1;
-			r->job.what = r;
+			r->job.user_data = r;
 			t.came[k]++;
 			if (p == P_QUEUE &&
 			    queue_add(&q, &r->job, now, &retry) != GS_OK) {
@@ -119,8 +119,8 @@
 				held++;
 			}
 		}
-		while (p == P_QUEUE && (j = queue_late(&q, now)) != NULL) {
-			r = j->what;
+		while (p == P_QUEUE && (j = queue_expired(&q, now)) != NULL) {
+			r = j->user_data;
 			t.late[r->job.is_long]++;
 			given_up++;
 			free(r);
@@ -130,7 +130,7 @@
 				continue;
 			if (p == P_QUEUE) {
 				j = queue_next(&q, now, any, NULL);
-				r = j == NULL ? NULL : j->what;
+				r = j == NULL ? NULL : j->user_data;
 			} else if ((r = head) != NULL) {
 				head = r->next;
 				if (head == NULL)
--- a/decide/behind.c
+++ b/decide/behind.c
@@ -36,7 +36,7 @@
  * changes one may be lost, and then no later one can be applied.
  */
 void
-behind_heard(
+behind_announced(
     struct behind *b, uint64_t own, uint64_t version, int pushed, usec now)
 {
 	int was_behind = b->wanted > own;
@@ -54,14 +54,14 @@
 
 /* A read of the store has failed. */
 void
-behind_unread(struct behind *b)
+behind_read_failed(struct behind *b)
 {
 	b->read_failed = 1;
 }
 
 /* A read has ended, and its result is in force. */
 void
-behind_read(struct behind *b, usec now)
+behind_read_done(struct behind *b, usec now)
 {
 	b->reading = 0;
 	b->read_at = due_at(b) > now ? due_at(b) : now;
--- a/decide/behind.h
+++ b/decide/behind.h
@@ -23,10 +23,10 @@
 	usec ask_at;	   /* when another host may be asked again */
 };
 
-void behind_heard(
+void behind_announced(
     struct behind *, uint64_t own, uint64_t version, int pushed, usec now);
-void behind_unread(struct behind *);
-void behind_read(struct behind *, usec now);
+void behind_read_failed(struct behind *);
+void behind_read_done(struct behind *, usec now);
 enum behind_step behind_step(struct behind *, uint64_t own, usec now);
 
 #endif
--- a/decide/budget.c
+++ b/decide/budget.c
@@ -11,7 +11,7 @@
 
 /* Adds the tokens that a first attempt earns. */
 void
-budget_first(struct budget *b)
+budget_deposit(struct budget *b)
 {
 	b->tokens += b->share;
 	if (b->tokens > b->max)
@@ -25,7 +25,7 @@
  * most 1 + share times the callers' requests.
  */
 int
-budget_retry(struct budget *b)
+budget_withdraw(struct budget *b)
 {
 	if (b->tokens < 1)
 		return (0);
--- a/decide/budget.h
+++ b/decide/budget.h
@@ -10,7 +10,7 @@
 };
 
 void budget_init(struct budget *, double share, double max);
-void budget_first(struct budget *);
-int budget_retry(struct budget *);
+void budget_deposit(struct budget *);
+int budget_withdraw(struct budget *);
 
 #endif
--- a/decide/cell.c
+++ b/decide/cell.c
@@ -16,8 +16,8 @@
 
 /* Initializes an inactive cell; cb must outlive it. */
 void
-cell_init(struct cell *c, const char *name, const struct cell_conf_times *times,
-    const struct cell_out *cb, void *arg, uint64_t seed)
+cell_init(struct cell *c, const char *name, const struct cell_times *times,
+    const struct cell_callbacks *cb, void *arg, uint64_t seed)
 {
 	memset(c, 0, sizeof(*c));
 	name_copy(c->name, sizeof(c->name), name);
@@ -70,9 +70,9 @@
  * served by the next target as soon as its owner has released it.
  */
 int
-cell_serves(const struct cell_service *s, uint32_t n, uint64_t *fence)
+cell_shard_target(const struct cell_service *s, uint32_t n, uint64_t *fence)
 {
-	int moved = s->next[n] != NOBODY && s->freed[n];
+	int moved = s->next[n] != CELL_NONE && s->freed[n];
 
 	if (fence != NULL)
 		*fence = moved ? s->next_fence[n] : s->fence[n];
@@ -90,7 +90,7 @@
 		    strcmp(c->targets[i].conf.name, name) == 0)
 			return (i);
 	}
-	return (NOBODY);
+	return (CELL_NONE);
 }
 
 /* Finds or adds a target; returns its index, or NOBODY if the table is full. */
@@ -101,17 +101,17 @@
 	int i;
 
 	i = find_target(c, service, name);
-	if (i != NOBODY)
+	if (i != CELL_NONE)
 		return (i);
 	if (c->ntargets == CELL_TARGETS)
-		return (NOBODY);
+		return (CELL_NONE);
 	t = &c->targets[c->ntargets];
 	memset(t, 0, sizeof(*t));
 	name_copy(t->conf.name, sizeof(t->conf.name), name);
 	t->conf.slots = 1;
 	t->service = service;
 	t->removed = 1;
-	t->disp = NOBODY;
+	t->dispatcher = CELL_NONE;
 	return (c->ntargets++);
 }
 
@@ -143,8 +143,8 @@
 	    s->write.next_fence == NULL)
 		return (-1);
 	for (i = 0; i < shards; i++) {
-		s->owner[i] = NOBODY;
-		s->next[i] = NOBODY;
+		s->owner[i] = CELL_NONE;
+		s->next[i] = CELL_NONE;
 	}
 	return (0);
 }
@@ -185,7 +185,7 @@
 	s = cell_service(c, e->name);
 	if (cc == NULL)
 		return (0);
-	if (name_taken(c, s == NULL ? NOBODY : (int)(s - c->services), cc))
+	if (name_taken(c, s == NULL ? CELL_NONE : (int)(s - c->services), cc))
 		return (-1);
 	if (s == NULL) {
 		if (c->nservices == CELL_SERVICES)
@@ -207,7 +207,7 @@
 	}
 	for (i = 0; i < cc->ntargets; i++) {
 		t = cell_add_target(c, k, cc->targets[i].name);
-		if (t == NOBODY)
+		if (t == CELL_NONE)
 			return (-1);
 		c->targets[t].conf = cc->targets[i];
 		c->targets[t].removed = 0;
@@ -236,7 +236,7 @@
 	c->placement_wait_until = now + c->times.host_lease + PLACEMENT_WAIT;
 	for (i = 0; i < c->ntargets; i++) {
 		t = &c->targets[i];
-		t->disp = NOBODY;
+		t->dispatcher = CELL_NONE;
 		t->handover = 0;
 		t->epoch = 0;
 		t->reported = 0;
@@ -292,7 +292,7 @@
  * before it assigned dispatchers; requests would be refused for that long.
  */
 int
-cell_handed_over(const struct cell *c)
+cell_handover_done(const struct cell *c)
 {
 	const struct cell_target *t;
 	int i;
@@ -301,8 +301,8 @@
 		t = &c->targets[i];
 		if (t->removed)
 			continue;
-		if (t->disp == NOBODY || !t->reported ||
-		    c->hosts[t->disp].stopping)
+		if (t->dispatcher == CELL_NONE || !t->reported ||
+		    c->hosts[t->dispatcher].stopping)
 			return (0);
 	}
 	return (1);
@@ -310,7 +310,7 @@
 
 /* Handles the result of reading an assignment. */
 void
-cell_got(struct cell *c, usec now, const char *service, int found,
+cell_get_done(struct cell *c, usec now, const char *service, int found,
     uint64_t version, const char *json, size_t n)
 {
 	struct cell_service *s = cell_service(c, service);
@@ -369,7 +369,7 @@
 
 /* Handles the outcome of the write of an assignment. */
 void
-cell_put_ended(struct cell *c, usec now, const char *service,
+cell_put_done(struct cell *c, usec now, const char *service,
     enum put_result res, uint64_t version)
 {
 	struct cell_service *s = cell_service(c, service);
@@ -407,16 +407,16 @@
 static int
 pick_host(const struct cell *c, const char *dc, usec now)
 {
-	int h, i, n, score, best = NOBODY, best_score = 0;
+	int h, i, n, score, best = CELL_NONE, best_score = 0;
 
 	for (h = 0; h < c->nhosts; h++) {
 		if (!cell_host_available(c, h, now))
 			continue;
 		n = 0;
 		for (i = 0; i < c->ntargets; i++)
-			n += c->targets[i].disp == h;
+			n += c->targets[i].dispatcher == h;
 		score = n + (strcmp(c->hosts[h].dc, dc) == 0 ? 0 : 100000);
-		if (best == NOBODY || score < best_score) {
+		if (best == CELL_NONE || score < best_score) {
 			best = h;
 			best_score = score;
 		}
@@ -439,10 +439,10 @@
 			continue;
 		used = 0;
 		for (k = 0; k < c->ntargets; k++) {
-			if (c->targets[k].disp != i)
+			if (c->targets[k].dispatcher != i)
 				continue;
 			used++;
-			c->targets[k].disp = NOBODY;
+			c->targets[k].dispatcher = CELL_NONE;
 			c->targets[k].handover = 0;
 			c->targets[k].reported = 0;
 			c->targets[k].confirmed = 0;
@@ -451,7 +451,7 @@
 		}
 		snprintf(text, sizeof(text),
 		    "lease of %s lapsed, %d targets without dispatcher",
-		    h->who.host, used);
+		    h->process.host, used);
 		c->cb->event(c->arg, text);
 		h->in_use = 0;
 	}
@@ -468,9 +468,9 @@
 	char text[300];
 	int h;
 
-	if (t->disp != NOBODY) {
-		if (c->hosts[t->disp].stopping && !t->handover &&
-		    pick_host(c, t->conf.dc, now) != NOBODY)
+	if (t->dispatcher != CELL_NONE) {
+		if (c->hosts[t->dispatcher].stopping && !t->handover &&
+		    pick_host(c, t->conf.dc, now) != CELL_NONE)
 			t->handover = 1;
 		return;
 	}
@@ -478,9 +478,9 @@
 	if ((t->epoch == 0 && !may_dispatch) || t->removed)
 		return;
 	h = pick_host(c, t->conf.dc, now);
-	if (h == NOBODY)
+	if (h == CELL_NONE)
 		return;
-	t->disp = h;
+	t->dispatcher = h;
 	t->handover = 0;
 	t->epoch = new_epoch(c);
 	t->min_view = c->term << 32 | c->view_seq;
@@ -490,7 +490,7 @@
 	t->reported = 0;
 	*changed = 1;
 	snprintf(text, sizeof(text), "%s dispatches for %s",
-	    c->hosts[h].who.host, t->conf.name);
+	    c->hosts[h].process.host, t->conf.name);
 	c->cb->event(c->arg, text);
 }
 
@@ -504,8 +504,8 @@
 {
 	struct cell_target *t = &c->targets[i];
 
-	if (t->disp == NOBODY || !t->reported || t->granted || !t->up ||
-	    c->services[t->service].write.pending)
+	if (t->dispatcher == CELL_NONE || !t->reported || t->granted ||
+	    !t->up || c->services[t->service].write.pending)
 		return;
 	t->epoch = new_epoch(c);
 	t->min_view = c->term << 32 | c->view_seq;
@@ -526,9 +526,9 @@
 		if (t->service != k)
 			continue;
 		/* Released or lapsed: its share is no longer in use. */
-		if (t->disp == NOBODY && (c->settled || t->epoch != 0))
+		if (t->dispatcher == CELL_NONE && (c->settled || t->epoch != 0))
 			t->share = (struct share){0, 0, 0};
-		if (t->disp != NOBODY)
+		if (t->dispatcher != CELL_NONE)
 			list[n++] = &t->share;
 	}
 	if (n > 0 && c->services[k].limit > 0)
@@ -562,7 +562,7 @@
 
 /*
  * Runs all periodic work of the controller; settled and may_dispatch are the
- * current results of term_settled() and term_may_dispatch().
+ * current results of term_old_leases_lapsed() and term_may_dispatch().
  */
 void
 cell_tick(struct cell *c, usec now, int settled, int may_dispatch)
--- a/decide/cell.h
+++ b/decide/cell.h
@@ -19,11 +19,11 @@
 #define CELL_TARGETS 512
 #define CELL_HOSTS 128
 /* Index of a host or target where there is none. */
-#define NOBODY (-1)
+#define CELL_NONE (-1)
 
 /* One process of a host, as the controller knows it. */
 struct cell_host {
-	struct member who;
+	struct member process;
 	char dc[NAME_MAX_GS];
 	char addr[64];
 	usec last_heard;
@@ -36,9 +36,9 @@
 struct cell_target {
 	struct target_conf conf;
 	int service;
-	int removed;  /* no longer in the catalogue */
-	int disp;     /* index of the dispatching host, or NOBODY */
-	int handover; /* the dispatcher was asked to hand the target over */
+	int removed;	/* no longer in the catalogue */
+	int dispatcher; /* index of the dispatching host, or NOBODY */
+	int handover;	/* the dispatcher was asked to hand the target over */
 	uint64_t epoch;
 	uint64_t min_view; /* grants must be based on this view or later */
 	uint64_t duty_seq; /* request whose reply first held the duty */
@@ -94,13 +94,13 @@
 	uint64_t moved;
 };
 
-struct cell_conf_times {
+struct cell_times {
 	usec host_lease;
 	usec renew; /* between two renewals by a host */
 };
 
 /* Functions that a cell calls; put takes ownership of json. */
-struct cell_out {
+struct cell_callbacks {
 	void (*get)(void *, const char *service);
 	void (*put)(void *, const char *service, uint64_t base, char *json);
 	void (*changed)(void *);
@@ -108,9 +108,9 @@
 };
 
 struct cell {
-	char name[CELL_NAME];
-	struct cell_conf_times times;
-	const struct cell_out *cb;
+	char name[CELL_NAME_MAX];
+	struct cell_times times;
+	const struct cell_callbacks *cb;
 	void *arg;
 	int active;
 	int settled; /* leases of earlier controllers have lapsed */
@@ -127,31 +127,32 @@
 	int nservices;
 };
 
-void cell_init(struct cell *, const char *name, const struct cell_conf_times *,
-    const struct cell_out *, void *, uint64_t seed);
+void cell_init(struct cell *, const char *name, const struct cell_times *,
+    const struct cell_callbacks *, void *, uint64_t seed);
 void cell_free(struct cell *);
 int cell_configure(struct cell *, const struct entry *);
 int cell_add_target(struct cell *, int service, const char *name);
 void cell_begin(struct cell *, uint64_t term, usec now);
 void cell_end(struct cell *);
-void cell_got(struct cell *, usec now, const char *service, int found,
+void cell_get_done(struct cell *, usec now, const char *service, int found,
     uint64_t version, const char *json, size_t n);
 void cell_get_failed(struct cell *, const char *service);
-void cell_put_ended(struct cell *, usec now, const char *service,
+void cell_put_done(struct cell *, usec now, const char *service,
     enum put_result, uint64_t version);
-void cell_asked(
+void cell_lease_request(
     struct cell *, usec now, const char *host, const Gspar__LeaseAsk *);
-int cell_give(struct cell *, usec now, const char *host,
+int cell_lease_reply(struct cell *, usec now, const char *host,
     const Gspar__LeaseAsk *, Gspar__LeaseGive *, Gspar__Duty *, int max);
 void cell_tick(struct cell *, usec now, int settled, int may_dispatch);
 int cell_ready(const struct cell *);
-int cell_handed_over(const struct cell *);
-int cell_live_hosts(const struct cell *, usec now, struct member *, int max,
-    const char *except);
-int cell_standbys(const struct cell *, usec now, const char *host,
-    const char *dc, const struct record *, struct member out[STANDBYS]);
-int ask_speaks_of(const Gspar__LeaseAsk *, const char *target);
+int cell_handover_done(const struct cell *);
+int cell_available_hosts(const struct cell *, usec now, struct member *,
+    int max, const char *except);
+int cell_choose_standbys(const struct cell *, usec now, const char *host,
+    const char *dc, const struct control_record *,
+    struct member out[STANDBYS_MAX]);
+int lease_ask_has_target(const Gspar__LeaseAsk *, const char *target);
 struct cell_service *cell_service(struct cell *, const char *);
-int cell_serves(const struct cell_service *, uint32_t n, uint64_t *fence);
+int cell_shard_target(const struct cell_service *, uint32_t n, uint64_t *fence);
 
 #endif
--- a/decide/cell_host.c
+++ b/decide/cell_host.c
@@ -21,7 +21,7 @@
 		if (strcmp(c->targets[i].conf.name, name) == 0)
 			return (i);
 	}
-	return (NOBODY);
+	return (CELL_NONE);
 }
 
 /* Finds or adds a host's process; returns NOBODY if the table is full. */
@@ -29,25 +29,25 @@
 find_host(struct cell *c, const char *host, uint64_t boot)
 {
 	struct cell_host *h;
-	int i, free_slot = NOBODY;
+	int i, free_slot = CELL_NONE;
 
 	for (i = 0; i < c->nhosts; i++) {
 		h = &c->hosts[i];
-		if (h->in_use && h->who.boot == boot &&
-		    strcmp(h->who.host, host) == 0)
+		if (h->in_use && h->process.boot == boot &&
+		    strcmp(h->process.host, host) == 0)
 			return (i);
 		if (!h->in_use)
 			free_slot = i;
 	}
-	if (free_slot == NOBODY) {
+	if (free_slot == CELL_NONE) {
 		if (c->nhosts == CELL_HOSTS)
-			return (NOBODY);
+			return (CELL_NONE);
 		free_slot = c->nhosts++;
 	}
 	h = &c->hosts[free_slot];
 	memset(h, 0, sizeof(*h));
-	name_copy(h->who.host, sizeof(h->who.host), host);
-	h->who.boot = boot;
+	name_copy(h->process.host, sizeof(h->process.host), host);
+	h->process.boot = boot;
 	h->in_use = 1;
 	return (free_slot);
 }
@@ -76,7 +76,7 @@
 		for (n = 0; n < f->n_shards; n++) {
 			k = f->shards[n] - s->first;
 			if (k >= s->shards || s->owner[k] != t ||
-			    s->next[k] == NOBODY || s->freed[k])
+			    s->next[k] == CELL_NONE || s->freed[k])
 				continue;
 			/*
 			 * A release based on a view older than this move
@@ -106,14 +106,14 @@
 	size_t k;
 
 	for (i = 0; i < s->shards; i++) {
-		if (cell_serves(s, i, NULL) == t)
+		if (cell_shard_target(s, i, NULL) == t)
 			unreported++;
 	}
 	unreported -=
 	    ts->n_loads < unreported ? (uint32_t)ts->n_loads : unreported;
 	rest = unreported > 0 ? ts->rest_busy / 1000.0 / unreported : 0;
 	for (i = 0; i < s->shards; i++) {
-		if (cell_serves(s, i, NULL) == t)
+		if (cell_shard_target(s, i, NULL) == t)
 			s->load[i] += (rest - s->load[i]) * LOAD_WEIGHT;
 	}
 	for (k = 0; k < ts->n_loads; k++) {
@@ -146,21 +146,21 @@
 	int i, changed = 0;
 
 	i = find_any_target(c, ts->target);
-	if (i == NOBODY)
+	if (i == CELL_NONE)
 		return (0);
 	t = &c->targets[i];
-	if (t->disp == NOBODY && t->epoch == 0) {
+	if (t->dispatcher == CELL_NONE && t->epoch == 0) {
 		/*
 		 * The first report of it in this term: its dispatcher keeps
 		 * it, so that a new controller interrupts no request.
 		 */
-		t->disp = h;
+		t->dispatcher = h;
 		t->epoch = ts->epoch;
 		t->duty_seq = 0;
 		t->share.given = ts->rate / 1000.0;
 		changed = 1;
 	}
-	if (t->disp != h || t->epoch != ts->epoch)
+	if (t->dispatcher != h || t->epoch != ts->epoch)
 		return (0);
 	t->granted = ts->granted;
 	t->up = ts->up;
@@ -176,7 +176,7 @@
 
 /* True if the lease request reports on the target. */
 int
-ask_speaks_of(const Gspar__LeaseAsk *req, const char *target)
+lease_ask_has_target(const Gspar__LeaseAsk *req, const char *target)
 {
 	size_t i;
 
@@ -189,7 +189,7 @@
 
 /* Handles a host's lease request, which reports on its targets. */
 void
-cell_asked(
+cell_lease_request(
     struct cell *c, usec now, const char *host, const Gspar__LeaseAsk *req)
 {
 	struct cell_target *t;
@@ -197,7 +197,7 @@
 	int h, k, changed = 0;
 
 	h = find_host(c, host, req->boot);
-	if (h == NOBODY)
+	if (h == CELL_NONE)
 		return;
 	c->hosts[h].last_heard = now;
 	c->hosts[h].stopping = req->stopping;
@@ -214,10 +214,11 @@
 		 * the host has received the reply that assigned it: a request
 		 * sent before that does not report it either.
 		 */
-		if (t->disp != h || t->duty_seq == 0 ||
-		    req->ack < t->duty_seq || ask_speaks_of(req, t->conf.name))
+		if (t->dispatcher != h || t->duty_seq == 0 ||
+		    req->ack < t->duty_seq ||
+		    lease_ask_has_target(req, t->conf.name))
 			continue;
-		t->disp = NOBODY;
+		t->dispatcher = CELL_NONE;
 		t->handover = 0;
 		t->reported = 0;
 		t->confirmed = 0;
@@ -233,7 +234,7 @@
  * duties, or -1 if there is no room for the host.
  */
 int
-cell_give(struct cell *c, usec now, const char *host,
+cell_lease_reply(struct cell *c, usec now, const char *host,
     const Gspar__LeaseAsk *req, Gspar__LeaseGive *reply, Gspar__Duty *duties,
     int max)
 {
@@ -241,11 +242,11 @@
 	int h, i, n = 0;
 
 	h = find_host(c, host, req->boot);
-	if (h == NOBODY)
+	if (h == CELL_NONE)
 		return (-1);
 	for (i = 0; i < c->ntargets && n < max; i++) {
 		t = &c->targets[i];
-		if (t->disp != h || t->handover)
+		if (t->dispatcher != h || t->handover)
 			continue;
 		if (t->duty_seq == 0)
 			t->duty_seq = req->seq;
--- a/decide/cell_plan.c
+++ b/decide/cell_plan.c
@@ -54,7 +54,7 @@
 static int
 map_target(const int *map, size_t ntargets, uint64_t number)
 {
-	return (number == 0 || number > ntargets ? NOBODY : map[number]);
+	return (number == 0 || number > ntargets ? CELL_NONE : map[number]);
 }
 
 /*
@@ -70,8 +70,8 @@
 	size_t i, k;
 
 	for (i = 0; i < s->shards; i++) {
-		s->owner[i] = NOBODY;
-		s->next[i] = NOBODY;
+		s->owner[i] = CELL_NONE;
+		s->next[i] = CELL_NONE;
 		s->fence[i] = 0;
 		s->next_fence[i] = 0;
 		s->freed[i] = 0;
@@ -111,7 +111,7 @@
 	for (i = 0; i < n; i++)
 		json_array_append_new(a,
 		    json_integer(
-			target[i] == NOBODY ? 0 : number_of[target[i]]));
+			target[i] == CELL_NONE ? 0 : number_of[target[i]]));
 	return (a);
 }
 
@@ -206,9 +206,9 @@
 	char text[200];
 
 	for (i = 0; i < s->shards; i++) {
-		if (w->owner[i] != cell_serves(s, i, NULL))
+		if (w->owner[i] != cell_shard_target(s, i, NULL))
 			moved++;
-		if (w->next[i] != NOBODY && w->next[i] != s->next[i]) {
+		if (w->next[i] != CELL_NONE && w->next[i] != s->next[i]) {
 			begun++;
 			s->move_seq[i] = c->view_seq + 1;
 		}
@@ -242,7 +242,7 @@
 	const struct cell_target *t = &c->targets[i];
 
 	return (!t->removed && !t->conf.leaving && !t->leaving &&
-	    t->disp != NOBODY && t->reported && t->up && t->granted);
+	    t->dispatcher != CELL_NONE && t->reported && t->up && t->granted);
 }
 
 /*
@@ -264,7 +264,7 @@
 	 */
 	if (!c->settled && !(t->confirmed && t->conf.checks))
 		return (0);
-	if (t->disp == NOBODY)
+	if (t->dispatcher == CELL_NONE)
 		return (t->removed);
 	return (t->reported && !t->granted && (!t->up || t->removed));
 }
@@ -284,8 +284,8 @@
 		    c->targets[i].service == k && target_usable(c, i);
 	}
 	for (n = 0; n < s->shards; n++) {
-		o = s->next[n] != NOBODY ? s->next[n] : s->owner[n];
-		if (o == NOBODY)
+		o = s->next[n] != CELL_NONE ? s->next[n] : s->owner[n];
+		if (o == CELL_NONE)
 			continue;
 		pt[o].shards++;
 		pt[o].load += s->load[n];
@@ -320,13 +320,13 @@
 {
 	int to = place_pick(pt, c->ntargets);
 
-	if (to == NOBODY)
+	if (to == CELL_NONE)
 		return (0);
 	pt[to].shards++;
 	pt[to].load += s->load[n];
 	s->write.owner[n] = to;
 	s->write.fence[n] = s->top_fence + 1;
-	s->write.next[n] = NOBODY;
+	s->write.next[n] = CELL_NONE;
 	return (1);
 }
 
@@ -347,7 +347,7 @@
 		return (assign_shard(c, s, pt, n));
 	s->write.owner[n] = s->next[n];
 	s->write.fence[n] = s->next_fence[n];
-	s->write.next[n] = NOBODY;
+	s->write.next[n] = CELL_NONE;
 	return (1);
 }
 
@@ -364,11 +364,11 @@
 
 	for (n = 0; n < s->shards; n++) {
 		o = s->owner[n];
-		if (o == NOBODY
+		if (o == CELL_NONE
 			? placing
-			: s->next[n] == NOBODY && may_reassign(c, o, now))
+			: s->next[n] == CELL_NONE && may_reassign(c, o, now))
 			any |= assign_shard(c, s, pt, n);
-		else if (s->next[n] != NOBODY)
+		else if (s->next[n] != CELL_NONE)
 			any |= plan_move(c, s, pt, n, now);
 	}
 	return (any);
@@ -382,7 +382,7 @@
 	int k = 0;
 
 	for (n = 0; n < s->shards; n++)
-		k += s->write.next[n] != NOBODY;
+		k += s->write.next[n] != CELL_NONE;
 	return (k);
 }
 
@@ -410,13 +410,14 @@
 	int to, any = 0;
 
 	for (n = 0; n < s->shards; n++) {
-		if (s->write.owner[n] == NOBODY || s->write.next[n] != NOBODY)
+		if (s->write.owner[n] == CELL_NONE ||
+		    s->write.next[n] != CELL_NONE)
 			continue;
 		t = &c->targets[s->write.owner[n]];
 		if (!t->removed && !t->conf.leaving && !t->leaving)
 			continue;
 		to = place_pick(pt, c->ntargets);
-		if (to == NOBODY)
+		if (to == CELL_NONE)
 			break;
 		pt[to].shards++;
 		begin_move(s, n, to);
@@ -468,7 +469,7 @@
 		return (0);
 	fixed = calloc(s->shards, 1);
 	for (k = 0; k < s->shards; k++)
-		fixed[k] = s->write.next[k] != NOBODY;
+		fixed[k] = s->write.next[k] != CELL_NONE;
 	memcpy(before, pt, sizeof(*pt) * (size_t)c->ntargets);
 	n = place_balance(pt, c->ntargets, s->write.owner, s->load, fixed,
 	    s->shards, w->tolerance, moves, max_moves);
--- a/decide/cell_standby.c
+++ b/decide/cell_standby.c
@@ -9,15 +9,15 @@
  * table order; returns how many.
  */
 int
-cell_live_hosts(const struct cell *c, usec now, struct member *out, int max,
-    const char *except)
+cell_available_hosts(const struct cell *c, usec now, struct member *out,
+    int max, const char *except)
 {
 	int i, n = 0;
 
 	for (i = 0; i < c->nhosts && n < max; i++) {
 		if (cell_host_available(c, i, now) &&
-		    strcmp(c->hosts[i].who.host, except) != 0)
-			out[n++] = c->hosts[i].who;
+		    strcmp(c->hosts[i].process.host, except) != 0)
+			out[n++] = c->hosts[i].process;
 	}
 	return (n);
 }
@@ -28,12 +28,12 @@
  */
 static int
 standby_score(const struct cell *c, int h, const char *dc,
-    const struct record *r, int prefer_other_dc)
+    const struct control_record *r, int prefer_other_dc)
 {
 	int i, is_standby = 0, other_dc = strcmp(c->hosts[h].dc, dc) != 0;
 
 	for (i = 0; i < r->nstandby; i++)
-		is_standby |= r->standby[i].boot == c->hosts[h].who.boot;
+		is_standby |= r->standby[i].boot == c->hosts[h].process.boot;
 	return (prefer_other_dc ? 2 * other_dc + is_standby
 				: 2 * is_standby + other_dc);
 }
@@ -46,17 +46,18 @@
  * no other data centre could take over.
  */
 int
-cell_standbys(const struct cell *c, usec now, const char *host, const char *dc,
-    const struct record *r, struct member out[STANDBYS])
+cell_choose_standbys(const struct cell *c, usec now, const char *host,
+    const char *dc, const struct control_record *r,
+    struct member out[STANDBYS_MAX])
 {
-	int h, best, score, best_score, n, chosen = NOBODY;
+	int h, best, score, best_score, n, chosen = CELL_NONE;
 
-	for (n = 0; n < STANDBYS; n++) {
-		best = NOBODY;
+	for (n = 0; n < STANDBYS_MAX; n++) {
+		best = CELL_NONE;
 		best_score = -1;
 		for (h = 0; h < c->nhosts; h++) {
 			if (h == chosen || !cell_host_available(c, h, now) ||
-			    strcmp(c->hosts[h].who.host, host) == 0)
+			    strcmp(c->hosts[h].process.host, host) == 0)
 				continue;
 			score = standby_score(c, h, dc, r, n == 0);
 			if (score > best_score) {
@@ -64,10 +65,10 @@
 				best_score = score;
 			}
 		}
-		if (best == NOBODY)
+		if (best == CELL_NONE)
 			break;
 		chosen = best;
-		out[n] = c->hosts[best].who;
+		out[n] = c->hosts[best].process;
 	}
 	return (n);
 }
--- a/decide/dest.c
+++ b/decide/dest.c
@@ -37,7 +37,7 @@
 {
 	memset(d, 0, sizeof(*d));
 	d->slots = slots;
-	d->speed = 1;
+	d->latency_ratio = 1;
 	d->limit = -1;
 	rate_init(&d->rate);
 }
@@ -54,7 +54,7 @@
 
 /* Applies the rate limit in force to this host's turns. */
 void
-dest_look(struct dest *d, const struct rate_turns *t, usec now)
+dest_apply_limit(struct dest *d, const struct rate_turns *t, usec now)
 {
 	rate_set(&d->rate, dest_limit(d, now), t, now);
 }
@@ -78,7 +78,7 @@
 		return;
 	if (span > BACKOFF_MAX)
 		span = BACKOFF_MAX;
-	d->shunned_until = now + span;
+	d->backoff_until = now + span;
 }
 
 /* Updates the target's latency ratio from a request that did not wait there. */
@@ -94,19 +94,19 @@
 	/* A single request may take many times the usual: clamp outliers. */
 	x = fmin(fmax(x, 0.2), 4);
 	gain = LATENCY_GAIN_FIRST / (1 + 0.15 * d->latency_samples++);
-	d->speed += fmax(gain, LATENCY_GAIN) * (x - d->speed);
+	d->latency_ratio += fmax(gain, LATENCY_GAIN) * (x - d->latency_ratio);
 }
 
 /* Records the end of a request that was sent to the target. */
 void
 dest_ended(struct dest *d, usec now, const struct dest_answer *a)
 {
-	double failed = a->end == DEST_FAILED || a->end == DEST_BROKE;
+	double failed = a->end == DEST_FAILED || a->end == DEST_BROKEN;
 
 	if (d->inflight > 0)
 		d->inflight--;
 	d->failure_rate += FAILURE_GAIN * (failed - d->failure_rate);
-	if (a->load.told) {
+	if (a->load.reported) {
 		d->load = a->load;
 		d->others_inflight =
 		    fmax(a->load.running + a->load.waiting - d->inflight, 0);
@@ -121,20 +121,20 @@
 		learn_latency(d, a);
 		break;
 	case DEST_FAILED:
-	case DEST_MISSENT:
+	case DEST_NOT_OWNER:
 		d->unanswered_streak = 0;
 		break;
 	case DEST_REFUSED:
 		d->unanswered_streak = 0;
 		if (feature_on(FEATURE_SHUN) &&
-		    d->shunned_until < now + BACKOFF_REFUSED)
-			d->shunned_until = now + BACKOFF_REFUSED;
+		    d->backoff_until < now + BACKOFF_REFUSED)
+			d->backoff_until = now + BACKOFF_REFUSED;
 		break;
 	case DEST_UNREACHED:
 		d->unanswered_streak++;
 		back_off(d, now);
 		break;
-	case DEST_BROKE:
+	case DEST_BROKEN:
 	case DEST_TIMED_OUT:
 		if (++d->unanswered_streak >= BROKEN_STREAK_MAX)
 			back_off(d, now);
@@ -165,7 +165,7 @@
 int
 dest_usable(const struct dest *d, usec now)
 {
-	return (!dest_closed(d, now) && now >= d->shunned_until);
+	return (!dest_closed(d, now) && now >= d->backoff_until);
 }
 
 /*
@@ -177,7 +177,7 @@
  * request again and gets a newer one.
  */
 int
-dest_room(const struct dest *d, usec now, const struct dest_conf *conf)
+dest_can_send(const struct dest *d, usec now, const struct dest_conf *conf)
 {
 	double share =
 	    FILL_FACTOR * d->slots / (conf->hosts > 0 ? conf->hosts : 1);
@@ -202,7 +202,7 @@
 dest_cost(const struct dest *d, usec now, usec work, usec others_work)
 {
 	double load = dest_load(d, now), ahead = load + 1 - d->slots;
-	double factor = d->speed, cost;
+	double factor = d->latency_ratio, cost;
 
 	if (now < d->cold_until && feature_on(FEATURE_COLD))
 		factor *= COLD_FACTOR;
@@ -212,5 +212,5 @@
 	if (feature_on(FEATURE_FAILS))
 		cost *= 1 + 2 * d->failure_rate;
 	return (cost +
-	    (d->near || !feature_on(FEATURE_FAR) ? 0 : (double)FAR_COST));
+	    (d->same_dc || !feature_on(FEATURE_FAR) ? 0 : (double)FAR_COST));
 }
--- a/decide/dest.h
+++ b/decide/dest.h
@@ -15,7 +15,7 @@
 struct dest {
 	int slots;
 	int leaving;
-	int near;	  /* in this host's data centre */
+	int same_dc;	  /* in this host's data centre */
 	usec closed_from; /* gets no new requests from then on; 0 is never */
 	usec cold_until;
 	double cold_rate; /* limit while it is cold; 0 is none */
@@ -25,10 +25,10 @@
 	struct load load;	/* last reported */
 	usec load_at;		/* time of that report; 0 is none yet */
 	int latency_samples;	/* so far */
-	double speed;		/* latency, relative to a usual target */
+	double latency_ratio;	/* latency, relative to a usual target */
 	double failure_rate;	/* moving average of failed requests, 0 to 1 */
 	int unanswered_streak;	/* requests in a row without an answer */
-	usec shunned_until;
+	usec backoff_until;
 	struct rate rate; /* this host's turns, by both limits */
 };
 
@@ -37,9 +37,9 @@
 	DEST_ANSWERED,
 	DEST_FAILED,	/* answered, but the target failed */
 	DEST_REFUSED,	/* the target was full: the request did not run */
-	DEST_MISSENT,	/* not the owner of the key: the request did not run */
+	DEST_NOT_OWNER, /* not the owner of the key: the request did not run */
 	DEST_UNREACHED, /* no connection */
-	DEST_BROKE,	/* the connection ended without a whole answer */
+	DEST_BROKEN,	/* the connection ended without a whole answer */
 	DEST_TIMED_OUT
 };
 
@@ -55,11 +55,11 @@
 void dest_sent(struct dest *, usec now);
 void dest_ended(struct dest *, usec now, const struct dest_answer *);
 double dest_limit(const struct dest *, usec now);
-void dest_look(struct dest *, const struct rate_turns *, usec now);
+void dest_apply_limit(struct dest *, const struct rate_turns *, usec now);
 double dest_load(const struct dest *, usec now);
 int dest_closed(const struct dest *, usec now);
 int dest_usable(const struct dest *, usec now);
-int dest_room(const struct dest *, usec now, const struct dest_conf *);
+int dest_can_send(const struct dest *, usec now, const struct dest_conf *);
 double dest_cost(const struct dest *, usec now, usec work, usec others_work);
 
 #endif
--- a/decide/entry.h
+++ b/decide/entry.h
@@ -13,7 +13,7 @@
 #define CELL_DCS_MAX 8
 #define SHARDS_MAX 65536
 /* Size of a cell's name: its data centres joined by '+'. */
-#define CELL_NAME 256
+#define CELL_NAME_MAX 256
 
 /* Properties that all requests of a class share. */
 struct class {
@@ -34,7 +34,7 @@
 /* A contiguous range of the service's shards, and the targets that may serve
  * them. */
 struct cell_conf {
-	char name[CELL_NAME];
+	char name[CELL_NAME_MAX];
 	char dcs[CELL_DCS_MAX][NAME_MAX_GS];
 	int ndcs;
 	uint32_t first;
--- a/decide/evacuation.c
+++ b/decide/evacuation.c
@@ -75,7 +75,7 @@
  * of a later revision.  Returns 1 if that changes anything.
  */
 int
-evacuations_listed(
+evacuations_sync(
     struct evacuations *e, const struct evacuations *listed, usec now)
 {
 	uint64_t before = evacuations_digest(e);
--- a/decide/evacuation.h
+++ b/decide/evacuation.h
@@ -26,7 +26,7 @@
 
 int evacuations_begin(struct evacuations *, const char *dc, usec since);
 void evacuations_end(struct evacuations *, const char *dc, usec now);
-int evacuations_listed(
+int evacuations_sync(
     struct evacuations *, const struct evacuations *listed, usec now);
 int evacuations_adopt(struct evacuations *, const struct evacuations *received);
 void evacuations_expire(struct evacuations *, usec now);
--- a/decide/grant.c
+++ b/decide/grant.c
@@ -16,29 +16,29 @@
 {
 	memset(g, 0, sizeof(*g));
 	g->conf = *conf;
-	g->want = 1;
+	g->wanted_set = 1;
 	/*
 	 * A duty that is released and given to this host again may have the
 	 * same epoch.  If its messages were numbered from zero again, the
 	 * target would refuse them as old.
 	 */
 	g->seq = (uint64_t)now;
-	grant_epoch(g, epoch, now);
+	grant_new_epoch(g, epoch, now);
 }
 
 /* Starts a later epoch, which allows grants again. */
 void
-grant_epoch(struct grant *g, uint64_t epoch, usec now)
+grant_new_epoch(struct grant *g, uint64_t epoch, usec now)
 {
 	g->epoch = epoch;
-	g->phase = GRANT_PROBE;
+	g->phase = GRANT_PROBING;
 	g->epoch_start = now;
-	g->held = 0;
+	g->held_set = 0;
 }
 
 /* True while a grant of this dispatcher may still be valid at the target. */
 int
-grant_live(const struct grant *g, usec now)
+grant_maybe_valid(const struct grant *g, usec now)
 {
 	return (
 	    g->last_expiry != 0 && now < lease_granter_end(g->last_expiry, 0));
@@ -53,14 +53,14 @@
 static void
 check_lapsed(struct grant *g, usec now)
 {
-	if (grant_live(g, now))
+	if (grant_maybe_valid(g, now))
 		return;
-	if (g->phase == GRANT_PROBE && now - g->epoch_start < PROBE_TIMEOUT)
+	if (g->phase == GRANT_PROBING && now - g->epoch_start < PROBE_TIMEOUT)
 		return;
 	if (g->phase == GRANT_ACTIVE && g->up)
 		return;
-	g->phase = GRANT_DORMANT;
-	g->held = 0;
+	g->phase = GRANT_INACTIVE;
+	g->held_set = 0;
 }
 
 /*
@@ -83,27 +83,28 @@
 	 * renewal sent to a frozen target, or to one whose answers are lost,
 	 * would postpone the time at which its shards can be reassigned.
 	 */
-	if (g->phase != GRANT_ACTIVE || g->heard == 0 || !g->up)
+	if (g->phase != GRANT_ACTIVE || g->last_heard == 0 || !g->up)
 		step = STEP_CLOCK;
-	else if (g->held != g->want)
+	else if (g->held_set != g->wanted_set)
 		step = STEP_FULL;
 	else
 		step = STEP_RENEW;
 	if (now - g->sent < g->conf.renew &&
-	    !(step == STEP_FULL && g->sent_set != g->want))
+	    !(step == STEP_FULL && g->sent_set != g->wanted_set))
 		return (STEP_NONE);
 	if (step != STEP_CLOCK) {
 		end = now + g->conf.length;
 		if (end > lease_until)
 			end = lease_until;
-		*until_there = grant_expiry(g->clock_there, g->heard, end);
+		*until_there =
+		    grant_expiry(g->target_clock, g->last_heard, end);
 		if (end <= now || *until_there == 0)
 			return (STEP_NONE);
 		if (end > g->last_expiry)
 			g->last_expiry = end;
 		g->sent_expiry = end;
 		g->seq++;
-		g->sent_set = g->want;
+		g->sent_set = g->wanted_set;
 	}
 	g->pending = 1;
 	g->sent = now;
@@ -112,38 +113,38 @@
 
 /* Handles the target's answer to a message. */
 void
-grant_heard(struct grant *g, usec now, enum grant_step step, int accepted,
-    int64_t clock_there, int64_t boot)
+grant_answered(struct grant *g, usec now, enum grant_step step, int accepted,
+    int64_t target_clock, int64_t boot)
 {
 	g->pending = 0;
 	g->up = 1;
-	g->clock_there = clock_there;
-	g->heard = now;
+	g->target_clock = target_clock;
+	g->last_heard = now;
 	if (boot != g->boot) {
 		g->boot = boot;
-		g->held = 0;
+		g->held_set = 0;
 	}
-	if (g->phase == GRANT_PROBE)
+	if (g->phase == GRANT_PROBING)
 		g->phase = GRANT_ACTIVE;
 	if (step == STEP_CLOCK)
 		g->sent = now - g->conf.renew;
 	if (step == STEP_CLOCK || g->phase != GRANT_ACTIVE)
 		return;
 	if (!accepted) {
-		g->held = 0;
+		g->held_set = 0;
 		g->valid_until = 0;
 		return;
 	}
 	g->valid_until = g->sent_expiry;
 	if (step == STEP_FULL)
-		g->held = g->sent_set;
+		g->held_set = g->sent_set;
 }
 
 /* True if requests may be sent: the target holds the wanted set now. */
 int
-grant_serves(const struct grant *g, usec now)
+grant_usable(const struct grant *g, usec now)
 {
-	return (g->phase == GRANT_ACTIVE && g->held == g->want &&
+	return (g->phase == GRANT_ACTIVE && g->held_set == g->wanted_set &&
 	    now < g->valid_until);
 }
 
@@ -163,9 +164,9 @@
 
 /* True if the target certainly holds the wanted set and no other shards. */
 int
-grant_exact(const struct grant *g, usec now)
+grant_set_certain(const struct grant *g, usec now)
 {
-	return (g->held == g->want &&
+	return (g->held_set == g->wanted_set &&
 	    (g->uncertain_until == 0 ||
 		now >= lease_granter_end(g->uncertain_until, 0)));
 }
--- a/decide/grant.h
+++ b/decide/grant.h
@@ -7,9 +7,9 @@
 #include "clock.h"
 
 enum grant_phase {
-	GRANT_PROBE,  /* new duty: the target has not answered yet */
-	GRANT_ACTIVE, /* granted, or about to be granted */
-	GRANT_DORMANT /* nothing granted; no more grants in this epoch */
+	GRANT_PROBING, /* new duty: the target has not answered yet */
+	GRANT_ACTIVE,  /* granted, or about to be granted */
+	GRANT_INACTIVE /* nothing granted; no more grants in this epoch */
 };
 
 /* Messages to the target: read its clock, grant a set of shards, renew it. */
@@ -26,9 +26,9 @@
 	enum grant_phase phase;
 	uint64_t epoch;
 	uint64_t seq;
-	int64_t boot;	     /* of the target; changes when it restarts */
-	int64_t clock_there; /* the target's clock in its last answer */
-	usec heard;	     /* when that answer arrived */
+	int64_t boot;	      /* of the target; changes when it restarts */
+	int64_t target_clock; /* the target's clock in its last answer */
+	usec last_heard;      /* when that answer arrived */
 	usec epoch_start;
 	usec sent;
 	usec last_expiry;     /* latest expiry of all grants sent */
@@ -37,21 +37,21 @@
 	usec valid_until;     /* expiry of the last grant that was accepted */
 	int pending;	      /* a message awaits its answer */
 	int up;		      /* the last message was answered */
-	uint64_t want;	      /* the set to be granted */
+	uint64_t wanted_set;  /* the set to be granted */
 	uint64_t sent_set;
-	uint64_t held; /* the set that the target has accepted; 0: none */
+	uint64_t held_set; /* the set that the target has accepted; 0: none */
 };
 
 void grant_init(
     struct grant *, const struct grant_conf *, uint64_t epoch, usec now);
-void grant_epoch(struct grant *, uint64_t epoch, usec now);
+void grant_new_epoch(struct grant *, uint64_t epoch, usec now);
 enum grant_step grant_next(
     struct grant *, usec now, usec lease_until, int64_t *until_there);
-void grant_heard(struct grant *, usec now, enum grant_step, int accepted,
-    int64_t clock_there, int64_t boot);
+void grant_answered(struct grant *, usec now, enum grant_step, int accepted,
+    int64_t target_clock, int64_t boot);
 void grant_failed(struct grant *, usec now);
-int grant_exact(const struct grant *, usec now);
-int grant_serves(const struct grant *, usec now);
-int grant_live(const struct grant *, usec now);
+int grant_set_certain(const struct grant *, usec now);
+int grant_usable(const struct grant *, usec now);
+int grant_maybe_valid(const struct grant *, usec now);
 
 #endif
--- a/decide/heat.c
+++ b/decide/heat.c
@@ -1,23 +1,23 @@
 #include "heat.h"
 
 /*
- * Counts a request for a key.  Beyond HEAT_KEPT requests it keeps a uniform
- * random sample of them (reservoir sampling), so that a report is of bounded
- * size and hot keys still stand out in it.
+ * Counts a request for a key.  Beyond HEAT_SAMPLE_MAX requests it keeps a
+ * uniform random sample of them (reservoir sampling), so that a report is of
+ * bounded size and hot keys still stand out in it.
  */
 void
 heat_add(struct heat *h, uint16_t key)
 {
 	uint64_t at;
 
-	h->seen++;
-	if (h->n < HEAT_KEPT) {
+	h->requests++;
+	if (h->n < HEAT_SAMPLE_MAX) {
 		h->keys[h->n++] = key;
 		return;
 	}
 	h->seed = h->seed * 6364136223846793005u + 1442695040888963407u;
-	at = (h->seed >> 33) % h->seen;
-	if (at < HEAT_KEPT)
+	at = (h->seed >> 33) % h->requests;
+	if (at < HEAT_SAMPLE_MAX)
 		h->keys[at] = key;
 }
 
@@ -26,5 +26,5 @@
 heat_clear(struct heat *h)
 {
 	h->n = 0;
-	h->seen = 0;
+	h->requests = 0;
 }
--- a/decide/heat.h
+++ b/decide/heat.h
@@ -5,12 +5,12 @@
 #include <stdint.h>
 
 /* Keys in a report at most; beyond that each stands for several requests. */
-#define HEAT_KEPT 256
+#define HEAT_SAMPLE_MAX 256
 
 struct heat {
-	uint16_t keys[HEAT_KEPT];
+	uint16_t keys[HEAT_SAMPLE_MAX];
 	int n;
-	uint32_t seen; /* all requests, in the sample or not */
+	uint32_t requests; /* all requests, in the sample or not */
 	uint64_t seed;
 };
 
--- a/decide/hostlease.c
+++ b/decide/hostlease.c
@@ -8,11 +8,11 @@
  * returns its sequence number.
  */
 uint64_t
-hostlease_ask(struct hostlease *h, usec now, usec interval)
+hostlease_request(struct hostlease *h, usec now, usec interval)
 {
 	h->seq++;
 	h->sent[h->seq % LEASE_REQUESTS_MAX] = now;
-	h->next_ask = now + interval;
+	h->next_request = now + interval;
 	return (h->seq);
 }
 
@@ -25,7 +25,7 @@
  * others.
  */
 int
-hostlease_given(struct hostlease *h, usec now, const char *from, uint64_t term,
+hostlease_reply(struct hostlease *h, usec now, const char *from, uint64_t term,
     uint64_t seq, usec length)
 {
 	usec end;
@@ -35,7 +35,7 @@
 		return (0);
 	if (term > h->term || h->controller[0] == '\0')
 		hostlease_hint(h, from, term);
-	h->heard = now;
+	h->last_heard = now;
 	end = lease_holder_end(h->sent[seq % LEASE_REQUESTS_MAX], length);
 	if (end > h->until)
 		h->until = end;
@@ -53,6 +53,6 @@
 		return (0);
 	h->term = term;
 	name_copy(h->controller, sizeof(h->controller), controller);
-	h->next_ask = 0;
+	h->next_request = 0;
 	return (1);
 }
--- a/decide/hostlease.h
+++ b/decide/hostlease.h
@@ -15,12 +15,12 @@
 	uint64_t seq;
 	usec sent[LEASE_REQUESTS_MAX];
 	usec until;
-	usec heard;
-	usec next_ask;
+	usec last_heard;
+	usec next_request;
 };
 
-uint64_t hostlease_ask(struct hostlease *, usec now, usec interval);
-int hostlease_given(struct hostlease *, usec now, const char *from,
+uint64_t hostlease_request(struct hostlease *, usec now, usec interval);
+int hostlease_reply(struct hostlease *, usec now, const char *from,
     uint64_t term, uint64_t seq, usec length);
 int hostlease_hint(struct hostlease *, const char *controller, uint64_t term);
 
--- a/decide/incarnation.c
+++ b/decide/incarnation.c
@@ -13,7 +13,7 @@
 /* Formats the name of an incarnation; born is 0 if the target gives no start
  * time.  0, or -1 if the name does not fit or the id contains the separator. */
 int
-incarnation_name(
+incarnation_format(
     char *name, size_t size, const char *target, uint64_t started_at)
 {
 	int n;
@@ -30,7 +30,7 @@
 
 /* Returns the length of the target's id at the start of a name. */
 size_t
-incarnation_target(const char *name)
+incarnation_id_length(const char *name)
 {
 	const char *at = strchr(name, START_SEPARATOR);
 
@@ -50,7 +50,7 @@
 int
 incarnation_is_of(const char *name, const char *target)
 {
-	size_t n = incarnation_target(name);
+	size_t n = incarnation_id_length(name);
 
 	return (strlen(target) == n && memcmp(name, target, n) == 0);
 }
--- a/decide/incarnation.h
+++ b/decide/incarnation.h
@@ -10,9 +10,9 @@
 #include <stddef.h>
 #include <stdint.h>
 
-int incarnation_name(
+int incarnation_format(
     char *name, size_t size, const char *target, uint64_t started_at);
-size_t incarnation_target(const char *name);
+size_t incarnation_id_length(const char *name);
 int incarnation_is_of(const char *name, const char *target);
 int incarnation_same_target(const char *a, const char *b);
 int incarnation_follows(const char *later, const char *earlier);
--- a/decide/keys.c
+++ b/decide/keys.c
@@ -9,7 +9,7 @@
 /* Initialises the key assignment of one service, not yet in control. */
 void
 keys_init(struct keys *k, const char *service, const struct keys_conf *conf,
-    const struct keys_out *cb, void *arg)
+    const struct keys_callbacks *cb, void *arg)
 {
 	memset(k, 0, sizeof(*k));
 	name_copy(k->service, sizeof(k->service), service);
@@ -116,7 +116,7 @@
 	memset(t, 0, sizeof(*t));
 	t->used = 1;
 	t->slots = 1;
-	t->speed = 1;
+	t->latency_ratio = 1;
 	t->leaving = 1;
 	name_copy(t->id, sizeof(t->id), id);
 	return (i);
@@ -155,7 +155,7 @@
 
 /* Updates the targets from the fleet known now. */
 void
-keys_fleet(struct keys *k, const struct fleet *f, usec now)
+keys_set_fleet(struct keys *k, const struct fleet *f, usec now)
 {
 	struct key_target *t;
 	int i, n, size = 0;
@@ -198,7 +198,7 @@
 /* Sets how long targets are cold after a start, and whether cold targets have
  * a rate limit. */
 void
-keys_cold(struct keys *k, usec cold_start, int limited)
+keys_set_cold_start(struct keys *k, usec cold_start, int limited)
 {
 	int i;
 
@@ -210,20 +210,22 @@
 
 /* Smooths the relative response time of a target, as reported by a host. */
 void
-keys_learnt(
-    struct keys *k, const char *target, double speed, int replies, usec now)
+keys_add_latency(struct keys *k, const char *target, double latency_ratio,
+    int replies, usec now)
 {
 	int n = target_find(k, target);
 
 	if (n == NO_TARGET || replies == 0)
 		return;
 	k->targets[n].last_reply = now;
-	k->targets[n].speed += 0.15 * (speed - k->targets[n].speed);
+	k->targets[n].latency_ratio +=
+	    0.15 * (latency_ratio - k->targets[n].latency_ratio);
 }
 
 /* Sets the rate limit of a target: requests per second from all hosts. */
 void
-keys_limited(struct keys *k, const char *target, double rate_limit, usec now)
+keys_set_rate_limit(
+    struct keys *k, const char *target, double rate_limit, usec now)
 {
 	int n = target_find(k, target);
 
@@ -268,14 +270,14 @@
 /* True once this controller has claimed the owners and knows the targets, so
  * that it can plan and publish the owners. */
 int
-keys_settled(const struct keys *k)
+keys_ready(const struct keys *k)
 {
 	return (k->claimed && k->have_fleet);
 }
 
 /* Prepares for a handover: begins no more moves and writes without delay. */
 void
-keys_close(struct keys *k)
+keys_begin_handover(struct keys *k)
 {
 	k->handing_over = 1;
 }
@@ -285,7 +287,7 @@
  * over then need not wait for the old and the new owner of any keys.
  */
 int
-keys_quiet(const struct keys *k)
+keys_handover_ready(const struct keys *k)
 {
 	int i;
 
@@ -309,7 +311,7 @@
 	if (!k->active)
 		return;
 	keys_store_tick(k, now);
-	if (!keys_settled(k))
+	if (!keys_ready(k))
 		return;
 	for (i = 0; i < k->nranges; i++)
 		keys_range_tick(k, &k->ranges[i], now);
@@ -325,7 +327,7 @@
 /* Fills in the owners, for hosts that send requests; owners->ranges is the
  * caller's to free, NULL if out of memory. */
 void
-keys_view(const struct keys *k, struct owner_service *owners)
+keys_fill_owners(const struct keys *k, struct owner_service *owners)
 {
 	const struct key_range *r;
 	struct owner_range *o;
@@ -346,9 +348,9 @@
 		/* A request that is sent before the grant arrives would be
 		 * refused, and count as a retry when it is sent again. */
 		o->moving = r->releasing || r->awaiting_grant;
-		o->back_at = r->releasing ? keys_grants_lapse_at(r) : 0;
+		o->served_at = r->releasing ? keys_grants_lapse_at(r) : 0;
 		if (o->moving &&
 		    (r->owner_restarted || (!r->released && r->order_pending)))
-			o->back_at = 0;
+			o->served_at = 0;
 	}
 }
--- a/decide/keys.h
+++ b/decide/keys.h
@@ -33,18 +33,19 @@
 #define NO_TARGET (-1)
 
 struct keys_conf {
-	usec hold;	  /* hold time of a grant */
-	usec renew;	  /* interval between grants of the same keys */
-	usec order_wait;  /* a grant without a reply is given up by then */
-	usec settle_time; /* fleet unchanged before the first plan */
-	usec cold_start;  /* targets are cold for so long after their start */
-	int cold_limited; /* cold targets have a rate limit */
+	usec hold;	    /* hold time of a grant */
+	usec renew;	    /* interval between grants of the same keys */
+	usec order_timeout; /* a grant without a reply is given up by then */
+	usec settle_time;   /* fleet unchanged before the first plan */
+	usec cold_start;    /* targets are cold for so long after their start */
+	int cold_limited;   /* cold targets have a rate limit */
 };
 
 /* Outcome of an order that got no HTTP status. */
-#define ORDER_SILENT 0	  /* may be carried out, now or later */
-#define ORDER_NOT_SENT -1 /* no byte of it left this host */
-#define ORDER_UNREAD -2	  /* no reply on a connection opened for it */
+#define ORDER_NO_REPLY 0	   /* may be carried out, now or later */
+#define ORDER_NOT_SENT -1	   /* no byte of it left this host */
+#define ORDER_NO_REPLY_NEW_CONN -2 /* no reply on a connection opened for it   \
+				    */
 
 /* A grant or a release of keys, sent to a target. */
 struct key_order {
@@ -69,13 +70,13 @@
 	int slots;
 	usec cold_until;
 	int cold_limited;	/* has a rate limit until then */
-	double speed;		/* response time relative to other targets */
+	double latency_ratio;	/* response time relative to other targets */
 	usec last_reply;	/* last reply to any host */
 	int unanswered_streak;	/* consecutive orders without a reply */
 	double rate_limit;	/* requests per second that it accepts ... */
 	usec limit_reported_at; /* ... as of this time; 0 if never reported */
 	/* Set by each planning round. */
-	double heat;
+	double load;
 	double weight_cap; /* of its weight, from its limit; 0 is none */
 	int unavailable;
 };
@@ -114,7 +115,7 @@
 	char handover[NAME_MAX_GS];
 };
 
-struct keys_out {
+struct keys_callbacks {
 	void (*get)(void *, const char *service);
 	void (*put)(
 	    void *, const char *service, uint64_t base, const char *json);
@@ -134,7 +135,7 @@
 struct keys {
 	char service[NAME_MAX_GS];
 	struct keys_conf conf;
-	const struct keys_out *cb;
+	const struct keys_callbacks *cb;
 	void *arg;
 	int active;
 	int handing_over; /* control is being handed over */
@@ -170,7 +171,7 @@
 	int urgent;
 
 	/* Requests for each key, decaying; all are scaled by gain. */
-	float heat[KEYS];
+	float load[KEYS];
 	float estimate[KEYS];
 	double gain;
 	usec gain_updated_at;
@@ -178,31 +179,31 @@
 };
 
 void keys_init(struct keys *, const char *service, const struct keys_conf *,
-    const struct keys_out *, void *arg);
+    const struct keys_callbacks *, void *arg);
 void keys_free(struct keys *);
 void keys_begin(struct keys *, uint64_t term, usec now);
 void keys_end(struct keys *);
-void keys_fleet(struct keys *, const struct fleet *, usec now);
-void keys_cold(struct keys *, usec cold_start, int limited);
-void keys_heat(
+void keys_set_fleet(struct keys *, const struct fleet *, usec now);
+void keys_set_cold_start(struct keys *, usec cold_start, int limited);
+void keys_add_load(
     struct keys *, const uint16_t *key, int n, double each, usec now);
-void keys_limited(
+void keys_set_rate_limit(
     struct keys *, const char *target, double rate_limit, usec now);
-void keys_learnt(
-    struct keys *, const char *target, double speed, int replies, usec now);
-void keys_got(struct keys *, usec now, int found, uint64_t version,
+void keys_add_latency(struct keys *, const char *target, double latency_ratio,
+    int replies, usec now);
+void keys_get_done(struct keys *, usec now, int found, uint64_t version,
     const char *json, size_t n);
 void keys_get_failed(struct keys *, usec now);
-uint64_t keys_write(const struct keys *);
-void keys_put_ended(
+uint64_t keys_write_id(const struct keys *);
+void keys_put_done(
     struct keys *, usec now, uint64_t write, enum put_result, uint64_t version);
-void keys_ordered(
+void keys_order_done(
     struct keys *, usec now, uint64_t id, int status, const char *handover);
 void keys_tick(struct keys *, usec now);
-int keys_settled(const struct keys *);
-void keys_close(struct keys *);
-int keys_quiet(const struct keys *);
-void keys_view(const struct keys *, struct owner_service *);
+int keys_ready(const struct keys *);
+void keys_begin_handover(struct keys *);
+int keys_handover_ready(const struct keys *);
+void keys_fill_owners(const struct keys *, struct owner_service *);
 
 /* keys_grant.c */
 void keys_range_tick(struct keys *, struct key_range *, usec now);
--- a/decide/keys_grant.c
+++ b/decide/keys_grant.c
@@ -75,7 +75,7 @@
 {
 	struct key_range *a = &k->ranges[first], *r;
 	int n = first, i;
-	usec until = held_until(k, now) + k->conf.order_wait;
+	usec until = held_until(k, now) + k->conf.order_timeout;
 
 	while (n + 1 < k->nranges && a->handover[0] == '\0') {
 		r = &k->ranges[n + 1];
@@ -218,8 +218,9 @@
 		r->granted_until = r->prior_granted_until;
 		if (status != ORDER_NOT_SENT)
 			note_unanswered(r,
-			    status == ORDER_UNREAD ? until + KEYS_READ_DELAY
-						   : until);
+			    status == ORDER_NO_REPLY_NEW_CONN
+				? until + KEYS_READ_DELAY
+				: until);
 		r->next_order_at = now + ORDER_RETRY_DELAY;
 		return;
 	}
@@ -246,7 +247,7 @@
 
 /* Handles the end of an order, with an HTTP status or an ORDER_ outcome. */
 void
-keys_ordered(
+keys_order_done(
     struct keys *k, usec now, uint64_t id, int status, const char *handover)
 {
 	struct pending_order o;
--- a/decide/keys_plan.c
+++ b/decide/keys_plan.c
@@ -67,7 +67,7 @@
 double
 keys_target_weight(const struct key_target *t, usec now)
 {
-	double w = t->slots / fmax(t->speed, 0.25);
+	double w = t->slots / fmax(t->latency_ratio, 0.25);
 
 	if (is_cold_limited(t, now))
 		w *= COLD_LIMITED_WEIGHT;
@@ -110,13 +110,13 @@
 
 	if (!feature_on(FEATURE_NEIGHBOURS)) {
 		for (i = 0; i < KEYS; i++)
-			k->estimate[i] = k->heat[i] / gain;
+			k->estimate[i] = k->load[i] / gain;
 		return;
 	}
 	for (first = 0; first < KEYS; first += NEIGHBOURHOOD) {
 		shared = 0;
 		for (i = first; i < first + NEIGHBOURHOOD; i++) {
-			own = k->heat[i] / gain;
+			own = k->load[i] / gain;
 			k->estimate[i] =
 			    own > NOISE_LOAD ? own - NOISE_LOAD : 0;
 			shared += own - k->estimate[i];
@@ -133,7 +133,7 @@
  * grows by the same factor; a load divided by the gain is the decayed one.
  */
 void
-keys_heat(struct keys *k, const uint16_t *key, int n, double each, usec now)
+keys_add_load(struct keys *k, const uint16_t *key, int n, double each, usec now)
 {
 	int i;
 
@@ -142,11 +142,11 @@
 		    US_PER_SEC / LOAD_HALF_LIFE);
 	k->gain_updated_at = now;
 	for (i = 0; i < n; i++)
-		k->heat[key[i]] += (float)(each * k->gain);
+		k->load[key[i]] += (float)(each * k->gain);
 	if (k->gain < 1e12)
 		return;
 	for (i = 0; i < KEYS; i++)
-		k->heat[i] /= (float)k->gain;
+		k->load[i] /= (float)k->gain;
 	k->gain = 1;
 }
 
@@ -249,7 +249,7 @@
 	l->base = requested * IDLE_SHARE / KEYS + IDLE_LOAD_MIN;
 	for (i = 0; i < k->ntargets; i++) {
 		t = &k->targets[i];
-		t->heat = 0;
+		t->load = 0;
 		t->weight_cap = 0;
 		t->unavailable = is_unavailable(t, now);
 		if (t->unavailable)
@@ -261,7 +261,7 @@
 		n = planned_owner(&k->ranges[i]);
 		if (n == NO_TARGET || k->targets[n].unavailable)
 			continue;
-		k->targets[n].heat += range_load(k, &k->ranges[i], l->base);
+		k->targets[n].load += range_load(k, &k->ranges[i], l->base);
 	}
 	l->total = requested + l->base * KEYS;
 	if (l->weight > 0)
@@ -291,7 +291,7 @@
 			continue;
 		if (!is_limited && best_limited)
 			best = NO_TARGET;
-		ratio = (assumed_load > 0 ? assumed_load : t->heat) /
+		ratio = (assumed_load > 0 ? assumed_load : t->load) /
 		    keys_target_weight(t, now);
 		if (best == NO_TARGET || ratio < best_ratio) {
 			best = i;
@@ -314,7 +314,7 @@
 		t = &k->targets[i];
 		if (t->unavailable)
 			continue;
-		ratio = t->heat / keys_target_weight(t, now);
+		ratio = t->load / keys_target_weight(t, now);
 		if (best == NO_TARGET || ratio > best_ratio) {
 			best = i;
 			best_ratio = ratio;
@@ -362,7 +362,7 @@
 reassign_range(struct keys *k, int n, const struct load_summary *l, usec now)
 {
 	uint32_t size = k->ranges[n].to - k->ranges[n].from + 1, piece_size;
-	double heat;
+	double load;
 	int to, i, pieces = SPLIT_PIECES;
 
 	if (range_load(k, &k->ranges[n], l->base) <
@@ -376,9 +376,9 @@
 		to = least_loaded(k, NULL, 0, now);
 		if (to == NO_TARGET)
 			return;
-		heat = range_load(k, &k->ranges[n], l->base);
+		load = range_load(k, &k->ranges[n], l->base);
 		keys_plan_move(k, n, to, now);
-		k->targets[to].heat += heat;
+		k->targets[to].load += load;
 	}
 }
 
@@ -424,7 +424,7 @@
 		}
 		keys_plan_move(k, i, n, now);
 		k->ranges[i].owner_restarted = 1;
-		k->targets[n].heat += range_load(k, &k->ranges[i], l->base);
+		k->targets[n].load += range_load(k, &k->ranges[i], l->base);
 	}
 }
 
@@ -433,7 +433,7 @@
 	int range;
 	uint32_t from;
 	uint32_t to;
-	double heat;
+	double load;
 };
 
 /*
@@ -464,7 +464,7 @@
 			best->range = n;
 			best->from = a;
 			best->to = b;
-			best->heat = sum;
+			best->load = sum;
 		}
 	}
 }
@@ -492,8 +492,8 @@
 	    (p->to < k->ranges[n].to && keys_split_range(k, n, p->to + 1) < 0))
 		return;
 	keys_plan_move(k, n, to, now);
-	k->targets[from].heat -= p->heat;
-	k->targets[to].heat += p->heat;
+	k->targets[from].load -= p->load;
+	k->targets[to].load += p->load;
 }
 
 /*
@@ -507,7 +507,7 @@
 {
 	const struct key_range *r;
 	struct piece p = {-1, 0, 0, 0};
-	double heat = k->targets[from].heat, new_ratio;
+	double load = k->targets[from].load, new_ratio;
 	uint32_t key;
 	int i, to;
 
@@ -518,19 +518,19 @@
 		if (!movable(r, from, now))
 			continue;
 		for (key = r->from; key <= r->to; key++) {
-			if (p.range >= 0 && key_load(k, key) <= p.heat)
+			if (p.range >= 0 && key_load(k, key) <= p.load)
 				continue;
 			p.range = i;
 			p.from = p.to = key;
-			p.heat = key_load(k, key);
+			p.load = key_load(k, key);
 		}
 	}
-	if (p.range < 0 || p.heat < heat / 2)
+	if (p.range < 0 || p.load < load / 2)
 		return (0);
-	to = least_loaded(k, NULL, p.heat, now);
-	new_ratio = p.heat / keys_target_weight(&k->targets[to], now);
+	to = least_loaded(k, NULL, p.load, now);
+	new_ratio = p.load / keys_target_weight(&k->targets[to], now);
 	if (to == from ||
-	    new_ratio > MOVE_RATIO_MAX * p.heat /
+	    new_ratio > MOVE_RATIO_MAX * p.load /
 		    keys_target_weight(&k->targets[from], now))
 		return (0);
 	move_piece(k, &p, from, to, now);
@@ -570,15 +570,15 @@
 		return (0);
 	from_weight = keys_target_weight(&k->targets[from], now);
 	to_weight = keys_target_weight(&k->targets[to], now);
-	excess = k->targets[from].heat / from_weight -
-	    k->targets[to].heat / to_weight;
+	excess = k->targets[from].load / from_weight -
+	    k->targets[to].load / to_weight;
 	if (excess < 2 * EXCESS_MIN * mean +
-		EXCESS_DEVIATIONS * sqrt(k->targets[from].heat) / from_weight)
+		EXCESS_DEVIATIONS * sqrt(k->targets[from].load) / from_weight)
 		return (0);
 	/* Moving to_equal makes both equal; aim lower, as loads vary. */
 	to_equal = excess / (1 / from_weight + 1 / to_weight);
 	high = fmin(to_equal,
-	    fmax(mean * to_weight - k->targets[to].heat, to_equal * 0.5));
+	    fmax(mean * to_weight - k->targets[to].load, to_equal * 0.5));
 	p = smallest_piece(k, from, l->base, 0.6 * high, 1.1 * high, now);
 	if (p.range < 0)
 		p = smallest_piece(
@@ -627,7 +627,7 @@
 	struct load_summary l;
 	int i;
 
-	keys_heat(k, NULL, 0, 0, now);
+	keys_add_load(k, NULL, 0, 0, now);
 	sum_loads(k, now, &l);
 	if (l.available == 0)
 		return;
--- a/decide/keys_store.c
+++ b/decide/keys_store.c
@@ -95,7 +95,7 @@
 {
 	if (hold < k->conf.hold)
 		hold = k->conf.hold;
-	return (now + k->conf.order_wait + KEYS_NETWORK_DELAY +
+	return (now + k->conf.order_timeout + KEYS_NETWORK_DELAY +
 	    (usec)((double)hold * KEYS_CLOCK_DRIFT));
 }
 
@@ -276,7 +276,7 @@
 
 /* Handles the reply to a read; found is 0 if there is no object. */
 void
-keys_got(struct keys *k, usec now, int found, uint64_t version,
+keys_get_done(struct keys *k, usec now, int found, uint64_t version,
     const char *json, size_t n)
 {
 	k->get_pending = 0;
@@ -315,7 +315,7 @@
 
 /* Returns the id of the last write sent, unique among all terms. */
 uint64_t
-keys_write(const struct keys *k)
+keys_write_id(const struct keys *k)
 {
 	return (k->term << 32 | k->write_seq);
 }
@@ -326,10 +326,10 @@
  * that are not stored.
  */
 void
-keys_put_ended(struct keys *k, usec now, uint64_t write, enum put_result res,
+keys_put_done(struct keys *k, usec now, uint64_t write, enum put_result res,
     uint64_t version)
 {
-	if (!k->put_pending || write != keys_write(k))
+	if (!k->put_pending || write != keys_write_id(k))
 		return;
 	if (res == PUT_DONE) {
 		write_stored(k, version, now);
--- a/decide/known.c
+++ b/decide/known.c
@@ -28,7 +28,7 @@
 static int *
 bucket_of(const struct known *k, const char *id)
 {
-	uint64_t h = XXH3_64bits(id, incarnation_target(id));
+	uint64_t h = XXH3_64bits(id, incarnation_id_length(id));
 
 	return (&k->buckets[h & (uint64_t)(k->nbuckets - 1)]);
 }
@@ -167,7 +167,7 @@
 
 /* Adds or updates a target from its entry; its cold_until is the time left. */
 void
-known_put(struct known *k, const struct fleet_target *t, usec now)
+known_entry_put(struct known *k, const struct fleet_target *t, usec now)
 {
 	struct known_target *e = find(k, t->id);
 	usec cold = t->cold_until;
@@ -223,7 +223,7 @@
 
 /* Handles the removal of an entry; target is an id without start time. */
 void
-known_gone(struct known *k, const char *target, usec now)
+known_entry_removed(struct known *k, const char *target, usec now)
 {
 	each_incarnation(k, target, now, entry_removed);
 }
@@ -235,7 +235,7 @@
  * unknown, so it is asked to release its keys, like one that is gone.
  */
 void
-known_unusable(struct known *k, const char *target, usec now)
+known_entry_invalid(struct known *k, const char *target, usec now)
 {
 	each_incarnation(k, target, now, mark_gone);
 }
@@ -246,7 +246,7 @@
  * that are missing from a complete list are gone.
  */
 void
-known_told(struct known *k, const struct fleet *f, usec now)
+known_adopt(struct known *k, const struct fleet *f, usec now)
 {
 	const struct fleet_target *t;
 	struct known_target *e;
@@ -257,7 +257,7 @@
 	for (i = 0; i < f->ntargets; i++) {
 		t = &f->targets[i];
 		if (!t->gone)
-			known_put(k, t, now);
+			known_entry_put(k, t, now);
 		else if ((e = find(k, t->id)) != NULL) {
 			e->seen = 1;
 			mark_gone(k, e, now);
@@ -288,7 +288,7 @@
 
 	for (i = 0; i < k->n; i++)
 		missing += !k->list[i].seen && k->list[i].gone_since == 0;
-	known_batch(k, missing, now);
+	known_mass_removal(k, missing, now);
 	for (i = 0; i < k->n; i++) {
 		if (!k->list[i].seen)
 			entry_removed(k, &k->list[i], now);
@@ -301,7 +301,7 @@
  * not notice.
  */
 void
-known_batch(struct known *k, int removed, usec now)
+known_mass_removal(struct known *k, int removed, usec now)
 {
 	int i, live = 0;
 
@@ -349,7 +349,7 @@
 
 /* Returns a snapshot, to be freed with fleet_free; NULL if out of memory. */
 struct fleet *
-known_fleet(struct known *k)
+known_snapshot(struct known *k)
 {
 	struct fleet *f;
 	int i;
--- a/decide/known.h
+++ b/decide/known.h
@@ -42,14 +42,14 @@
 void known_free(struct known *);
 void known_store_failed(struct known *, usec now);
 void known_store_answered(struct known *, usec now);
-void known_put(struct known *, const struct fleet_target *, usec now);
-void known_gone(struct known *, const char *target, usec now);
-void known_unusable(struct known *, const char *target, usec now);
+void known_entry_put(struct known *, const struct fleet_target *, usec now);
+void known_entry_removed(struct known *, const char *target, usec now);
+void known_entry_invalid(struct known *, const char *target, usec now);
 void known_list_begin(struct known *);
 void known_list_end(struct known *, usec now);
-void known_batch(struct known *, int removed, usec now);
+void known_mass_removal(struct known *, int removed, usec now);
 void known_tick(struct known *, usec now);
-void known_told(struct known *, const struct fleet *, usec now);
-struct fleet *known_fleet(struct known *);
+void known_adopt(struct known *, const struct fleet *, usec now);
+struct fleet *known_snapshot(struct known *);
 
 #endif
--- a/decide/lately.c
+++ b/decide/lately.c
@@ -2,9 +2,9 @@
 
 /* Records that a version was replaced now. */
 void
-lately_changed(struct lately *l, uint64_t replaced, usec now)
+superseded_add(struct superseded *l, uint64_t replaced, usec now)
 {
-	unsigned i = l->next++ % LATELY_KEPT;
+	unsigned i = l->next++ % SUPERSEDED_MAX;
 
 	l->replaced[i].version = replaced;
 	l->replaced[i].replaced_at = now;
@@ -18,11 +18,12 @@
  * pause.
  */
 int
-lately_stood(const struct lately *l, uint64_t version, usec span, usec now)
+superseded_within(
+    const struct superseded *l, uint64_t version, usec span, usec now)
 {
 	int i;
 
-	for (i = 0; i < LATELY_KEPT; i++) {
+	for (i = 0; i < SUPERSEDED_MAX; i++) {
 		if (l->replaced[i].replaced_at != 0 &&
 		    l->replaced[i].version == version &&
 		    now - l->replaced[i].replaced_at <= span)
--- a/decide/lately.h
+++ b/decide/lately.h
@@ -6,17 +6,18 @@
 
 #include "clock.h"
 
-#define LATELY_KEPT 16
+#define SUPERSEDED_MAX 16
 
-struct lately {
+struct superseded {
 	struct {
 		uint64_t version;
 		usec replaced_at; /* 0 is an unused entry */
-	} replaced[LATELY_KEPT];
+	} replaced[SUPERSEDED_MAX];
 	unsigned next; /* replacements so far; the array is a ring */
 };
 
-void lately_changed(struct lately *, uint64_t replaced, usec now);
-int lately_stood(const struct lately *, uint64_t version, usec span, usec now);
+void superseded_add(struct superseded *, uint64_t replaced, usec now);
+int superseded_within(
+    const struct superseded *, uint64_t version, usec span, usec now);
 
 #endif
--- a/decide/leave.c
+++ b/decide/leave.c
@@ -10,15 +10,15 @@
 #define FINISH_OVERLAP MS(50)
 
 /* The plan of a stop that begins now; the host is killed after `grace`. */
-struct leave
-leave_plan(usec now, usec grace)
+struct stop_plan
+stop_plan_make(usec now, usec grace)
 {
-	struct leave l;
+	struct stop_plan l;
 
 	l.end = now + grace - grace / FINISH_DIVISOR + FINISH_OVERLAP;
-	l.shut = now + BALANCER_NOTICES;
-	if (l.shut > l.end)
-		l.shut = l.end;
+	l.accept_all_until = now + BALANCER_NOTICES;
+	if (l.accept_all_until > l.end)
+		l.accept_all_until = l.end;
 	return (l);
 }
 
@@ -30,9 +30,9 @@
  * and by then their callers can reach another host.
  */
 int
-leave_takes(const struct leave *l, usec now, usec deadline)
+stop_plan_accepts(const struct stop_plan *l, usec now, usec deadline)
 {
-	return (now < l->shut || deadline <= l->end);
+	return (now < l->accept_all_until || deadline <= l->end);
 }
 
 /*
@@ -41,7 +41,7 @@
  * connection would close without an answer.
  */
 usec
-leave_deadline(const struct leave *l, usec deadline)
+stop_plan_deadline(const struct stop_plan *l, usec deadline)
 {
 	return (deadline < l->end ? deadline : l->end);
 }
--- a/decide/leave.h
+++ b/decide/leave.h
@@ -7,13 +7,14 @@
 
 #include "clock.h"
 
-struct leave {
-	usec shut; /* the load balancer no longer sends callers here */
-	usec end;  /* every request has been answered */
+struct stop_plan {
+	usec accept_all_until; /* the load balancer no longer sends callers here
+				*/
+	usec end;	       /* every request has been answered */
 };
 
-struct leave leave_plan(usec now, usec grace);
-int leave_takes(const struct leave *, usec now, usec deadline);
-usec leave_deadline(const struct leave *, usec deadline);
+struct stop_plan stop_plan_make(usec now, usec grace);
+int stop_plan_accepts(const struct stop_plan *, usec now, usec deadline);
+usec stop_plan_deadline(const struct stop_plan *, usec deadline);
 
 #endif
--- a/decide/load.h
+++ b/decide/load.h
@@ -3,8 +3,8 @@
 #define LOAD_H
 
 struct load {
-	int told;    /* if 0, the other fields are not valid */
-	int running; /* requests in its slots */
+	int reported; /* if 0, the other fields are not valid */
+	int running;  /* requests in its slots */
 	int waiting;
 	int slots; /* 0 is not reported */
 	int pace;  /* time that work takes there now, in percent of the usual;
--- a/decide/once.c
+++ b/decide/once.c
@@ -76,7 +76,7 @@
  * min_number is above it.
  */
 enum once_result
-once_ask(struct once *o, const char *ticket, uint64_t *number, void **value)
+once_check(struct once *o, const char *ticket, uint64_t *number, void **value)
 {
 	struct once_entry *e;
 	uint64_t table_id;
@@ -85,11 +85,11 @@
 	if (sscanf(ticket, "gs1-%16" SCNx64 "-%" SCNu64 "%n", &table_id, number,
 		&end) != 2 ||
 	    ticket[end] != '\0')
-		return (ONCE_BAD);
+		return (ONCE_INVALID);
 	if (table_id != o->table_id || *number < o->min_number)
-		return (ONCE_STRANGE);
+		return (ONCE_UNKNOWN);
 	if (*number >= o->next)
-		return (ONCE_BAD);
+		return (ONCE_INVALID);
 	e = entry_for(o, *number);
 	if (e->state != FREE && e->number == *number) {
 		*value = e->value;
@@ -98,13 +98,13 @@
 	if (e->state == RUNNING)
 		return (ONCE_FULL);
 	if (e->state == ENDED && e->number > *number)
-		return (ONCE_STRANGE);
+		return (ONCE_UNKNOWN);
 	return (ONCE_RUN);
 }
 
 /* Records that a ticket's request runs; value identifies the run. */
 void
-once_running(struct once *o, uint64_t number, void *value)
+once_begin(struct once *o, uint64_t number, void *value)
 {
 	struct once_entry *e = entry_for(o, number);
 
@@ -118,7 +118,7 @@
 
 /* Stores the answer to a ticket's request; the table takes ownership. */
 void
-once_ended(struct once *o, uint64_t number, void *value)
+once_finish(struct once *o, uint64_t number, void *value)
 {
 	struct once_entry *e = entry_for(o, number);
 
@@ -133,7 +133,7 @@
 
 /* Marks a ticket as unused again: its request certainly did not run. */
 void
-once_forget(struct once *o, uint64_t number)
+once_reset(struct once *o, uint64_t number)
 {
 	struct once_entry *e = entry_for(o, number);
 
--- a/decide/once.h
+++ b/decide/once.h
@@ -21,8 +21,8 @@
 	ONCE_RUN,     /* unused: run the request */
 	ONCE_JOIN,    /* running: wait for the same answer */
 	ONCE_REPLAY,  /* finished: send the same answer again */
-	ONCE_STRANGE, /* issued by another table, or evicted */
-	ONCE_BAD,     /* not a ticket, or never issued */
+	ONCE_UNKNOWN, /* issued by another table, or evicted */
+	ONCE_INVALID, /* not a ticket, or never issued */
 	ONCE_FULL     /* its entry is taken by a request that runs */
 };
 
@@ -44,9 +44,9 @@
 int once_init(struct once *, uint64_t table_id, size_t size, void (*)(void *));
 void once_free(struct once *);
 void once_ticket(struct once *, char out[TICKET_TEXT]);
-enum once_result once_ask(struct once *, const char *, uint64_t *, void **);
-void once_running(struct once *, uint64_t number, void *value);
-void once_ended(struct once *, uint64_t number, void *value);
-void once_forget(struct once *, uint64_t number);
+enum once_result once_check(struct once *, const char *, uint64_t *, void **);
+void once_begin(struct once *, uint64_t number, void *value);
+void once_finish(struct once *, uint64_t number, void *value);
+void once_reset(struct once *, uint64_t number);
 
 #endif
--- a/decide/owners.c
+++ b/decide/owners.c
@@ -121,9 +121,9 @@
 	    earlier->to != r->to || earlier->moving != r->moving ||
 	    strcmp(owner_name(old, earlier), owner_name(new, r)) != 0)
 		return (0);
-	difference = earlier->back_at > r->back_at
-	    ? earlier->back_at - r->back_at
-	    : r->back_at - earlier->back_at;
+	difference = earlier->served_at > r->served_at
+	    ? earlier->served_at - r->served_at
+	    : r->served_at - earlier->served_at;
 	return (difference < SERVED_AT_TOLERANCE);
 }
 
@@ -216,7 +216,7 @@
 /* Applies a difference to a snapshot and returns the result; NULL if out of
  * memory. */
 struct owners *
-owners_overlay(const struct owners *base, const struct owners *diff)
+owners_apply(const struct owners *base, const struct owners *diff)
 {
 	const struct owner_service *b, *d;
 	struct owner_service *to;
--- a/decide/owners.h
+++ b/decide/owners.h
@@ -15,10 +15,10 @@
 
 struct owner_range {
 	uint32_t from;
-	uint32_t to;  /* inclusive */
-	int target;   /* index into owners.targets; -1 if unowned */
-	int moving;   /* between owners; requests may wait */
-	usec back_at; /* when it is served again; 0 if unknown */
+	uint32_t to;	/* inclusive */
+	int target;	/* index into owners.targets; -1 if unowned */
+	int moving;	/* between owners; requests may wait */
+	usec served_at; /* when it is served again; 0 if unknown */
 };
 
 struct owner_service {
@@ -38,7 +38,7 @@
 };
 
 struct owners *owners_diff(const struct owners *old, const struct owners *new);
-struct owners *owners_overlay(
+struct owners *owners_apply(
     const struct owners *base, const struct owners *diff);
 void owners_free(void *);
 const struct owner_range *owners_find(
--- a/decide/pace.c
+++ b/decide/pace.c
@@ -36,7 +36,7 @@
 
 /* True if a copy may be sent now. */
 int
-pace_free(const struct pace *p, usec now)
+pace_ready(const struct pace *p, usec now)
 {
 	return (now >= p->free_at);
 }
--- a/decide/quarantine.c
+++ b/decide/quarantine.c
@@ -50,7 +50,7 @@
 	usec rank, least = 0;
 	int i;
 
-	if (q->nentries < QUARANTINE_KEPT)
+	if (q->nentries < QUARANTINE_ENTRIES_MAX)
 		return (&q->entries[q->nentries++]);
 	for (i = 0; i < q->nentries; i++) {
 		e = &q->entries[i];
@@ -84,7 +84,7 @@
 {
 	int i;
 
-	for (i = 0; i < e->crashes && i < QUARANTINE_TARGETS; i++) {
+	for (i = 0; i < e->crashes && i < QUARANTINE_TARGETS_MAX; i++) {
 		if (e->targets[i] == target)
 			return (1);
 	}
@@ -131,7 +131,7 @@
 	}
 	e->runs += runs;
 	if (!counted(e, b->target)) {
-		e->targets[e->crashes++ % QUARANTINE_TARGETS] = b->target;
+		e->targets[e->crashes++ % QUARANTINE_TARGETS_MAX] = b->target;
 		e->last_crash = now;
 		if (count_crash(e, b->on_probation, now))
 			return (1);
@@ -148,7 +148,7 @@
 {
 	unsigned i;
 
-	for (i = 0; i < q->nends && i < QUARANTINE_ENDS; i++) {
+	for (i = 0; i < q->nends && i < QUARANTINE_ENDS_MAX; i++) {
 		if (q->ends[i].target == target &&
 		    now - q->ends[i].at <= ENDED_WITHIN)
 			return (1);
@@ -165,7 +165,7 @@
 	struct quarantine_break *b;
 	unsigned i;
 
-	for (i = 0; i < q->nbreaks && i < QUARANTINE_BREAKS; i++) {
+	for (i = 0; i < q->nbreaks && i < QUARANTINE_BREAKS_MAX; i++) {
 		b = &q->breaks[i];
 		if (b->digest == digest && b->target == target &&
 		    b->source == source)
@@ -177,7 +177,7 @@
 /* Records sends that ended without an answer, as a total of their source;
  * returns 1 if that quarantines the content.  A repeated report counts once. */
 int
-quarantine_broke(
+quarantine_add_break(
     struct quarantine *q, const struct quarantine_break *report, usec now)
 {
 	struct quarantine_break *b =
@@ -187,7 +187,7 @@
 	if (more <= 0)
 		return (0);
 	if (b == NULL)
-		b = &q->breaks[q->nbreaks++ % QUARANTINE_BREAKS];
+		b = &q->breaks[q->nbreaks++ % QUARANTINE_BREAKS_MAX];
 	*b = *report;
 	b->at = now;
 	return (has_ended(q, b->target, now) ? count_runs(q, b, more, now) : 0);
@@ -196,7 +196,7 @@
 /* Records one send of this host that ended without an answer; returns 1 if that
  * quarantines the content. */
 int
-quarantine_broke_here(struct quarantine *q, uint64_t digest, uint64_t target,
+quarantine_add_own_break(struct quarantine *q, uint64_t digest, uint64_t target,
     int on_probation, usec now)
 {
 	const struct quarantine_break *earlier =
@@ -204,27 +204,27 @@
 	struct quarantine_break b = {digest, target, 0,
 	    earlier == NULL ? 1 : earlier->sends + 1, on_probation, now};
 
-	return (quarantine_broke(q, &b, now));
+	return (quarantine_add_break(q, &b, now));
 }
 
 /* Records that a target has ended; returns how many contents that quarantines.
  * A repeated report counts once. */
 int
-quarantine_ended(struct quarantine *q, uint64_t target, usec now)
+quarantine_add_end(struct quarantine *q, uint64_t target, usec now)
 {
 	struct quarantine_break *b;
 	struct quarantine_end *e;
 	unsigned i;
 	int n = 0;
 
-	for (i = 0; i < q->nends && i < QUARANTINE_ENDS; i++) {
+	for (i = 0; i < q->nends && i < QUARANTINE_ENDS_MAX; i++) {
 		if (q->ends[i].target == target)
 			return (0);
 	}
-	e = &q->ends[q->nends++ % QUARANTINE_ENDS];
+	e = &q->ends[q->nends++ % QUARANTINE_ENDS_MAX];
 	e->target = target;
 	e->at = now;
-	for (i = 0; i < q->nbreaks && i < QUARANTINE_BREAKS; i++) {
+	for (i = 0; i < q->nbreaks && i < QUARANTINE_BREAKS_MAX; i++) {
 		b = &q->breaks[i];
 		if (b->target == target && now - b->at <= ENDED_WITHIN)
 			n += count_runs(q, b, b->sends, now);
@@ -238,7 +238,7 @@
  * how many.
  */
 int
-quarantine_settle(struct quarantine *q, usec now)
+quarantine_confirm_due(struct quarantine *q, usec now)
 {
 	struct quarantine_entry *e;
 	int i, n = 0;
@@ -246,7 +246,7 @@
 	for (i = 0; i < q->nentries; i++) {
 		e = &q->entries[i];
 		if (e->probation_since == 0 ||
-		    e->crashes < QUARANTINE_TARGETS ||
+		    e->crashes < QUARANTINE_TARGETS_MAX ||
 		    now - e->probation_since < PROBATION_GRACE)
 			continue;
 		confirm(e, now);
@@ -260,7 +260,7 @@
  * it had another reason.  A quarantined content stays.
  */
 void
-quarantine_answered(struct quarantine *q, uint64_t digest, usec now)
+quarantine_clear(struct quarantine *q, uint64_t digest, usec now)
 {
 	struct quarantine_entry *e = find(q, digest);
 
@@ -273,7 +273,7 @@
 
 /* Adds an item of another host's list; returns 1 if it is new here. */
 int
-quarantine_add(
+quarantine_add_item(
     struct quarantine *q, const struct quarantine_item *item, usec now)
 {
 	usec left = quarantine_item_left(item, now);
@@ -301,7 +301,8 @@
 /* Adopts the controller's list.  Contents that it does not list are taken off
  * probation; quarantined ones stay. */
 void
-quarantine_told(struct quarantine *q, const struct quarantine_list *l, usec now)
+quarantine_adopt(
+    struct quarantine *q, const struct quarantine_list *l, usec now)
 {
 	struct quarantine_entry *e;
 	int i;
@@ -315,7 +316,7 @@
 		e->probation_since = 0;
 	}
 	for (i = 0; i < l->n; i++)
-		quarantine_add(q, &l->items[i], now);
+		quarantine_add_item(q, &l->items[i], now);
 }
 
 /* Lists the contents that are quarantined or on probation now. */
@@ -372,7 +373,7 @@
 
 /* True if this host is the one that may run a content on probation. */
 int
-probation_is_here(uint64_t digest, int rank, int hosts)
+quarantine_runs_here(uint64_t digest, int rank, int hosts)
 {
 	return (hosts > 0 && digest % (uint64_t)hosts == (uint64_t)rank);
 }
@@ -380,7 +381,7 @@
 /* A checksum of a list's contents and states, in any order, to compare lists; 0
  * for an empty one. */
 uint64_t
-quarantine_number(const struct quarantine_list *l)
+quarantine_checksum(const struct quarantine_list *l)
 {
 	uint64_t n = 0;
 	int i;
--- a/decide/quarantine.h
+++ b/decide/quarantine.h
@@ -17,24 +17,24 @@
 #define PROBATION_RUNS 2
 /* Crashed targets that are remembered for a content.  So many quarantine it at
  * the end of the grace period. */
-#define QUARANTINE_TARGETS 3
-#define QUARANTINE_KEPT 64
-#define QUARANTINE_BREAKS 512
-#define QUARANTINE_ENDS 256
+#define QUARANTINE_TARGETS_MAX 3
+#define QUARANTINE_ENTRIES_MAX 64
+#define QUARANTINE_BREAKS_MAX 512
+#define QUARANTINE_ENDS_MAX 256
 
 /* What one host has seen since its last report. */
-#define QUARANTINE_SEEN 64
+#define CRASH_REPORT_MAX 64
 
-struct quarantine_seen {
+struct crash_report {
 	struct {
 		uint64_t digest;
 		uint64_t target;
 		int on_probation;
-	} broken[QUARANTINE_SEEN];
+	} broken[CRASH_REPORT_MAX];
 	int nbroken;
-	uint64_t ended[QUARANTINE_SEEN];
+	uint64_t ended[CRASH_REPORT_MAX];
 	int nended;
-	uint64_t answered[QUARANTINE_SEEN]; /* contents on probation */
+	uint64_t answered[CRASH_REPORT_MAX]; /* contents on probation */
 	int nanswered;
 };
 
@@ -57,21 +57,21 @@
 /* A content, with the crashes that are attributed to it. */
 struct quarantine_entry {
 	uint64_t digest;
-	uint64_t targets[QUARANTINE_TARGETS]; /* crashed last, a ring */
-	int crashes;			      /* of different targets */
-	int runs;			      /* at targets that crashed */
-	usec last_crash;		      /* time of the last crash */
-	usec probation_since;		      /* 0 is not on probation */
-	usec cleared;			      /* by an answer; 0 is never */
+	uint64_t targets[QUARANTINE_TARGETS_MAX]; /* crashed last, a ring */
+	int crashes;				  /* of different targets */
+	int runs;				  /* at targets that crashed */
+	usec last_crash;			  /* time of the last crash */
+	usec probation_since;			  /* 0 is not on probation */
+	usec cleared;				  /* by an answer; 0 is never */
 	usec until; /* end of the quarantine; 0 is not quarantined */
 };
 
 struct quarantine {
-	struct quarantine_break breaks[QUARANTINE_BREAKS];
+	struct quarantine_break breaks[QUARANTINE_BREAKS_MAX];
 	unsigned nbreaks; /* recorded so far; the array is a ring */
-	struct quarantine_end ends[QUARANTINE_ENDS];
+	struct quarantine_end ends[QUARANTINE_ENDS_MAX];
 	unsigned nends; /* recorded so far; the array is a ring */
-	struct quarantine_entry entries[QUARANTINE_KEPT];
+	struct quarantine_entry entries[QUARANTINE_ENTRIES_MAX];
 	int nentries;
 };
 
@@ -83,20 +83,20 @@
 };
 
 struct quarantine_list {
-	struct quarantine_item items[QUARANTINE_KEPT];
+	struct quarantine_item items[QUARANTINE_ENTRIES_MAX];
 	int n;
 };
 
-int quarantine_broke(
+int quarantine_add_break(
     struct quarantine *, const struct quarantine_break *, usec now);
-int quarantine_broke_here(struct quarantine *, uint64_t digest, uint64_t target,
-    int on_probation, usec now);
-int quarantine_ended(struct quarantine *, uint64_t target, usec now);
-int quarantine_settle(struct quarantine *, usec now);
-void quarantine_answered(struct quarantine *, uint64_t digest, usec now);
-int quarantine_add(
+int quarantine_add_own_break(struct quarantine *, uint64_t digest,
+    uint64_t target, int on_probation, usec now);
+int quarantine_add_end(struct quarantine *, uint64_t target, usec now);
+int quarantine_confirm_due(struct quarantine *, usec now);
+void quarantine_clear(struct quarantine *, uint64_t digest, usec now);
+int quarantine_add_item(
     struct quarantine *, const struct quarantine_item *, usec now);
-void quarantine_told(
+void quarantine_adopt(
     struct quarantine *, const struct quarantine_list *, usec now);
 void quarantine_list(
     const struct quarantine *, struct quarantine_list *, usec now);
@@ -105,7 +105,7 @@
 usec quarantine_item_left(const struct quarantine_item *, usec now);
 const struct quarantine_item *quarantine_find(
     const struct quarantine_list *, uint64_t digest, usec now);
-int probation_is_here(uint64_t digest, int rank, int hosts);
-uint64_t quarantine_number(const struct quarantine_list *);
+int quarantine_runs_here(uint64_t digest, int rank, int hosts);
+uint64_t quarantine_checksum(const struct quarantine_list *);
 
 #endif
--- a/decide/queue.c
+++ b/decide/queue.c
@@ -38,7 +38,7 @@
  * for a slot: the waiting work of its kind, divided by the slots it gets.
  */
 usec
-queue_wait(const struct queue *q, int is_long)
+queue_expected_wait(const struct queue *q, int is_long)
 {
 	int k = is_long != 0;
 	unsigned slots = k ? q->long_max : q->slots;
@@ -93,7 +93,7 @@
 	usec wait;
 	int k = j->is_long != 0;
 
-	wait = queue_wait(q, k);
+	wait = queue_expected_wait(q, k);
 	*retry = wait > RETRY_MIN ? wait : RETRY_MIN;
 	if (q->count >= q->limit)
 		return (GS_BUSY);
@@ -194,14 +194,14 @@
 
 /* Removes and returns a job whose deadline has passed, or NULL. */
 struct job *
-queue_late(struct queue *q, usec now)
+queue_expired(struct queue *q, usec now)
 {
-	return (queue_pull(q, is_expired, &now));
+	return (queue_remove(q, is_expired, &now));
 }
 
 /* Removes and returns the first matching job, short jobs first, or NULL. */
 struct job *
-queue_pull(struct queue *q, job_match_fn match, void *arg)
+queue_remove(struct queue *q, job_match_fn match, void *arg)
 {
 	struct job *j;
 
--- a/decide/queue.h
+++ b/decide/queue.h
@@ -12,7 +12,7 @@
 
 struct job {
 	struct job *next;
-	void *what; /* the request, set by the user of the queue */
+	void *user_data; /* the request, set by the user of the queue */
 	usec arrived;
 	usec deadline;
 	uint64_t caller;
@@ -46,9 +46,9 @@
 void queue_resize(struct queue *, unsigned slots, unsigned limit);
 int queue_add(struct queue *, struct job *, usec now, usec *retry);
 struct job *queue_next(struct queue *, usec now, job_match_fn, void *);
-struct job *queue_late(struct queue *, usec now);
-struct job *queue_pull(struct queue *, job_match_fn, void *);
+struct job *queue_expired(struct queue *, usec now);
+struct job *queue_remove(struct queue *, job_match_fn, void *);
 void queue_done(struct queue *, const struct job *, usec took);
-usec queue_wait(const struct queue *, int is_long);
+usec queue_expected_wait(const struct queue *, int is_long);
 
 #endif
--- a/decide/recent.c
+++ b/decide/recent.c
@@ -6,7 +6,7 @@
 
 /* Records a content; it replaces the one that has its place in the table. */
 void
-recent_note(struct recent *r, uint64_t digest, usec now)
+recent_add(struct recent *r, uint64_t digest, usec now)
 {
 	unsigned i = (unsigned)(digest % RECENT_MAX);
 
--- a/decide/recent.h
+++ b/decide/recent.h
@@ -15,7 +15,7 @@
 	} entries[RECENT_MAX];
 };
 
-void recent_note(struct recent *, uint64_t digest, usec now);
+void recent_add(struct recent *, uint64_t digest, usec now);
 int recent_has(const struct recent *, uint64_t digest, usec now);
 
 #endif
--- a/decide/route.c
+++ b/decide/route.c
@@ -14,16 +14,17 @@
  * run is retried only if it is idempotent, and only within the retry budget.
  */
 enum route_step
-route_after(const struct route_try *t, int code, int outcome, usec now,
+route_decide(const struct route_attempt *t, int code, int outcome, usec now,
     struct budget *b)
 {
 	if (code == GS_OK || now >= t->deadline)
 		return (ROUTE_END);
 	if (code == GS_MOVED && outcome == OUT_NOT_RUN)
-		return (t->held_from == 0 || now - t->held_from < ROUTE_HOLD_MAX
+		return (
+		    t->held_since == 0 || now - t->held_since < ROUTE_HOLD_MAX
 			? ROUTE_HOLD
 			: ROUTE_END);
-	if (!t->idempotent || t->tries >= ROUTE_ATTEMPTS_MAX)
+	if (!t->idempotent || t->attempts >= ROUTE_ATTEMPTS_MAX)
 		return (ROUTE_END);
 	switch (code) {
 	case GS_PEER_LOST:
@@ -34,12 +35,12 @@
 		 * number is bounded by the requests in flight, and the loss
 		 * does not mean that a target is overloaded.
 		 */
-		if (t->tries == 1)
-			return (ROUTE_AGAIN);
-		return (budget_retry(b) ? ROUTE_AGAIN : ROUTE_END);
+		if (t->attempts == 1)
+			return (ROUTE_RETRY);
+		return (budget_withdraw(b) ? ROUTE_RETRY : ROUTE_END);
 	case GS_TARGET_LOST:
 	case GS_CUT_SHORT:
-		return (budget_retry(b) ? ROUTE_AGAIN : ROUTE_END);
+		return (budget_withdraw(b) ? ROUTE_RETRY : ROUTE_END);
 	default:
 		return (ROUTE_END);
 	}
--- a/decide/route.h
+++ b/decide/route.h
@@ -5,16 +5,16 @@
 #include "budget.h"
 #include "clock.h"
 
-enum route_step { ROUTE_END, ROUTE_AGAIN, ROUTE_HOLD };
+enum route_step { ROUTE_END, ROUTE_RETRY, ROUTE_HOLD };
 
-struct route_try {
+struct route_attempt {
 	int idempotent;
-	int tries;	/* so far, with the one that ended */
-	usec held_from; /* when it was first held; 0 is never */
+	int attempts;	 /* so far, with the one that ended */
+	usec held_since; /* when it was first held; 0 is never */
 	usec deadline;
 };
 
-enum route_step route_after(
-    const struct route_try *, int code, int outcome, usec now, struct budget *);
+enum route_step route_decide(const struct route_attempt *, int code,
+    int outcome, usec now, struct budget *);
 
 #endif
--- a/decide/silence.c
+++ b/decide/silence.c
@@ -9,7 +9,7 @@
 
 /* A probe of the target was not answered in time. */
 void
-silence_missed(struct silence *s)
+silence_probe_missed(struct silence *s)
 {
 	s->missed = 1;
 }
@@ -21,9 +21,9 @@
  * too long, and older connections may be dead without a sign.
  */
 int
-silence_heard(struct silence *s, usec sent)
+silence_probe_answered(struct silence *s, usec sent)
 {
-	silence_answered(s, sent);
+	silence_request_answered(s, sent);
 	if (!s->missed)
 		return (0);
 	s->missed = 0;
@@ -33,7 +33,7 @@
 
 /*
  * Returns the maximum age in seconds of a connection that may be reused now; 0
- * is any age, CONN_FRESH none. Rounded down to whole seconds, so that no
+ * is any age, CONN_NEW_ONLY none. Rounded down to whole seconds, so that no
  * connection from before the silence is reused.
  */
 long
@@ -42,16 +42,16 @@
 	long age;
 
 	if (s->missed)
-		return (CONN_FRESH);
+		return (CONN_NEW_ONLY);
 	if (s->suspect_before == 0)
 		return (0);
 	age = (long)((now - s->suspect_before) / US_PER_SEC);
-	return (age > 0 ? age : CONN_FRESH);
+	return (age > 0 ? age : CONN_NEW_ONLY);
 }
 
 /* A request or probe sent at `sent` was answered. */
 void
-silence_answered(struct silence *s, usec sent)
+silence_request_answered(struct silence *s, usec sent)
 {
 	if (sent > s->answered)
 		s->answered = sent;
--- a/decide/silence.h
+++ b/decide/silence.h
@@ -6,7 +6,7 @@
 
 #include "clock.h"
 
-#define CONN_FRESH (-1)
+#define CONN_NEW_ONLY (-1)
 
 struct silence {
 	int missed;	     /* the last probe was not answered */
@@ -14,10 +14,10 @@
 	usec answered;	     /* when the latest answered request was sent */
 };
 
-void silence_missed(struct silence *);
-int silence_heard(struct silence *, usec sent);
+void silence_probe_missed(struct silence *);
+int silence_probe_answered(struct silence *, usec sent);
 long silence_conn_age(const struct silence *, usec now);
-void silence_answered(struct silence *, usec sent);
+void silence_request_answered(struct silence *, usec sent);
 int silence_suspects(const struct silence *, usec now, usec sent, usec typical);
 
 #endif
--- a/decide/site.c
+++ b/decide/site.c
@@ -41,7 +41,7 @@
 
 /* Returns the next rule, to be filled in; the caller keeps within max_rules. */
 struct rule *
-site_add(struct site *t)
+site_add_rule(struct site *t)
 {
 	return (&t->rules[t->nrules++]);
 }
@@ -96,18 +96,18 @@
 }
 
 /* Sums weights and sorts the rules; call it after the last rule and before
- * site_find. */
+ * site_find_rule. */
 void
-site_seal(struct site *t)
+site_finish(struct site *t)
 {
 	struct rule *r;
 	int i, k;
 
 	for (i = 0; i < t->nrules; i++) {
 		r = &t->rules[i];
-		r->weights = 0;
-		for (k = 0; k < r->nparts; k++)
-			r->weights += r->parts[k].weight;
+		r->total_weight = 0;
+		for (k = 0; k < r->nbackends; k++)
+			r->total_weight += r->backends[k].weight;
 	}
 	qsort(t->rules, (size_t)t->nrules, sizeof(*t->rules), sort_cmp);
 }
@@ -145,7 +145,8 @@
 /* Returns the rule of a host with the longest prefix that matches the path, or
  * NULL. */
 const struct rule *
-site_find(const struct site *t, const struct str *host, const struct str *path)
+site_find_rule(
+    const struct site *t, const struct str *host, const struct str *path)
 {
 	const struct rule *r;
 	int i;
@@ -168,19 +169,19 @@
  * draws, the shares in 200 requests would be off by up to a tenth.
  */
 int
-rule_part(const struct rule *r, uint64_t n)
+rule_backend(const struct rule *r, uint64_t n)
 {
 	uint64_t at;
 	uint32_t sum = 0;
 	int i;
 
-	if (r->nparts == 0 || r->weights == 0)
+	if (r->nbackends == 0 || r->total_weight == 0)
 		return (-1);
-	at = ((n * 0x9e3779b97f4a7c15u) >> 32) * r->weights >> 32;
-	for (i = 0; i < r->nparts - 1; i++) {
-		sum += r->parts[i].weight;
+	at = ((n * 0x9e3779b97f4a7c15u) >> 32) * r->total_weight >> 32;
+	for (i = 0; i < r->nbackends - 1; i++) {
+		sum += r->backends[i].weight;
 		if (at < sum)
 			break;
 	}
-	return (r->parts[i].service);
+	return (r->backends[i].service);
 }
--- a/decide/site.h
+++ b/decide/site.h
@@ -10,11 +10,11 @@
 #include "clock.h"
 #include "str.h"
 
-#define SITE_SERVICES 64
-#define RULE_PARTS 8
+#define SITE_SERVICES_MAX 64
+#define RULE_BACKENDS_MAX 8
 
 /* A service that a rule routes to, and its share of the rule's requests. */
-struct rule_part {
+struct rule_backend {
 	int service; /* index into the site's services */
 	uint32_t weight;
 };
@@ -28,10 +28,10 @@
 	usec aim;     /* target latency */
 	int attempts; /* at most; counts those that may have run */
 	int priority; /* 0 is the highest */
-	struct rule_part parts[RULE_PARTS];
-	int nparts;
-	uint32_t weights; /* sum over the parts */
-	int gone;	  /* in a difference: the rule was removed */
+	struct rule_backend backends[RULE_BACKENDS_MAX];
+	int nbackends;
+	uint32_t total_weight; /* sum over the parts */
+	int gone;	       /* in a difference: the rule was removed */
 };
 
 struct site_service {
@@ -49,7 +49,7 @@
 	uint64_t since;	    /* in a difference: the base version; else 0 */
 	struct rule *rules; /* sorted by rule_cmp */
 	int nrules;
-	struct site_service services[SITE_SERVICES];
+	struct site_service services[SITE_SERVICES_MAX];
 	int nservices;
 	size_t head_max; /* longest request header, bytes */
 	size_t body_max; /* longest request body, bytes */
@@ -59,13 +59,13 @@
 
 struct site *site_new(int max_rules);
 void site_free(void *);
-struct rule *site_add(struct site *);
-void site_seal(struct site *);
+struct rule *site_add_rule(struct site *);
+void site_finish(struct site *);
 int rule_copy(struct rule *, const struct rule *);
 int rule_cmp(const struct rule *, const struct rule *);
 int site_service(const struct site *, const char *name);
-const struct rule *site_find(
+const struct rule *site_find_rule(
     const struct site *, const struct str *host, const struct str *path);
-int rule_part(const struct rule *, uint64_t n);
+int rule_backend(const struct rule *, uint64_t n);
 
 #endif
--- a/decide/site_change.c
+++ b/decide/site_change.c
@@ -26,16 +26,17 @@
 static int
 add_copy(struct site *t, const struct site *from, const struct rule *r)
 {
-	struct rule *to = site_add(t);
+	struct rule *to = site_add_rule(t);
 	int i, n;
 
 	if (rule_copy(to, r) != 0)
 		return (-1);
-	for (i = 0; i < to->nparts; i++) {
-		n = site_service(t, from->services[r->parts[i].service].name);
+	for (i = 0; i < to->nbackends; i++) {
+		n = site_service(
+		    t, from->services[r->backends[i].service].name);
 		if (n < 0)
 			return (-1);
-		to->parts[i].service = n;
+		to->backends[i].service = n;
 	}
 	return (0);
 }
@@ -45,16 +46,16 @@
 same_routing(const struct site *old, const struct rule *a,
     const struct site *new, const struct rule *b)
 {
-	const struct rule_part *pa, *pb;
+	const struct rule_backend *pa, *pb;
 	int i;
 
 	if (a->idempotent != b->idempotent || a->timeout != b->timeout ||
 	    a->aim != b->aim || a->attempts != b->attempts ||
-	    a->priority != b->priority || a->nparts != b->nparts)
+	    a->priority != b->priority || a->nbackends != b->nbackends)
 		return (0);
-	for (i = 0; i < a->nparts; i++) {
-		pa = &a->parts[i];
-		pb = &b->parts[i];
+	for (i = 0; i < a->nbackends; i++) {
+		pa = &a->backends[i];
+		pb = &b->backends[i];
 		if (pa->weight != pb->weight ||
 		    strcmp(old->services[pa->service].name,
 			new->services[pb->service].name) != 0)
@@ -116,12 +117,12 @@
 static int
 add_removed(struct site *c, const struct rule *r)
 {
-	struct rule *to = site_add(c);
+	struct rule *to = site_add_rule(c);
 
 	if (rule_copy(to, r) != 0)
 		return (-1);
 	to->gone = 1;
-	to->nparts = 0;
+	to->nbackends = 0;
 	return (0);
 }
 
@@ -163,7 +164,7 @@
 /* Returns the difference that turns one configuration into another, to be freed
  * with site_free; NULL if out of memory. */
 struct site *
-site_change(const struct site *old, const struct site *new)
+site_diff(const struct site *old, const struct site *new)
 {
 	struct site *c = copy_without_rules(new, old->nrules + new->nrules);
 
@@ -221,6 +222,6 @@
 		site_free(t);
 		return (NULL);
 	}
-	site_seal(t);
+	site_finish(t);
 	return (t);
 }
--- a/decide/site_change.h
+++ b/decide/site_change.h
@@ -8,7 +8,7 @@
 
 #include "site.h"
 
-struct site *site_change(const struct site *old, const struct site *new);
+struct site *site_diff(const struct site *old, const struct site *new);
 struct site *site_apply(const struct site *old, const struct site *diff);
 
 #endif
--- a/decide/standby.c
+++ b/decide/standby.c
@@ -29,7 +29,7 @@
  * not known.
  */
 int
-hosts_borne(double cores, double link_mbps)
+host_capacity(double cores, double link_mbps)
 {
 	if (cores <= 0 || link_mbps <= 0)
 		return (0);
@@ -39,10 +39,10 @@
 
 /*
  * Returns how long a host waits for larger ones before it takes control of a
- * site that has had no controller; bears is hosts_borne().
+ * site that has had no controller; bears is host_capacity().
  */
 usec
-first_wait(int bears)
+bootstrap_delay(int bears)
 {
 	if (!feature_on(FEATURE_STANDBY))
 		return (0);
@@ -63,21 +63,21 @@
 	int apart = strcmp(c->dc, dc) != 0;
 
 	if (!feature_on(FEATURE_STANDBY))
-		return (c->is_one);
+		return (c->is_standby);
 	if (first != NULL)
 		apart += strcmp(c->dc, first->dc) != 0;
-	return (apart * 1e9 + c->bears * 10.0 + c->is_one);
+	return (apart * 1e9 + c->bears * 10.0 + c->is_standby);
 }
 
 /* Picks the standbys of a controller in data centre dc; returns how many. */
 int
 standbys_pick(const struct candidate *c, int n, const char *dc,
-    struct member out[STANDBYS])
+    struct member out[STANDBYS_MAX])
 {
 	const struct candidate *first = NULL, *best;
 	int i, got;
 
-	for (got = 0; got < STANDBYS; got++) {
+	for (got = 0; got < STANDBYS_MAX; got++) {
 		best = NULL;
 		for (i = 0; i < n; i++) {
 			if (&c[i] != first &&
@@ -113,14 +113,14 @@
  * or control would go back and forth.
  */
 int
-larger_stands_by(const struct candidate *c, int n, int bears, int hosts)
+larger_standby_ready(const struct candidate *c, int n, int bears, int hosts)
 {
 	int i;
 
 	if (!strained(bears, hosts) || !feature_on(FEATURE_STANDBY))
 		return (0);
 	for (i = 0; i < n; i++) {
-		if (c[i].is_one && c[i].store &&
+		if (c[i].is_standby && c[i].store &&
 		    (c[i].bears >= hosts || c[i].bears >= 2 * bears))
 			return (1);
 	}
--- a/decide/standby.h
+++ b/decide/standby.h
@@ -8,16 +8,16 @@
 struct candidate {
 	struct member who;
 	char dc[NAME_MAX_GS];
-	int bears;  /* hosts that it could control; 0 if not known */
-	int is_one; /* is a standby now */
-	int store;  /* the store has answered it recently */
+	int bears;	/* hosts that it could control; 0 if not known */
+	int is_standby; /* is a standby now */
+	int store;	/* the store has answered it recently */
 };
 
-int hosts_borne(double cores, double link_mbps);
-usec first_wait(int bears);
+int host_capacity(double cores, double link_mbps);
+usec bootstrap_delay(int bears);
 int strained(int bears, int hosts);
-int larger_stands_by(const struct candidate *, int n, int bears, int hosts);
+int larger_standby_ready(const struct candidate *, int n, int bears, int hosts);
 int standbys_pick(const struct candidate *, int n, const char *dc,
-    struct member out[STANDBYS]);
+    struct member out[STANDBYS_MAX]);
 
 #endif
--- a/decide/term.c
+++ b/decide/term.c
@@ -37,7 +37,7 @@
 
 /* True if the record lists the process as standby. */
 static int
-lists_standby(const struct record *r, const struct member *m)
+lists_standby(const struct control_record *r, const struct member *m)
 {
 	int i;
 
@@ -63,7 +63,7 @@
 /* Initialises the state for one cell; seed is random and differs by process. */
 void
 term_init(struct term *t, const struct term_conf *conf,
-    const struct term_out *cb, void *arg, uint64_t seed)
+    const struct term_callbacks *cb, void *arg, uint64_t seed)
 {
 	memset(t, 0, sizeof(*t));
 	t->conf = *conf;
@@ -82,10 +82,10 @@
 }
 
 /*
- * Starts a write; its outcome is unknown until term_put_ended() gets PUT_DONE.
+ * Starts a write; its outcome is unknown until term_put_done() gets PUT_DONE.
  */
 static void
-put(struct term *t, usec now, const struct record *r)
+put(struct term *t, usec now, const struct control_record *r)
 {
 	t->put_rec = *r;
 	t->put_rec.write_id = write_id(t);
@@ -110,9 +110,9 @@
 		if (same_process(&t->promises[i].process, m))
 			return (&t->promises[i]);
 	}
-	if (t->npromises == 2 * STANDBYS) {
+	if (t->npromises == 2 * STANDBYS_MAX) {
 		memmove(&t->promises[0], &t->promises[1],
-		    sizeof(t->promises[0]) * (2 * STANDBYS - 1));
+		    sizeof(t->promises[0]) * (2 * STANDBYS_MAX - 1));
 		t->npromises--;
 	}
 	memset(&t->promises[t->npromises], 0, sizeof(t->promises[0]));
@@ -125,7 +125,7 @@
  * now.
  */
 static int
-all_promised(const struct term *t, const struct record *r, usec now)
+all_promised(const struct term *t, const struct control_record *r, usec now)
 {
 	int i, k;
 
@@ -177,7 +177,7 @@
  * waits for a whole host lease from then.
  */
 int
-term_settled(const struct term *t, usec now)
+term_old_leases_lapsed(const struct term *t, usec now)
 {
 	return (t->role == TERM_HOLDER && !t->need_withdrawal &&
 	    now >= t->old_leases_lapse_at);
@@ -257,7 +257,7 @@
 
 /* Takes the outcome of the pending write. */
 void
-term_put_ended(struct term *t, usec now, enum put_result res, uint64_t version)
+term_put_done(struct term *t, usec now, enum put_result res, uint64_t version)
 {
 	if (!t->put_pending)
 		return;
@@ -266,7 +266,7 @@
 		become_holder(t, now, version);
 		break;
 	case PUT_CONFLICT:
-	case PUT_LOST:
+	case PUT_UNKNOWN:
 		/*
 		 * The outcome is unknown even after a conflict, which an
 		 * earlier attempt of the same write may have caused. Only
@@ -282,7 +282,7 @@
 static usec
 bootstrap_timeout(const struct term *t)
 {
-	return (t->conf.first_wait +
+	return (t->conf.bootstrap_delay +
 	    (usec)(t->conf.self.boot % (uint64_t)BOOTSTRAP_JITTER));
 }
 
@@ -292,7 +292,7 @@
  */
 static void
 update_record(
-    struct term *t, usec now, uint64_t version, const struct record *r)
+    struct term *t, usec now, uint64_t version, const struct control_record *r)
 {
 	/*
 	 * Two reads far apart say nothing about the time between: after an
@@ -332,8 +332,8 @@
 
 /* Takes the result of a read; found is 0 where there is no record. */
 void
-term_got(struct term *t, usec now, int found, uint64_t version,
-    const struct record *r)
+term_get_done(struct term *t, usec now, int found, uint64_t version,
+    const struct control_record *r)
 {
 	t->get_pending = 0;
 	if (!found)
@@ -371,14 +371,14 @@
 
 /* Takes a promise request that says that the holder's lease has expired. */
 void
-term_asked_late(struct term *t, usec now)
+term_holder_late(struct term *t, usec now)
 {
 	t->late_request_at = now;
 }
 
 /* Takes the version of the record that the holder wrote last. */
 void
-term_heard(struct term *t, usec now, uint64_t version)
+term_version_announced(struct term *t, usec now, uint64_t version)
 {
 	t->announced_version = version;
 	t->announced_at = now;
@@ -391,7 +391,7 @@
  * was cut off.
  */
 void
-term_outdone(struct term *t, usec now, uint64_t term)
+term_superseded(struct term *t, usec now, uint64_t term)
 {
 	if (t->role != TERM_HOLDER || term <= t->rec.term)
 		return;
@@ -406,7 +406,7 @@
  * that.
  */
 int
-term_late(const struct term *t, usec now)
+term_renewal_late(const struct term *t, usec now)
 {
 	return (now > t->lease_until - t->conf.renew);
 }
@@ -422,8 +422,8 @@
 static usec
 promise_duration(const struct term *t, enum promise_kind kind)
 {
-	if (kind == PROMISE_LEFT && t->conf.left_promise > t->conf.lease)
-		return (t->conf.left_promise);
+	if (kind == PROMISE_FINAL && t->conf.final_promise > t->conf.lease)
+		return (t->conf.final_promise);
 	return (t->conf.lease);
 }
 
@@ -433,7 +433,7 @@
  * does not know what was promised, its answer must not count.
  */
 enum promise_kind
-term_asked(struct term *t, usec now, uint64_t term, uint64_t boot)
+term_promise_request(struct term *t, usec now, uint64_t term, uint64_t boot)
 {
 	if (term > t->highest_term)
 		t->highest_term = term;
@@ -456,7 +456,7 @@
 	 * lapse.
 	 */
 	if (t->leaving)
-		return (PROMISE_LEFT);
+		return (PROMISE_FINAL);
 	if (t->resigned)
 		return (PROMISE_NONE);
 	/*
@@ -465,8 +465,9 @@
 	 * leases but change nothing.
 	 */
 	if (t->known && term == t->rec.term &&
-	    t->last_seen - t->first_seen >
-		(t->conf.told ? LATE_HOLDER_STUCK_AFTER : HOLDER_STUCK_AFTER))
+	    t->last_seen - t->first_seen > (t->conf.version_announced
+						   ? LATE_HOLDER_STUCK_AFTER
+						   : HOLDER_STUCK_AFTER))
 		return (PROMISE_NONE);
 	t->promised_until = lease_granter_end(now, t->conf.lease);
 	return (PROMISE_LEASE);
@@ -499,7 +500,7 @@
  * the reply may have been delayed, and the standby counts from its reply.
  */
 void
-term_promised(struct term *t, usec now, const struct member *process,
+term_promise_reply(struct term *t, usec now, const struct member *process,
     uint64_t term, enum promise_kind kind, usec requested_at)
 {
 	struct promise *p;
@@ -553,7 +554,7 @@
 	 * A standby that was shut down may have made a longer, final promise.
 	 */
 	set_old_leases_lapse(
-	    t, now, holder ? 0 : promise_duration(t, PROMISE_LEFT));
+	    t, now, holder ? 0 : promise_duration(t, PROMISE_FINAL));
 	t->cb->event(t->arg,
 	    "a process of the earlier controller or its standbys has ended");
 }
@@ -564,7 +565,7 @@
  * more under its own, so its remaining promises need not be waited for.
  */
 void
-term_yielded(
+term_holder_follows(
     struct term *t, usec now, const struct member *process, uint64_t term)
 {
 	if (t->role != TERM_HOLDER || term < t->rec.term ||
@@ -583,9 +584,9 @@
  * differ.
  */
 void
-term_standbys(struct term *t, const struct member *m, int n)
+term_set_standbys(struct term *t, const struct member *m, int n)
 {
-	t->nwanted = n > STANDBYS ? STANDBYS : n;
+	t->nwanted = n > STANDBYS_MAX ? STANDBYS_MAX : n;
 	memcpy(t->wanted, m, sizeof(*m) * (size_t)t->nwanted);
 }
 
@@ -610,7 +611,7 @@
 
 /* Allows this host to take control again after term_resign(). */
 void
-term_return(struct term *t)
+term_rejoin(struct term *t)
 {
 	t->resigned = 0;
 	t->eligible = 1;
@@ -631,7 +632,8 @@
 		delay = bootstrap_timeout(t);
 	else if (t->rec.holder.host[0] == '\0')
 		/* All hosts learn of it at the same time: standbys go first. */
-		delay = t->conf.told && !lists_standby(&t->rec, &t->conf.self)
+		delay = t->conf.version_announced &&
+			!lists_standby(&t->rec, &t->conf.self)
 		    ? VACANT_DELAY
 		    : 0;
 	else if (replaces(&t->conf.self, &t->rec.holder))
@@ -656,7 +658,7 @@
 static int
 must_read(const struct term *t, usec now)
 {
-	if (!t->known || t->version == 0 || t->lonely)
+	if (!t->known || t->version == 0 || t->no_controller)
 		return (1);
 	/*
 	 * Reads of two standbys at each renewal interval would be most of the
@@ -664,7 +666,7 @@
 	 * when a version was current; standbys read once the announcements
 	 * stop, or once the holder says that its lease has expired.
 	 */
-	if (t->conf.told)
+	if (t->conf.version_announced)
 		return (t->late_request_at != 0 &&
 		    now - t->late_request_at < 2 * t->conf.lease);
 	return (lists_standby(&t->rec, &t->conf.self) ||
@@ -675,7 +677,7 @@
 static void
 tick_follower(struct term *t, usec now)
 {
-	struct record r;
+	struct control_record r;
 	usec interval;
 	int vacant;
 
@@ -739,8 +741,8 @@
 static void
 tick_holder(struct term *t, usec now)
 {
-	const struct record *r;
-	struct record next;
+	const struct control_record *r;
+	struct control_record next;
 	int i;
 
 	if (now >= t->next_request) {
--- a/decide/term.h
+++ b/decide/term.h
@@ -11,7 +11,7 @@
 #include "clock.h"
 #include "str.h"
 
-#define STANDBYS 2
+#define STANDBYS_MAX 2
 
 /*
  * A host's process. A restarted one has another boot number and counts as
@@ -24,24 +24,24 @@
 };
 
 /* The control record of a cell, as stored in the platform. */
-struct record {
+struct control_record {
 	uint64_t term;
 	uint64_t write_id;
 	struct member holder;
-	struct member standby[STANDBYS];
+	struct member standby[STANDBYS_MAX];
 	int nstandby;
 };
 
 /*
  * What a standby promises: not to take control for a control lease, or, if it
- * is shutting down, for term_conf.left_promise.
+ * is shutting down, for term_conf.final_promise.
  */
-enum promise_kind { PROMISE_NONE, PROMISE_LEASE, PROMISE_LEFT };
+enum promise_kind { PROMISE_NONE, PROMISE_LEASE, PROMISE_FINAL };
 
 enum term_role { TERM_FOLLOWER, TERM_ACQUIRING, TERM_HOLDER };
 
-/* Outcome of a write; PUT_LOST is unknown, it may still take effect. */
-enum put_result { PUT_DONE, PUT_CONFLICT, PUT_LOST };
+/* Outcome of a write; PUT_UNKNOWN is unknown, it may still take effect. */
+enum put_result { PUT_DONE, PUT_CONFLICT, PUT_UNKNOWN };
 
 struct term_conf {
 	struct member self;
@@ -49,20 +49,20 @@
 	usec host_lease; /* leases that a controller grants to hosts */
 	usec renew;	 /* interval between renewals */
 	/*
-	 * The holder announces the record's version (term_heard), so that
-	 * standbys that hear it need not read the record.
+	 * The holder announces the record's version (term_version_announced),
+	 * so that standbys that hear it need not read the record.
 	 */
-	int told;
+	int version_announced;
 	/*
 	 * Duration of the promise of a standby that shuts down; 0 is a control
 	 * lease.
 	 */
-	usec left_promise;
+	usec final_promise;
 	/*
 	 * Extra delay before this host takes control of a cell that has no
 	 * control record.
 	 */
-	usec first_wait;
+	usec bootstrap_delay;
 };
 
 struct promise {
@@ -72,16 +72,16 @@
 };
 
 /* Functions that term calls for I/O and events. */
-struct term_out {
+struct term_callbacks {
 	void (*get)(void *);
-	void (*put)(void *, uint64_t base, const struct record *);
+	void (*put)(void *, uint64_t base, const struct control_record *);
 	void (*request_promise)(void *, const struct member *, uint64_t term);
 	void (*event)(void *, const char *);
 };
 
 struct term {
 	struct term_conf conf;
-	const struct term_out *cb;
+	const struct term_callbacks *cb;
 	void *arg;
 	enum term_role role;
 	int eligible;
@@ -90,7 +90,7 @@
 
 	/* The record as last read; version 0 means that there is none. */
 	int known;
-	struct record rec;
+	struct control_record rec;
 	uint64_t version;
 	usec first_seen;
 	usec last_seen;
@@ -100,21 +100,21 @@
 	/* The one write that may be pending or of unknown outcome. */
 	int put_pending;
 	int put_unknown;
-	struct record put_rec;
+	struct control_record put_rec;
 	uint64_t base_version;
 	usec put_sent;
 	usec next_put;
 
 	/* State of the holder. */
 	usec lease_until;
-	struct promise promises[2 * STANDBYS];
+	struct promise promises[2 * STANDBYS_MAX];
 	int npromises;
 	usec next_request;
 	usec old_leases_lapse_at;
 	usec dispatch_at;
-	struct record previous_record;
+	struct control_record previous_record;
 	int need_withdrawal;
-	struct member wanted[STANDBYS];
+	struct member wanted[STANDBYS_MAX];
 	int nwanted;
 
 	/* State of a standby. */
@@ -125,34 +125,34 @@
 	usec last_request_at;
 	uint64_t highest_term;
 	/* Set by the caller while no controller renews this host's leases. */
-	int lonely;
+	int no_controller;
 	uint64_t seed;
 };
 
-void term_init(struct term *, const struct term_conf *, const struct term_out *,
-    void *, uint64_t seed);
+void term_init(struct term *, const struct term_conf *,
+    const struct term_callbacks *, void *, uint64_t seed);
 void term_tick(struct term *, usec now);
-void term_got(struct term *, usec now, int found, uint64_t version,
-    const struct record *);
+void term_get_done(struct term *, usec now, int found, uint64_t version,
+    const struct control_record *);
 void term_get_failed(struct term *, usec now);
-void term_put_ended(struct term *, usec now, enum put_result, uint64_t version);
-enum promise_kind term_asked(
+void term_put_done(struct term *, usec now, enum put_result, uint64_t version);
+enum promise_kind term_promise_request(
     struct term *, usec now, uint64_t term, uint64_t boot);
-void term_asked_late(struct term *, usec now);
-int term_late(const struct term *, usec now);
-void term_heard(struct term *, usec now, uint64_t version);
-void term_outdone(struct term *, usec now, uint64_t term);
-void term_promised(struct term *, usec now, const struct member *,
+void term_holder_late(struct term *, usec now);
+int term_renewal_late(const struct term *, usec now);
+void term_version_announced(struct term *, usec now, uint64_t version);
+void term_superseded(struct term *, usec now, uint64_t term);
+void term_promise_reply(struct term *, usec now, const struct member *,
     uint64_t term, enum promise_kind, usec requested_at);
-void term_yielded(
+void term_holder_follows(
     struct term *, usec now, const struct member *, uint64_t term);
-void term_standbys(struct term *, const struct member *, int);
+void term_set_standbys(struct term *, const struct member *, int);
 void term_process_seen(struct term *, usec now, const struct member *);
 void term_resign(struct term *, usec now);
-void term_return(struct term *);
+void term_rejoin(struct term *);
 void term_leave(struct term *, usec now);
 int term_may_renew(const struct term *, usec now);
-int term_settled(const struct term *, usec now);
+int term_old_leases_lapsed(const struct term *, usec now);
 int term_may_dispatch(const struct term *, usec now);
 
 #endif
--- a/gspard/control.c
+++ b/gspard/control.c
@@ -130,7 +130,8 @@
 	for (i = 0; i < v->n_dispatch; i++) {
 		if (strcmp(v->dispatch[i]->host, self) == 0 &&
 		    (c->report == NULL ||
-			!ask_speaks_of(c->report, v->dispatch[i]->target)))
+			!lease_ask_has_target(
+			    c->report, v->dispatch[i]->target)))
 			return (1);
 	}
 	return (0);
@@ -204,7 +205,7 @@
 {
 	struct control *c = s->state;
 	struct ccell *cell;
-	char name[CELL_NAME], word[16];
+	char name[CELL_NAME_MAX], word[16];
 
 	if (st->op == STORE_HOSTS) {
 		c->hosts_open = 0;
--- a/gspard/control.h
+++ b/gspard/control.h
@@ -22,7 +22,7 @@
 /* A cell as this host sees it, and controls it where it holds the term. */
 struct ccell {
 	struct service *s;
-	char name[CELL_NAME];
+	char name[CELL_NAME_MAX];
 	int member;
 	struct cell *cell;
 	struct term term;
@@ -78,7 +78,7 @@
 
 /* ctl_store.c */
 void cell_read_record(void *);
-void cell_write_record(void *, uint64_t base, const struct record *);
+void cell_write_record(void *, uint64_t base, const struct control_record *);
 void cell_read_assignment(void *, const char *service);
 void cell_write_assignment(
     void *, const char *service, uint64_t base, char *json);
--- a/gspard/ctl_cell.c
+++ b/gspard/ctl_cell.c
@@ -58,7 +58,7 @@
 	log_line(LOG_NOTICE, "control", "Cell %s: %s.", c->name, what);
 }
 
-static const struct term_out term_out = {
+static const struct term_callbacks term_callbacks = {
     cell_read_record, cell_write_record, term_ask, term_event};
 
 /* Records what the controller decided. */
@@ -71,7 +71,7 @@
 	log_line(LOG_INFO, "control", "Cell %s: %s.", c->name, what);
 }
 
-static const struct cell_out cell_out = {
+static const struct cell_callbacks cell_callbacks = {
     cell_read_assignment, cell_write_assignment, cell_spread_view, cell_event};
 
 /* A cell as seen from here; member where this host is one of its own. */
@@ -79,8 +79,7 @@
 ccell_new(struct service *s, const char *name, int member)
 {
 	const struct conf *conf = kernel_conf(s->kernel);
-	struct cell_conf_times times = {
-	    MS(conf->host_lease_ms), ask_every(conf)};
+	struct cell_times times = {MS(conf->host_lease_ms), ask_every(conf)};
 	struct term_conf tc;
 	struct ccell *c;
 	uint64_t seed;
@@ -100,8 +99,8 @@
 	tc.lease = MS(conf->control_lease_ms);
 	tc.host_lease = MS(conf->host_lease_ms);
 	tc.renew = MS(conf->renew_ms);
-	term_init(&c->term, &tc, &term_out, c, seed);
-	cell_init(c->cell, name, &times, &cell_out, c, ~seed);
+	term_init(&c->term, &tc, &term_callbacks, c, seed);
+	cell_init(c->cell, name, &times, &cell_callbacks, c, ~seed);
 	return (c);
 }
 
@@ -161,7 +160,7 @@
 	ask.boot = kernel_boot(c->s->kernel);
 	ask.dc = (char *)conf_of(c)->dc;
 	ask.addr = (char *)conf_of(c)->reached;
-	ask.seq = hostlease_ask(&c->lease, now, ask_every(conf_of(c)));
+	ask.seq = hostlease_request(&c->lease, now, ask_every(conf_of(c)));
 	f.body_case = GSPAR__FRAME__BODY_LEASE_ASK;
 	f.lease_ask = &ask;
 	send_frame(c->s->kernel, c->lease.controller, 0, &f);
@@ -190,7 +189,7 @@
 	struct control *ctl = c->s->state;
 	const struct peers *l = ctl->peers == NULL ? NULL : ctl->peers->p;
 	int i, n, start;
-	char dcs[CELL_NAME + 2], dc[NAME_MAX_GS + 2];
+	char dcs[CELL_NAME_MAX + 2], dc[NAME_MAX_GS + 2];
 
 	c->next_view_ask = now + VIEW_ASK_EVERY;
 	if (l == NULL || l->n == 0)
@@ -229,7 +228,7 @@
 void
 ccell_tick(struct ccell *c, usec now)
 {
-	struct member want[STANDBYS];
+	struct member want[STANDBYS_MAX];
 	int n;
 
 	if (!c->member) {
@@ -237,20 +236,20 @@
 			ask_view(c, now);
 		return;
 	}
-	c->term.lonely =
-	    now - c->lease.heard > LONELY_ASKS * ask_every(conf_of(c));
+	c->term.no_controller =
+	    now - c->lease.last_heard > LONELY_ASKS * ask_every(conf_of(c));
 	if (c->cell->active) {
-		n = cell_standbys(c->cell, now, conf_of(c)->host,
+		n = cell_choose_standbys(c->cell, now, conf_of(c)->host,
 		    conf_of(c)->dc, &c->term.rec, want);
-		term_standbys(&c->term, want, n);
+		term_set_standbys(&c->term, want, n);
 	}
 	term_tick(&c->term, now);
 	follow_term(c, now);
 	if (term_may_renew(&c->term, now))
-		cell_tick(c->cell, now, term_settled(&c->term, now),
+		cell_tick(c->cell, now, term_old_leases_lapsed(&c->term, now),
 		    term_may_dispatch(&c->term, now));
 	if (c->lease.controller[0] != '\0' &&
-	    (c->ask_now || now >= c->lease.next_ask))
+	    (c->ask_now || now >= c->lease.next_request))
 		ask_lease(c, now);
 	if (now >= c->next_view_ask)
 		ask_view(c, now);
@@ -275,8 +274,8 @@
 	list = calloc(CELL_TARGETS, sizeof(*list));
 	if (c->cell->active && ask->term <= c->cell->term &&
 	    term_may_renew(&c->term, now) && cell_ready(c->cell)) {
-		cell_asked(c->cell, now, m->host, ask);
-		cell_tick(c->cell, now, term_settled(&c->term, now),
+		cell_lease_request(c->cell, now, m->host, ask);
+		cell_tick(c->cell, now, term_old_leases_lapsed(&c->term, now),
 		    term_may_dispatch(&c->term, now));
 		/*
 		 * Read the clock once more: a controller paused since `now`
@@ -284,8 +283,8 @@
 		 */
 		now = clock_mono();
 		n = term_may_renew(&c->term, now)
-		    ? cell_give(c->cell, now, m->host, ask, &give, duties,
-			  CELL_TARGETS)
+		    ? cell_lease_reply(c->cell, now, m->host, ask, &give,
+			  duties, CELL_TARGETS)
 		    : -1;
 		for (i = 0; i < n; i++)
 			list[i] = &duties[i];
@@ -367,7 +366,7 @@
 			c->ask_now = 1;
 		return;
 	}
-	if (!hostlease_given(&c->lease, now, m->host, give->term, give->seq,
+	if (!hostlease_reply(&c->lease, now, m->host, give->term, give->seq,
 		MS(give->lease_ms)))
 		return;
 	pass_lease(c, give);
@@ -388,7 +387,8 @@
 	p.term = ask->term;
 	p.seq = ask->seq;
 	p.boot = kernel_boot(c->s->kernel);
-	p.yes = term_asked(&c->term, now, ask->term, ask->boot) != PROMISE_NONE;
+	p.yes = term_promise_request(&c->term, now, ask->term, ask->boot) !=
+	    PROMISE_NONE;
 	f.body_case = GSPAR__FRAME__BODY_PROMISE;
 	f.promise = &p;
 	send_frame(c->s->kernel, m->host, m->conn, &f);
@@ -406,7 +406,7 @@
 	memset(&who, 0, sizeof(who));
 	name_copy(who.host, sizeof(who.host), m->host);
 	who.boot = p->boot;
-	term_promised(&c->term, now, &who, p->term,
+	term_promise_reply(&c->term, now, &who, p->term,
 	    p->yes ? PROMISE_LEASE : PROMISE_NONE,
 	    c->asked_at[p->seq % ASKED_KEPT]);
 }
--- a/gspard/ctl_stop.c
+++ b/gspard/ctl_stop.c
@@ -48,9 +48,10 @@
 		cell = c->cells[i];
 		if (!cell->member)
 			continue;
-		if (cell->cell->active ? cell_live_hosts(cell->cell, now, &m, 1,
-					     cell->term.conf.self.host) > 0
-				       : now - cell->lease.heard < ALONE_AFTER)
+		if (cell->cell->active
+			? cell_available_hosts(cell->cell, now, &m, 1,
+			      cell->term.conf.self.host) > 0
+			: now - cell->lease.last_heard < ALONE_AFTER)
 			return (0);
 	}
 	return (1);
@@ -64,7 +65,7 @@
 
 	for (i = 0; i < c->ncells; i++) {
 		if (c->cells[i]->cell->active &&
-		    !cell_handed_over(c->cells[i]->cell))
+		    !cell_handover_done(c->cells[i]->cell))
 			return (0);
 	}
 	return (1);
--- a/gspard/ctl_store.c
+++ b/gspard/ctl_store.c
@@ -11,7 +11,7 @@
 record_store(const struct ccell *c, enum store_op op)
 {
 	struct store *st;
-	char path[CELL_NAME + 16];
+	char path[CELL_NAME_MAX + 16];
 
 	snprintf(path, sizeof(path), "control/%s", c->name);
 	st = store_new(op, "control", path);
@@ -24,7 +24,7 @@
 assignment_store(const struct ccell *c, enum store_op op, const char *service)
 {
 	struct store *st;
-	char path[CELL_NAME + NAME_MAX_GS + 16];
+	char path[CELL_NAME_MAX + NAME_MAX_GS + 16];
 
 	snprintf(path, sizeof(path), "assign/%s/%s", c->name, service);
 	st = store_new(op, "control", path);
@@ -43,7 +43,7 @@
 
 /* Writes the control record where its version is still base. */
 void
-cell_write_record(void *arg, uint64_t base, const struct record *r)
+cell_write_record(void *arg, uint64_t base, const struct control_record *r)
 {
 	struct ccell *c = arg;
 	struct store *st;
@@ -85,25 +85,25 @@
 {
 	if (status == 200)
 		return (PUT_DONE);
-	return (status == 412 ? PUT_CONFLICT : PUT_LOST);
+	return (status == 412 ? PUT_CONFLICT : PUT_UNKNOWN);
 }
 
 /* Takes the outcome of a call about the control record. */
 static void
 term_stored(struct ccell *c, const struct store *st, usec now)
 {
-	struct record r;
+	struct control_record r;
 
 	if (st->op == STORE_PUT) {
 		if (st->gen == c->term.put_rec.write_id)
-			term_put_ended(
+			term_put_done(
 			    &c->term, now, put_result(st->status), st->version);
 		return;
 	}
 	if (st->status == 404)
-		term_got(&c->term, now, 0, 0, NULL);
+		term_get_done(&c->term, now, 0, 0, NULL);
 	else if (st->status == 200 && record_read(&st->body, &r) == 0)
-		term_got(&c->term, now, 1, st->version, &r);
+		term_get_done(&c->term, now, 1, st->version, &r);
 	else
 		term_get_failed(&c->term, now);
 }
@@ -126,11 +126,11 @@
 	if (st->op == STORE_PUT && st->gen != c->cell->term)
 		return;
 	if (st->op == STORE_PUT)
-		cell_put_ended(
+		cell_put_done(
 		    c->cell, now, service, put_result(st->status), st->version);
 	else if (st->status == 200 || st->status == 404)
-		cell_got(c->cell, now, service, st->status == 200, st->version,
-		    st->body.p, st->body.n);
+		cell_get_done(c->cell, now, service, st->status == 200,
+		    st->version, st->body.p, st->body.n);
 	else
 		cell_get_failed(c->cell, service);
 }
--- a/gspard/ctl_view.c
+++ b/gspard/ctl_view.c
@@ -32,10 +32,10 @@
 		place[i] = (int)sv->n_targets;
 	}
 	for (n = 0; n < s->shards; n++) {
-		i = cell_serves(s, n, &sv->fence[n]);
-		if (i != NOBODY)
+		i = cell_shard_target(s, n, &sv->fence[n]);
+		if (i != CELL_NONE)
 			sv->owner[n] = (uint32_t)place[i];
-		if (s->next[n] != NOBODY && !s->freed[n])
+		if (s->next[n] != CELL_NONE && !s->freed[n])
 			sv->moving[sv->n_moving++] = s->first + n;
 	}
 	free(place);
@@ -107,12 +107,13 @@
 		svp[v.n_services++] = &sv[i];
 	}
 	for (i = 0; i < cell->ntargets; i++) {
-		if (cell->targets[i].disp == NOBODY)
+		if (cell->targets[i].dispatcher == CELL_NONE)
 			continue;
 		gspar__dispatch_view__init(&dv[i]);
 		dv[i].target = cell->targets[i].conf.name;
-		dv[i].host = cell->hosts[cell->targets[i].disp].who.host;
-		dv[i].addr = cell->hosts[cell->targets[i].disp].addr;
+		dv[i].host =
+		    cell->hosts[cell->targets[i].dispatcher].process.host;
+		dv[i].addr = cell->hosts[cell->targets[i].dispatcher].addr;
 		dvp[v.n_dispatch++] = &dv[i];
 	}
 	spread(c, &v);
--- a/gspard/direct.c
+++ b/gspard/direct.c
@@ -87,7 +87,7 @@
 	p->rule = c->rule;
 	p->digest = call_digest(c);
 	p->learnt = learnt_of(d, p->rule);
-	n = rule_part(p->rule, p->learnt->count++);
+	n = rule_backend(p->rule, p->learnt->count++);
 	if (n < 0 || (p->svc = svc_of(d, t->services[n].name)) == NULL) {
 		free(p);
 		refuse_call(c, GS_NO_SERVICE, 0);
@@ -98,15 +98,16 @@
 	p->deadline = now + MS(c->left_ms > LAST_MS ? c->left_ms - LAST_MS : 0);
 	if (p->rule->timeout > 0 && p->deadline > now + p->rule->timeout)
 		p->deadline = now + p->rule->timeout;
-	if (d->leave != NULL && !leave_takes(d->leave, now, p->deadline)) {
+	if (d->stop_plan != NULL &&
+	    !stop_plan_accepts(d->stop_plan, now, p->deadline)) {
 		free(p);
 		refuse_call(c, GS_STOPPING, ELSEWHERE_MS);
 		return;
 	}
-	if (d->leave != NULL)
-		p->deadline = leave_deadline(d->leave, p->deadline);
+	if (d->stop_plan != NULL)
+		p->deadline = stop_plan_deadline(d->stop_plan, p->deadline);
 	p->next_look = now + FLOW_LOOK_EVERY;
-	budget_first(&p->svc->again);
+	budget_deposit(&p->svc->again);
 	if (p->svc->keyed && c->key_number >= 0)
 		heat_add(&p->svc->heat, (uint16_t)c->key_number);
 	link_pending(d, p);
@@ -149,7 +150,7 @@
 	memset(&d->crashes, 0, sizeof(d->crashes));
 	for (s = d->targets; s != NULL; s = s->next) {
 		heat_report_target(
-		    h, s->id, s->dest.speed, s->dest.limit, s->answers);
+		    h, s->id, s->dest.latency_ratio, s->dest.limit, s->answers);
 		s->answers = 0;
 	}
 	msg_post(d->s->kernel, "control", MSG_HEAT, h, heat_report_free);
@@ -181,10 +182,10 @@
 
 	if (m->data == NULL)
 		return;
-	d->leave = m->data;
+	d->stop_plan = m->data;
 	m->data = NULL;
 	for (p = d->first; p != NULL; p = p->next)
-		p->deadline = leave_deadline(d->leave, p->deadline);
+		p->deadline = stop_plan_deadline(d->stop_plan, p->deadline);
 }
 
 /* Takes one message. */
@@ -294,7 +295,7 @@
 	struct target_state *p;
 
 	ring_on_put(s->in, NULL, NULL);
-	free(d->leave);
+	free(d->stop_plan);
 	while (d->nkept > 0)
 		curl_easy_cleanup(d->kept[--d->nkept]);
 	curl_multi_cleanup(d->multi);
--- a/gspard/direct.h
+++ b/gspard/direct.h
@@ -106,12 +106,13 @@
 	struct shared *site;
 	struct shared *owners;
 	struct shared *quarantine;
-	struct recent recent;		/* contents that were answered */
-	struct quarantine_seen crashes; /* since the last report */
+	struct recent recent;	     /* contents that were answered */
+	struct crash_report crashes; /* since the last report */
 	struct recent tried; /* contents that ran on probation, unanswered */
-	struct leave *leave; /* this host stops; NULL where it does not */
+	struct stop_plan
+	    *stop_plan; /* this host stops; NULL where it does not */
 	struct dest_conf conf;
-	struct svc svcs[SITE_SERVICES];
+	struct svc svcs[SITE_SERVICES_MAX];
 	int nsvcs;
 	struct learnt learnt[LEARNT_SIZE];
 	struct pending *first;
--- a/gspard/direct_crash.c
+++ b/gspard/direct_crash.c
@@ -9,9 +9,9 @@
 void
 crash_ended(struct direct *d, struct target_state *s)
 {
-	struct quarantine_seen *n = &d->crashes;
+	struct crash_report *n = &d->crashes;
 
-	if (s->ended || n->nended == QUARANTINE_SEEN)
+	if (s->ended || n->nended == CRASH_REPORT_MAX)
 		return;
 	s->ended = 1;
 	n->ended[n->nended++] = s->digest;
@@ -38,9 +38,9 @@
 static void
 tell_answered(struct direct *d, uint64_t digest)
 {
-	struct quarantine_seen *n = &d->crashes;
+	struct crash_report *n = &d->crashes;
 
-	if (n->nanswered < QUARANTINE_SEEN)
+	if (n->nanswered < CRASH_REPORT_MAX)
 		n->answered[n->nanswered++] = digest;
 }
 
@@ -48,7 +48,7 @@
 void
 crash_answered(struct direct *d, uint64_t digest, usec now)
 {
-	recent_note(&d->recent, digest, now);
+	recent_add(&d->recent, digest, now);
 	if (on_probation(d, digest, now))
 		tell_answered(d, digest);
 }
@@ -65,7 +65,7 @@
 crash_unanswered(struct direct *d, const struct pending *p, usec now)
 {
 	if (p->at != NULL && p->at->on_probation)
-		recent_note(&d->tried, p->digest, now);
+		recent_add(&d->tried, p->digest, now);
 }
 
 /* Reports recent answers to contents that a new list has on probation. */
@@ -116,7 +116,7 @@
 	if (recent_has(&d->recent, p->digest, now))
 		return (1);
 	return (d->counted &&
-	    probation_is_here(p->digest, d->rank, d->conf.hosts) &&
+	    quarantine_runs_here(p->digest, d->rank, d->conf.hosts) &&
 	    !is_running(d, p->digest) &&
 	    !recent_has(&d->tried, p->digest, now));
 }
@@ -126,9 +126,9 @@
 crash_broke(struct direct *d, const struct pending *p,
     const struct target_state *s, usec now)
 {
-	struct quarantine_seen *n = &d->crashes;
+	struct crash_report *n = &d->crashes;
 
-	if (n->nbroken == QUARANTINE_SEEN ||
+	if (n->nbroken == CRASH_REPORT_MAX ||
 	    recent_has(&d->recent, p->digest, now))
 		return;
 	n->broken[n->nbroken].digest = p->digest;
--- a/gspard/direct_flow.c
+++ b/gspard/direct_flow.c
@@ -206,7 +206,7 @@
 static void
 park(struct direct *d, struct pending *p, const struct owner_range *r, usec now)
 {
-	usec back = r == NULL ? 0 : r->back_at;
+	usec back = r == NULL ? 0 : r->served_at;
 
 	if (!feature_on(FEATURE_PARK)) {
 		flow_end(d, p, GS_NO_OWNER, back > now ? back - now : 0, now);
@@ -258,12 +258,12 @@
 		park(d, p, NULL, now);
 		return;
 	}
-	if (now < s->dest.shunned_until &&
-	    s->dest.shunned_until - now > UNREACHED_WAIT) {
-		flow_end(d, p, GS_NO_OWNER, s->dest.shunned_until - now, now);
+	if (now < s->dest.backoff_until &&
+	    s->dest.backoff_until - now > UNREACHED_WAIT) {
+		flow_end(d, p, GS_NO_OWNER, s->dest.backoff_until - now, now);
 		return;
 	}
-	if (dest_room(&s->dest, now, &d->conf))
+	if (dest_can_send(&s->dest, now, &d->conf))
 		send_to(d, p, s, &s->line, now);
 	else
 		wait_for_room(d, p, s, &s->line, now);
--- a/gspard/direct_outcome.c
+++ b/gspard/direct_outcome.c
@@ -40,9 +40,9 @@
 	if (!a->t.begun)
 		return (DEST_UNREACHED);
 	if (res != CURLE_OK || kind == REPLY_FOREIGN)
-		return (DEST_BROKE);
+		return (DEST_BROKEN);
 	if (kind == REPLY_MISSENT)
-		return (DEST_MISSENT);
+		return (DEST_NOT_OWNER);
 	if (kind == REPLY_REFUSED)
 		return (DEST_REFUSED);
 	return (kind == REPLY_FAILURE ? DEST_FAILED : DEST_ANSWERED);
@@ -57,7 +57,7 @@
 	    e, now - a->sent, (usec)p->learnt->work, a->t.reply.load};
 
 	dest_ended(&a->target->dest, now, &ans);
-	a->target->answers += e <= DEST_MISSENT;
+	a->target->answers += e <= DEST_NOT_OWNER;
 	if (e != DEST_ANSWERED)
 		return;
 	hist_add(H_TARGET, now - a->sent);
@@ -73,7 +73,7 @@
 	return (p->rule->idempotent && p->ran < p->rule->attempts &&
 	    p->tries < TRIES_MOST &&
 	    now + (usec)p->learnt->work < p->deadline &&
-	    budget_retry(&p->svc->again));
+	    budget_withdraw(&p->svc->again));
 }
 
 /* True where one that is known not to have run may be sent once more. */
@@ -86,7 +86,7 @@
 	if (arrived && !feature_on(FEATURE_RESEND))
 		return (0);
 	/* Only what arrived at a target counts against the budget. */
-	return (!arrived || budget_retry(&p->svc->again));
+	return (!arrived || budget_withdraw(&p->svc->again));
 }
 
 /* Sends a request once more. */
--- a/gspard/direct_pick.c
+++ b/gspard/direct_pick.c
@@ -85,7 +85,7 @@
 
 	d->next_limits = now + LIMITS_EVERY;
 	for (p = d->targets; p != NULL; p = p->next)
-		dest_look(&p->dest, &t, now);
+		dest_apply_limit(&p->dest, &t, now);
 }
 
 /* Takes in a target's entry. */
@@ -110,7 +110,7 @@
 	name_copy(p->addr, sizeof(p->addr), t->addr);
 	name_copy(p->service, sizeof(p->service), t->service);
 	p->dest.slots = t->slots;
-	p->dest.near = strcmp(t->dc, conf->dc) == 0;
+	p->dest.same_dc = strcmp(t->dc, conf->dc) == 0;
 	take_cold(&p->dest, service_of(d, t->service), f, t);
 	p->dest.closed_from = closed_from(d, f, t);
 	if (t->gone && !p->dest.leaving)
@@ -167,7 +167,7 @@
 		if (strcmp(d->svcs[i].name, name) == 0)
 			return (&d->svcs[i]);
 	}
-	if (d->nsvcs == SITE_SERVICES)
+	if (d->nsvcs == SITE_SERVICES_MAX)
 		return (NULL);
 	v = &d->svcs[d->nsvcs++];
 	memset(v, 0, sizeof(*v));
@@ -209,7 +209,7 @@
 
 	for (s = d->targets; s != NULL; s = s->next) {
 		if (strcmp(s->service, p->svc->name) != 0 ||
-		    !dest_room(&s->dest, now, &d->conf))
+		    !dest_can_send(&s->dest, now, &d->conf))
 			continue;
 		cost = dest_cost(
 		    &s->dest, now, (usec)p->learnt->work, (usec)p->svc->work);
--- a/gspard/dispatch.c
+++ b/gspard/dispatch.c
@@ -26,7 +26,7 @@
 	}
 	if (d->ncells == MAX_VIEWS)
 		return (NULL);
-	name_copy(d->cells[d->ncells].name, CELL_NAME, name);
+	name_copy(d->cells[d->ncells].name, CELL_NAME_MAX, name);
 	return (&d->cells[d->ncells++]);
 }
 
@@ -62,7 +62,7 @@
 		t = target_new(s, duty->target, c, duty, now);
 		d->report = 1;
 	} else if (duty->epoch > t->grant.epoch) {
-		grant_epoch(&t->grant, duty->epoch, now);
+		grant_new_epoch(&t->grant, duty->epoch, now);
 		t->min_view = duty->min_view;
 		d->report = 1;
 	}
@@ -151,7 +151,7 @@
 	Gspar__Freed *f;
 	uint32_t i, n = 0;
 
-	if (!grant_exact(&t->grant, now))
+	if (!grant_set_certain(&t->grant, now))
 		return;
 	for (i = 0; i < t->shards; i++)
 		n += t->fence[i] != 0 && t->left_out[i];
@@ -232,10 +232,10 @@
 	gspar__target_state__init(ts);
 	ts->target = strdup(t->name);
 	ts->epoch = t->grant.epoch;
-	ts->granted = t->grant.phase != GRANT_DORMANT;
+	ts->granted = t->grant.phase != GRANT_INACTIVE;
 	/* Only once it holds its shards does it count as serving. */
 	ts->up = t->grant.up &&
-	    (t->grant.phase == GRANT_DORMANT || t->grant.held != 0);
+	    (t->grant.phase == GRANT_INACTIVE || t->grant.held_set != 0);
 	ts->leaving = t->leaving;
 	ts->busy = t->queue.busy;
 	ts->rate = t->rate;
@@ -450,8 +450,8 @@
 
 	ring_on_put(s->in, NULL, NULL);
 	while ((t = d->targets) != NULL) {
-		while ((j = queue_pull(&t->queue, run_any, NULL)) != NULL)
-			run_free(s, j->what);
+		while ((j = queue_remove(&t->queue, run_any, NULL)) != NULL)
+			run_free(s, j->user_data);
 		target_free(s, t);
 	}
 	for (i = 0; i < d->ncells; i++)
--- a/gspard/dispatch.h
+++ b/gspard/dispatch.h
@@ -66,7 +66,7 @@
 struct target {
 	struct target *next;
 	char name[NAME_MAX_GS];
-	char cell[CELL_NAME];
+	char cell[CELL_NAME_MAX];
 	char service[NAME_MAX_GS];
 	char addr[64];
 	uint32_t first;
@@ -100,7 +100,7 @@
 };
 
 struct dcell {
-	char name[CELL_NAME];
+	char name[CELL_NAME_MAX];
 	usec lease_until;
 	uint64_t ack; /* last lease acted on */
 	struct shared *view;
--- a/gspard/gspard.c
+++ b/gspard/gspard.c
@@ -101,9 +101,9 @@
 
 /* Sends the order to stop, and until when, to a service. */
 static void
-order_leave(struct kernel *k, const char *name, const struct leave *plan)
+order_leave(struct kernel *k, const char *name, const struct stop_plan *plan)
 {
-	struct leave *copy = malloc(sizeof(*copy));
+	struct stop_plan *copy = malloc(sizeof(*copy));
 
 	if (copy == NULL) {
 		order_stop(k, name);
@@ -162,8 +162,8 @@
 static void
 stop_objects(struct kernel *k)
 {
-	struct leave plan =
-	    leave_plan(clock_mono(), MS(kernel_conf(k)->bounds.stop_ms));
+	struct stop_plan plan =
+	    stop_plan_make(clock_mono(), MS(kernel_conf(k)->bounds.stop_ms));
 	usec left;
 
 	log_line(LOG_NOTICE, "kernel", "Stopping, %d calls under way.",
@@ -172,7 +172,7 @@
 	order_stop(k, "door");
 	order_leave(k, "router", &plan);
 	order_leave(k, "control", &plan);
-	while (clock_mono() < plan.shut)
+	while (clock_mono() < plan.accept_all_until)
 		apr_sleep(MS(LOOK_MS));
 	door_shut(k);
 	apr_sleep(MS(LATE_MS));
--- a/gspard/gspard.h
+++ b/gspard/gspard.h
@@ -96,8 +96,8 @@
 struct store {
 	enum store_op op;
 	const char *reply_to;
-	char path[CELL_NAME + 128];
-	char tag[CELL_NAME + NAME_MAX_GS + 8];
+	char path[CELL_NAME_MAX + 128];
+	char tag[CELL_NAME_MAX + NAME_MAX_GS + 8];
 	uint64_t base;
 	uint64_t gen; /* the sender's, to know stale outcomes by */
 	struct str body;
@@ -150,7 +150,7 @@
 };
 
 struct lease {
-	char cell[CELL_NAME];
+	char cell[CELL_NAME_MAX];
 	usec until;
 	uint64_t seq; /* of the ask that was answered */
 	struct duty *duties;
--- a/gspard/keeper.c
+++ b/gspard/keeper.c
@@ -142,7 +142,7 @@
 static void
 follow_term(struct keeper *k, usec now)
 {
-	const struct record *r = &k->term.rec;
+	const struct control_record *r = &k->term.rec;
 	int i, holds = k->term.role == TERM_HOLDER;
 
 	if (holds && !k->acting) {
@@ -202,14 +202,15 @@
 {
 	int i;
 
-	k->term.lonely = now - k->heard > LONELY_AFTER;
+	k->term.no_controller = now - k->heard > LONELY_AFTER;
 	if (k->acting)
 		keeper_name_standbys(k, now);
 	term_tick(&k->term, now);
 	follow_term(k, now);
 	if (k->acting && term_may_renew(&k->term, now) && !k->resigned &&
 	    !k->yielded) {
-		for (i = 0; i < k->nkeys && term_settled(&k->term, now); i++)
+		for (i = 0;
+		     i < k->nkeys && term_old_leases_lapsed(&k->term, now); i++)
 			keys_tick(k->keys[i], now);
 		fleet_spread(k, now);
 		spread_tick(k, now);
@@ -310,15 +311,15 @@
 	int i;
 
 	if (was != NULL)
-		lately_changed(&k->fleet_was, was->digest, now);
+		superseded_add(&k->fleet_was, was->digest, now);
 	msg_keep(m, &k->fleet);
 	for (i = 0; i < k->nkeys; i++)
-		keys_fleet(k->keys[i], k->fleet->p, now);
+		keys_set_fleet(k->keys[i], k->fleet->p, now);
 }
 
 /* The host stops; the plan is not there where memory was short. */
 static void
-begin_stop(struct keeper *k, const struct leave *plan, usec now)
+begin_stop(struct keeper *k, const struct stop_plan *plan, usec now)
 {
 	k->stopping = 1;
 	k->giving_since = now;
@@ -340,10 +341,10 @@
 		take_site(k, m, now);
 		break;
 	case MSG_SITE_UNREAD:
-		behind_unread(&k->behind);
+		behind_read_failed(&k->behind);
 		break;
 	case MSG_SITE_READ:
-		behind_read(&k->behind, now);
+		behind_read_done(&k->behind, now);
 		break;
 	case MSG_FLEET:
 		take_fleet(k, m, now);
--- a/gspard/keeper.h
+++ b/gspard/keeper.h
@@ -49,9 +49,9 @@
 	Gspar__BrokenSend broken[QUARANTINE_REPORTED];
 	Gspar__BrokenSend *broken_list[QUARANTINE_REPORTED];
 	uint64_t ended[QUARANTINE_REPORTED];
-	uint64_t answered[QUARANTINE_SEEN];
-	Gspar__Quarantined items[QUARANTINE_KEPT];
-	Gspar__Quarantined *list[QUARANTINE_KEPT];
+	uint64_t answered[CRASH_REPORT_MAX];
+	Gspar__Quarantined items[QUARANTINE_ENTRIES_MAX];
+	Gspar__Quarantined *list[QUARANTINE_ENTRIES_MAX];
 };
 
 struct heat_report {
@@ -59,7 +59,7 @@
 	int nkeys;
 	struct heat_target *targets;
 	int ntargets;
-	struct quarantine_seen crashes;
+	struct crash_report crashes;
 };
 
 struct heat_report *heat_report_new(int services);
@@ -111,8 +111,8 @@
 	int acting;
 	struct shared *site;
 	struct shared *fleet;
-	struct lately fleet_was; /* digests of earlier lists */
-	uint64_t told_fleet;	 /* digest of the controller's; 0 is not told */
+	struct superseded fleet_was; /* digests of earlier lists */
+	uint64_t told_fleet; /* digest of the controller's; 0 is not told */
 	usec differs_since;
 	usec next_relist;
 	int told_follow;
@@ -135,7 +135,7 @@
 	uint64_t told_quarantine; /* number of the controller's list */
 	uint64_t report_term; /* to whose controller crashes were told ... */
 	usec report_since;    /* ... and since when */
-	uint64_t answered[QUARANTINE_SEEN]; /* for the next report */
+	uint64_t answered[CRASH_REPORT_MAX]; /* for the next report */
 	int nanswered;
 	int quarantine_open;  /* the store is asked */
 	int quarantine_known; /* its list is known; of a controller */
@@ -225,7 +225,7 @@
 /* keeper_quarantine.c */
 #define QUARANTINE_TAG "quarantine"
 void quarantine_take_seen(
-    struct keeper *, const struct quarantine_seen *, usec now);
+    struct keeper *, const struct crash_report *, usec now);
 void quarantine_refused(struct keeper *, const char *target, usec now);
 void quarantine_fill(struct keeper *, Gspar__HostReport *, usec now);
 void quarantine_report(
--- a/gspard/keeper_fleet.c
+++ b/gspard/keeper_fleet.c
@@ -130,7 +130,8 @@
 	const struct fleet *f = keeper_fleet(k);
 	const struct fleet *was = k->spread == NULL ? NULL : k->spread->p;
 
-	if (f == NULL || f == was || !k->fresh || term_late(&k->term, now))
+	if (f == NULL || f == was || !k->fresh ||
+	    term_renewal_late(&k->term, now))
 		return;
 	if (was != NULL)
 		tell(k, f, was, NULL, now);
@@ -146,8 +147,8 @@
 	struct keeper_host *h = keeper_host(k, host);
 
 	if (f == NULL || digest == f->digest ||
-	    lately_stood(&k->fleet_was, digest, ON_THE_WAY, now) || !k->fresh ||
-	    term_late(&k->term, now))
+	    superseded_within(&k->fleet_was, digest, ON_THE_WAY, now) ||
+	    !k->fresh || term_renewal_late(&k->term, now))
 		return;
 	if (h == NULL || now - h->fleet_at < TELL_AGAIN)
 		return;
--- a/gspard/keeper_hear.c
+++ b/gspard/keeper_hear.c
@@ -29,7 +29,7 @@
 		r->target = (int)w->owner[i] - 1;
 		r->moving = w->state[i] != 0;
 		if (w->state[i] >= STATE_BACK)
-			r->back_at = now + MS(w->state[i] - STATE_BACK);
+			r->served_at = now + MS(w->state[i] - STATE_BACK);
 	}
 }
 
@@ -75,7 +75,7 @@
 	struct owners *o = NULL;
 
 	if (base != NULL && base->number == since)
-		o = owners_overlay(base, d);
+		o = owners_apply(base, d);
 	owners_free(d);
 	return (o);
 }
@@ -125,7 +125,7 @@
 	struct owners *o;
 
 	if (k->acting)
-		term_outdone(&k->term, now, w->term);
+		term_superseded(&k->term, now, w->term);
 	if (w->term < k->controller_term || k->acting)
 		return;
 	k->controller_term = w->term;
@@ -149,7 +149,7 @@
 	if (!w->whole) {
 		hosts_told(k, w, now);
 		site_heard(k, w, now);
-		term_heard(&k->term, now, w->record);
+		term_version_announced(&k->term, now, w->record);
 		k->strained = w->strained;
 		k->told_fleet = w->fleet;
 		k->told_quarantine = w->quarantine;
--- a/gspard/keeper_keys.c
+++ b/gspard/keeper_keys.c
@@ -51,7 +51,7 @@
 	if (st == NULL)
 		return;
 	st->base = base;
-	st->gen = keys_write(keeper_keys(k, service));
+	st->gen = keys_write_id(keeper_keys(k, service));
 	str_set(&st->body, json, strlen(json));
 	store_send(k->s->kernel, st);
 }
@@ -68,7 +68,7 @@
 	 * another gives the same keys to others.
 	 */
 	if (!term_may_renew(&k->term, clock_mono())) {
-		keys_ordered(keeper_keys(k, service), clock_mono(), o->id,
+		keys_order_done(keeper_keys(k, service), clock_mono(), o->id,
 		    ORDER_NOT_SENT, "");
 		return;
 	}
@@ -82,7 +82,7 @@
 	log_line(LOG_INFO, "control", "Service %s: %s.", service, what);
 }
 
-static const struct keys_out keys_out = {
+static const struct keys_callbacks keys_callbacks = {
     get_owners, put_owners, send_order, keys_event};
 
 /* The rules for the keys of a service, or NULL. */
@@ -113,10 +113,10 @@
 	if (kc.hold > MS(b->hold_max_ms))
 		kc.hold = MS(b->hold_max_ms);
 	kc.renew = kc.hold / RENEW_PART;
-	keys_init(ks, v->name, &kc, &keys_out, k);
+	keys_init(ks, v->name, &kc, &keys_callbacks, k);
 	k->keys[k->nkeys++] = ks;
 	if (k->fleet != NULL)
-		keys_fleet(ks, k->fleet->p, now);
+		keys_set_fleet(ks, k->fleet->p, now);
 	if (k->acting)
 		keys_begin(ks, k->term.rec.term, now);
 }
@@ -137,7 +137,8 @@
 		if ((ks = keeper_keys(k, v->name)) == NULL)
 			add_keys(k, v, now);
 		else
-			keys_cold(ks, v->cold_start, v->cold_rate > 0);
+			keys_set_cold_start(
+			    ks, v->cold_start, v->cold_rate > 0);
 	}
 }
 
@@ -160,7 +161,7 @@
 {
 	if (st->result == STORE_DONE)
 		return (PUT_DONE);
-	return (st->result == STORE_CONFLICT ? PUT_CONFLICT : PUT_LOST);
+	return (st->result == STORE_CONFLICT ? PUT_CONFLICT : PUT_UNKNOWN);
 }
 
 /* Takes the outcome of a call about the owners of a service's keys. */
@@ -172,10 +173,10 @@
 	if (ks == NULL)
 		return;
 	if (st->op == STORE_PUT)
-		keys_put_ended(
+		keys_put_done(
 		    ks, now, st->gen, keeper_put_result(st), st->version);
 	else if (st->result == STORE_DONE || st->result == STORE_ABSENT)
-		keys_got(ks, now, st->result == STORE_DONE, st->version,
+		keys_get_done(ks, now, st->result == STORE_DONE, st->version,
 		    st->body.p, st->body.n);
 	else
 		keys_get_failed(ks, now);
--- a/gspard/keeper_order.c
+++ b/gspard/keeper_order.c
@@ -82,13 +82,13 @@
 {
 	struct keys *keys = keeper_keys(k, service);
 	struct order_call *c;
-	long wait =
-	    o->release ? RELEASE_WAIT_MS : (long)(keys->conf.order_wait / 1000);
+	long wait = o->release ? RELEASE_WAIT_MS
+			       : (long)(keys->conf.order_timeout / 1000);
 
 	c = calloc(1, sizeof(*c));
 	if (c == NULL || (c->t.easy = curl_easy_init()) == NULL) {
 		free(c);
-		keys_ordered(keys, clock_mono(), o->id, ORDER_NOT_SENT, "");
+		keys_order_done(keys, clock_mono(), o->id, ORDER_NOT_SENT, "");
 		return;
 	}
 	c->t.ops = k->ops;
@@ -118,7 +118,7 @@
 	if (!c->t.begun)
 		status = ORDER_NOT_SENT;
 	else if (res != CURLE_OK || status == 421 || status >= 500)
-		status = c->t.opened ? ORDER_UNREAD : ORDER_SILENT;
+		status = c->t.opened ? ORDER_NO_REPLY_NEW_CONN : ORDER_NO_REPLY;
 	if (status != 200) {
 		count_add(C_GRANTS_FAILED, 1);
 		log_line(LOG_INFO, "control",
@@ -132,7 +132,7 @@
 	} else
 		hist_add(H_ORDER, now - c->sent);
 	if (keys != NULL)
-		keys_ordered(
+		keys_order_done(
 		    keys, now, c->order.id, (int)status, c->t.reply.handover);
 	call_free(k, c);
 }
--- a/gspard/keeper_quarantine.c
+++ b/gspard/keeper_quarantine.c
@@ -60,7 +60,8 @@
 {
 	Gspar__Frame f = GSPAR__FRAME__INIT;
 	Gspar__QuarantineTold w = GSPAR__QUARANTINE_TOLD__INIT;
-	Gspar__Quarantined items[QUARANTINE_KEPT], *list[QUARANTINE_KEPT];
+	Gspar__Quarantined items[QUARANTINE_ENTRIES_MAX],
+	    *list[QUARANTINE_ENTRIES_MAX];
 	struct keeper_host *h;
 	int i;
 
@@ -120,9 +121,9 @@
 	struct quarantine_list was = k->quarantined;
 
 	if (k->acting)
-		quarantine_settle(&k->quarantine, now);
+		quarantine_confirm_due(&k->quarantine, now);
 	quarantine_list(&k->quarantine, &k->quarantined, now);
-	if (quarantine_number(&k->quarantined) == quarantine_number(&was))
+	if (quarantine_checksum(&k->quarantined) == quarantine_checksum(&was))
 		return;
 	log_change(&k->quarantined, &was, &k->quarantined, now);
 	log_change(&was, &was, &k->quarantined, now);
@@ -133,19 +134,18 @@
 
 /* Takes in what this host's router saw. */
 void
-quarantine_take_seen(
-    struct keeper *k, const struct quarantine_seen *n, usec now)
+quarantine_take_seen(struct keeper *k, const struct crash_report *n, usec now)
 {
 	int i;
 
 	for (i = 0; i < n->nbroken; i++)
-		quarantine_broke_here(&k->quarantine, n->broken[i].digest,
+		quarantine_add_own_break(&k->quarantine, n->broken[i].digest,
 		    n->broken[i].target, n->broken[i].on_probation, now);
 	for (i = 0; i < n->nended; i++)
-		quarantine_ended(&k->quarantine, n->ended[i], now);
+		quarantine_add_end(&k->quarantine, n->ended[i], now);
 	for (i = 0; i < n->nanswered; i++) {
-		quarantine_answered(&k->quarantine, n->answered[i], now);
-		if (k->nanswered < QUARANTINE_SEEN)
+		quarantine_clear(&k->quarantine, n->answered[i], now);
+		if (k->nanswered < CRASH_REPORT_MAX)
 			k->answered[k->nanswered++] = n->answered[i];
 	}
 }
@@ -154,7 +154,7 @@
 void
 quarantine_refused(struct keeper *k, const char *target, usec now)
 {
-	quarantine_ended(&k->quarantine, incarnation_digest(target), now);
+	quarantine_add_end(&k->quarantine, incarnation_digest(target), now);
 }
 
 /* Adds sends that broke to a report. */
@@ -194,7 +194,7 @@
 
 	for (i = 0; i < k->quarantine.nentries; i++) {
 		e = &k->quarantine.entries[i];
-		for (n = 0; n < e->crashes && n < QUARANTINE_TARGETS; n++) {
+		for (n = 0; n < e->crashes && n < QUARANTINE_TARGETS_MAX; n++) {
 			b.digest = e->digest;
 			b.target = e->targets[n];
 			add_broken(w, room, &b);
@@ -217,12 +217,12 @@
 	}
 	if (now - k->report_since < REPORT_FOR)
 		add_crashes(k, w, room);
-	for (i = 0; i < q->nbreaks && i < QUARANTINE_BREAKS; i++) {
+	for (i = 0; i < q->nbreaks && i < QUARANTINE_BREAKS_MAX; i++) {
 		if (q->breaks[i].source == 0 &&
 		    now - q->breaks[i].at < REPORT_FOR)
 			add_broken(w, room, &q->breaks[i]);
 	}
-	for (i = 0; i < q->nends && i < QUARANTINE_ENDS; i++) {
+	for (i = 0; i < q->nends && i < QUARANTINE_ENDS_MAX; i++) {
 		if (now - q->ends[i].at < REPORT_FOR)
 			add_ended(w, room, q->ends[i].target);
 	}
@@ -232,7 +232,7 @@
 	w->answered = room->answered;
 	w->n_answered = (size_t)k->nanswered;
 	k->nanswered = 0;
-	w->quarantine = quarantine_number(&k->quarantined);
+	w->quarantine = quarantine_checksum(&k->quarantined);
 	if (w->quarantine == k->told_quarantine)
 		return;
 	w->n_quarantined =
@@ -248,7 +248,7 @@
 	size_t i;
 
 	l->n = 0;
-	for (i = 0; i < n && i < QUARANTINE_KEPT; i++) {
+	for (i = 0; i < n && i < QUARANTINE_ENTRIES_MAX; i++) {
 		l->items[l->n].digest = list[i]->content;
 		l->items[l->n].probation = list[i]->probation;
 		l->items[l->n++].until = now + MS(list[i]->left);
@@ -277,9 +277,9 @@
 
 	read_list(&l, w->quarantined, w->n_quarantined, now);
 	for (n = 0; n < l.n; n++)
-		quarantine_add(&k->quarantine, &l.items[n], now);
+		quarantine_add_item(&k->quarantine, &l.items[n], now);
 	for (i = 0; i < w->n_answered; i++)
-		quarantine_answered(&k->quarantine, w->answered[i], now);
+		quarantine_clear(&k->quarantine, w->answered[i], now);
 	/* What this host saw itself is counted already. */
 	for (i = 0; i < w->n_broken && !is_self(k, h); i++) {
 		from = w->broken[i];
@@ -288,11 +288,12 @@
 		b.source = source;
 		b.sends = from->sends == 0 ? 1 : (int)from->sends;
 		b.on_probation = from->on_probation;
-		quarantine_broke(&k->quarantine, &b, now);
+		quarantine_add_break(&k->quarantine, &b, now);
 	}
 	for (i = 0; i < w->n_ended; i++)
-		quarantine_ended(&k->quarantine, w->ended[i], now);
-	if (k->acting && w->quarantine != quarantine_number(&k->quarantined) &&
+		quarantine_add_end(&k->quarantine, w->ended[i], now);
+	if (k->acting &&
+	    w->quarantine != quarantine_checksum(&k->quarantined) &&
 	    now - h->quarantine_at > TELL_AGAIN)
 		tell(k, h->who.host, now);
 }
@@ -306,7 +307,7 @@
 	if (k->acting || w->term < k->controller_term)
 		return;
 	read_list(&l, w->list, w->n_list, now);
-	quarantine_told(&k->quarantine, &l, now);
+	quarantine_adopt(&k->quarantine, &l, now);
 }
 
 /* Asks the store for the list, or writes it. */
@@ -324,7 +325,7 @@
 	if (op == STORE_PUT) {
 		quarantine_confirmed(&k->quarantined, &l);
 		st->base = k->quarantine_version;
-		st->gen = quarantine_number(&l);
+		st->gen = quarantine_checksum(&l);
 		quarantine_write(&l, &st->body, now);
 	}
 	k->quarantine_open = 1;
@@ -338,7 +339,7 @@
 	struct quarantine_list l;
 
 	quarantine_confirmed(&k->quarantined, &l);
-	return (k->quarantine_stored != quarantine_number(&l));
+	return (k->quarantine_stored != quarantine_checksum(&l));
 }
 
 /*
@@ -387,7 +388,7 @@
 		    (unsigned long long)st->version);
 	k->quarantine_known = k->acting;
 	k->quarantine_version = st->result == STORE_DONE ? st->version : 0;
-	k->quarantine_stored = quarantine_number(&l);
+	k->quarantine_stored = quarantine_checksum(&l);
 	for (i = 0; i < l.n; i++)
-		quarantine_add(&k->quarantine, &l.items[i], now);
+		quarantine_add_item(&k->quarantine, &l.items[i], now);
 }
--- a/gspard/keeper_relay.c
+++ b/gspard/keeper_relay.c
@@ -99,6 +99,7 @@
 	if (k->acting || w->term < k->controller_term)
 		return;
 	k->fleet_heard = now;
-	behind_heard(&k->behind, t == NULL ? 0 : t->version, w->site, 0, now);
+	behind_announced(
+	    &k->behind, t == NULL ? 0 : t->version, w->site, 0, now);
 	fleet_news(k, w, now);
 }
--- a/gspard/keeper_report.c
+++ b/gspard/keeper_report.c
@@ -37,7 +37,7 @@
 		keys[i].service = h->keys[i].service;
 		keys[i].keys = room;
 		keys[i].n_keys = (size_t)heat->n;
-		keys[i].each = (uint32_t)((uint64_t)heat->seen * 1000 /
+		keys[i].each = (uint32_t)((uint64_t)heat->requests * 1000 /
 		    (uint64_t)(heat->n > 0 ? heat->n : 1));
 		for (n = 0; n < heat->n; n++)
 			*room++ = heat->keys[n];
@@ -71,7 +71,7 @@
 
 	targets = calloc((size_t)h->ntargets + 1, sizeof(*targets));
 	tlist = calloc((size_t)h->ntargets + 1, sizeof(*tlist));
-	room = calloc((size_t)h->nkeys * HEAT_KEPT + 1, sizeof(*room));
+	room = calloc((size_t)h->nkeys * HEAT_SAMPLE_MAX + 1, sizeof(*room));
 	w.boot = kernel_boot(k->s->kernel);
 	w.addr = (char *)conf->reached;
 	w.dc = (char *)conf->dc;
@@ -113,9 +113,9 @@
 static void
 target_learnt(struct keys *k, const Gspar__TargetLearnt *t, usec now)
 {
-	keys_learnt(k, t->target, t->speed / 1000.0, (int)t->answers, now);
+	keys_add_latency(k, t->target, t->speed / 1000.0, (int)t->answers, now);
 	if (t->limit > 0)
-		keys_limited(k, t->target, (t->limit - 1) / 1000.0, now);
+		keys_set_rate_limit(k, t->target, (t->limit - 1) / 1000.0, now);
 }
 
 /* Takes a host's report, as controller. */
@@ -123,7 +123,7 @@
 report_take(
     struct keeper *k, const char *host, const Gspar__HostReport *w, usec now)
 {
-	uint16_t keys[HEAT_KEPT];
+	uint16_t keys[HEAT_SAMPLE_MAX];
 	struct keeper_host *h;
 	struct member m;
 	struct keys *ks;
@@ -136,7 +136,7 @@
 	m.boot = w->boot;
 	keeper_host_seen(k, &m, w->dc, w->stopping, now);
 	if (w->term != 0)
-		term_yielded(&k->term, now, &m, w->term);
+		term_holder_follows(&k->term, now, &m, w->term);
 	if ((h = keeper_host(k, host)) != NULL) {
 		h->owners = w->owners;
 		h->bears = (int)w->bears;
@@ -148,10 +148,10 @@
 		fleet_compare(k, host, w->fleet, now);
 	for (i = 0; i < w->n_heat; i++) {
 		ks = keeper_keys(k, w->heat[i]->service);
-		for (n = 0; n < w->heat[i]->n_keys && n < HEAT_KEPT; n++)
+		for (n = 0; n < w->heat[i]->n_keys && n < HEAT_SAMPLE_MAX; n++)
 			keys[n] = (uint16_t)w->heat[i]->keys[n];
 		if (ks != NULL)
-			keys_heat(
+			keys_add_load(
 			    ks, keys, (int)n, w->heat[i]->each / 1000.0, now);
 	}
 	for (i = 0; i < w->n_targets; i++) {
--- a/gspard/keeper_site.c
+++ b/gspard/keeper_site.c
@@ -104,7 +104,7 @@
 site_spread(struct keeper *k, const struct site *was, usec now)
 {
 	struct site *changed =
-	    was == NULL ? NULL : site_change(was, keeper_site(k));
+	    was == NULL ? NULL : site_diff(was, keeper_site(k));
 	struct update change, whole;
 
 	update_make(k, &change, changed);
@@ -139,7 +139,7 @@
 
 	h->site = w->site;
 	if (w->site > own) {
-		behind_heard(&k->behind, own, w->site, 0, now);
+		behind_announced(&k->behind, own, w->site, 0, now);
 		name_copy(k->site_from, sizeof(k->site_from), h->who.host);
 	}
 	if (w->site < own && w->site_asked)
@@ -157,7 +157,7 @@
 
 	for (i = 0; i < k->nhosts && !k->hosts[i].site_asked; i++)
 		;
-	if (i == k->nhosts || t == NULL || !pace_free(&k->site_pace, now))
+	if (i == k->nhosts || t == NULL || !pace_ready(&k->site_pace, now))
 		return;
 	h = &k->hosts[i];
 	h->site_asked = 0;
@@ -174,7 +174,7 @@
 	const struct site *t = keeper_site(k);
 	uint64_t own = t == NULL ? 0 : t->version;
 
-	behind_heard(&k->behind, own, w->site, w->site_told, now);
+	behind_announced(&k->behind, own, w->site, w->site_told, now);
 	if (w->site < own && w->controller[0] != '\0' &&
 	    strcmp(w->site_from, keeper_self(k)) == 0)
 		tell_whole(k, w->controller);
--- a/gspard/keeper_spread.c
+++ b/gspard/keeper_spread.c
@@ -44,9 +44,9 @@
 		return (NULL);
 	}
 	for (i = 0; i < k->nkeys; i++) {
-		if (!keys_settled(k->keys[i]))
+		if (!keys_ready(k->keys[i]))
 			continue;
-		keys_view(k->keys[i], &o->services[o->nservices]);
+		keys_fill_owners(k->keys[i], &o->services[o->nservices]);
 		for (n = 0; n < k->keys[i]->ntargets; n++)
 			memcpy(o->targets[base + n], k->keys[i]->targets[n].id,
 			    NAME_MAX_GS);
@@ -98,9 +98,9 @@
 {
 	if (!r->moving)
 		return (0);
-	if (r->back_at <= now)
+	if (r->served_at <= now)
 		return (STATE_MOVING);
-	return (STATE_BACK + (uint32_t)((r->back_at - now) / 1000));
+	return (STATE_BACK + (uint32_t)((r->served_at - now) / 1000));
 }
 
 /* Fills in one service's owners; -1 without memory. */
@@ -227,7 +227,7 @@
 	const struct site *t = keeper_site(k);
 	const struct fleet *fleet = keeper_fleet(k);
 	struct keeper_host *h;
-	int i, late = term_late(&k->term, now);
+	int i, late = term_renewal_late(&k->term, now);
 
 	for (i = 0; i < k->nhosts; i++) {
 		h = &k->hosts[i];
@@ -256,7 +256,7 @@
 	w.site_from = k->site_ask ? k->site_from : "";
 	k->site_ask = 0;
 	w.record = k->term.version;
-	w.quarantine = quarantine_number(&k->quarantined);
+	w.quarantine = quarantine_checksum(&k->quarantined);
 	/* Nor while this host does not reach the store: others know better. */
 	w.follows = fleet != NULL && k->fresh && !late;
 	w.late = late;
@@ -296,7 +296,7 @@
 	int i;
 
 	for (i = 0; i < k->nkeys; i++) {
-		if (!keys_settled(k->keys[i]))
+		if (!keys_ready(k->keys[i]))
 			return (0);
 	}
 	return (1);
--- a/gspard/keeper_term.c
+++ b/gspard/keeper_term.c
@@ -48,7 +48,7 @@
 
 /* Writes the control record where its version is still base. */
 static void
-put_record(void *arg, uint64_t base, const struct record *r)
+put_record(void *arg, uint64_t base, const struct control_record *r)
 {
 	struct keeper *k = arg;
 	struct store *st = store_new(STORE_PUT, "control", RECORD_PATH);
@@ -73,7 +73,7 @@
 	ask.term = term;
 	ask.seq = ++k->promise_seq;
 	ask.boot = m->boot;
-	ask.late = term_late(&k->term, clock_mono());
+	ask.late = term_renewal_late(&k->term, clock_mono());
 	k->asked_at[ask.seq % ASKED_KEPT] = clock_mono();
 	f.body_case = GSPAR__FRAME__BODY_PROMISE_ASK;
 	f.promise_ask = &ask;
@@ -91,7 +91,7 @@
 	event_add("control", 0, "%s", what);
 }
 
-static const struct term_out term_out = {
+static const struct term_callbacks term_callbacks = {
     get_record, put_record, ask_promise, term_event};
 
 /* Prepares the rules of who controls. */
@@ -108,10 +108,10 @@
 	tc.lease = MS(conf->control_lease_ms);
 	tc.renew = MS(conf->renew_ms);
 	tc.host_lease = HANDOVER;
-	tc.told = 1;
-	tc.left_promise = LEFT_PROMISE;
-	tc.first_wait = first_wait(keeper_bears(k));
-	term_init(&k->term, &tc, &term_out, k, tc.self.boot);
+	tc.version_announced = 1;
+	tc.final_promise = LEFT_PROMISE;
+	tc.bootstrap_delay = bootstrap_delay(keeper_bears(k));
+	term_init(&k->term, &tc, &term_callbacks, k, tc.self.boot);
 }
 
 /* True where a host can be standby. */
@@ -126,7 +126,7 @@
 static int
 stands_by(const struct keeper *k, const struct member *m)
 {
-	const struct record *r = &k->term.rec;
+	const struct control_record *r = &k->term.rec;
 	int i;
 
 	for (i = 0; i < r->nstandby; i++) {
@@ -158,7 +158,7 @@
 		c[n].who = h->who;
 		name_copy(c[n].dc, sizeof(c[n].dc), h->dc);
 		c[n].bears = h->bears;
-		c[n].is_one = stands_by(k, &h->who);
+		c[n].is_standby = stands_by(k, &h->who);
 		c[n].store = h->store;
 		n++;
 	}
@@ -170,7 +170,7 @@
 keeper_name_standbys(struct keeper *k, usec now)
 {
 	struct candidate c[KEEPER_HOSTS];
-	struct member want[STANDBYS];
+	struct member want[STANDBYS_MAX];
 	int n;
 
 	if (now < k->next_standbys)
@@ -178,7 +178,7 @@
 	k->next_standbys = now + STANDBYS_EVERY;
 	n = candidates(k, c, now);
 	n = standbys_pick(c, n, kernel_conf(k->s->kernel)->dc, want);
-	term_standbys(&k->term, want, n);
+	term_set_standbys(&k->term, want, n);
 }
 
 /*
@@ -195,7 +195,7 @@
 		k->acting_since = now;
 		if (k->yielded && now >= k->eligible_at && !k->stopping) {
 			k->yielded = 0;
-			term_return(&k->term);
+			term_rejoin(&k->term);
 		}
 		return;
 	}
@@ -220,7 +220,7 @@
  * he could not read.
  */
 static void
-read_record(struct keeper *k, const struct store *st, struct record *r)
+read_record(struct keeper *k, const struct store *st, struct control_record *r)
 {
 	if (record_read(&st->body, r) == 0)
 		return;
@@ -240,7 +240,7 @@
 must_stay(const struct keeper *k, usec now)
 {
 	return (k->acting && k->stopping && now < k->leave_by &&
-	    term_late(&k->term, now) && term_may_renew(&k->term, now));
+	    term_renewal_late(&k->term, now) && term_may_renew(&k->term, now));
 }
 
 /* Resigns, for good where the host stops. */
@@ -266,8 +266,8 @@
 	int i, quiet = 1;
 
 	for (i = 0; i < k->nkeys; i++) {
-		keys_close(k->keys[i]);
-		quiet &= keys_quiet(k->keys[i]);
+		keys_begin_handover(k->keys[i]);
+		quiet &= keys_handover_ready(k->keys[i]);
 	}
 	if (!k->resigned && (quiet || now - k->giving_since > QUIET_WITHIN) &&
 	    !must_stay(k, now))
@@ -288,7 +288,7 @@
 {
 	const struct conf *conf = kernel_conf(k->s->kernel);
 
-	return (hosts_borne(conf->cores, conf->link_mbps));
+	return (host_capacity(conf->cores, conf->link_mbps));
 }
 
 /* Gives control to a standby that bears the fleet, where this host does not. */
@@ -315,7 +315,7 @@
 	    !strained(keeper_bears(k), k->nhosts))
 		return;
 	n = candidates(k, c, now);
-	if (!larger_stands_by(c, n, keeper_bears(k), k->nhosts))
+	if (!larger_standby_ready(c, n, keeper_bears(k), k->nhosts))
 		return;
 	log_line(LOG_NOTICE, "control",
 	    "This host bears %d of %d hosts, control goes to a larger one.",
@@ -344,19 +344,19 @@
 void
 keeper_record_stored(struct keeper *k, const struct store *st, usec now)
 {
-	struct record r;
+	struct control_record r;
 
 	if (st->result == STORE_DONE)
 		k->store_seen = now;
 	if (st->op == STORE_PUT) {
 		if (st->gen == k->term.put_rec.write_id)
-			term_put_ended(
+			term_put_done(
 			    &k->term, now, keeper_put_result(st), st->version);
 	} else if (st->result == STORE_ABSENT)
-		term_got(&k->term, now, 0, 0, NULL);
+		term_get_done(&k->term, now, 0, 0, NULL);
 	else if (st->result == STORE_DONE) {
 		read_record(k, st, &r);
-		term_got(&k->term, now, 1, st->version, &r);
+		term_get_done(&k->term, now, 1, st->version, &r);
 	} else
 		term_get_failed(&k->term, now);
 }
@@ -374,10 +374,10 @@
 	p.seq = ask->seq;
 	p.boot = kernel_boot(k->s->kernel);
 	if (ask->late)
-		term_asked_late(&k->term, now);
-	kind = term_asked(&k->term, now, ask->term, ask->boot);
+		term_holder_late(&k->term, now);
+	kind = term_promise_request(&k->term, now, ask->term, ask->boot);
 	p.yes = kind != PROMISE_NONE;
-	p.left = kind == PROMISE_LEFT;
+	p.left = kind == PROMISE_FINAL;
 	f.body_case = GSPAR__FRAME__BODY_PROMISE;
 	f.promise = &p;
 	send_frame(k->s->kernel, m->host, m->conn, &f);
@@ -389,7 +389,7 @@
 {
 	if (!p->yes)
 		return (PROMISE_NONE);
-	return (p->left ? PROMISE_LEFT : PROMISE_LEASE);
+	return (p->left ? PROMISE_FINAL : PROMISE_LEASE);
 }
 
 /* Takes a standby's answer. */
@@ -404,6 +404,6 @@
 	memset(&who, 0, sizeof(who));
 	name_copy(who.host, sizeof(who.host), m->host);
 	who.boot = p->boot;
-	term_promised(&k->term, now, &who, p->term, promise_told(p),
+	term_promise_reply(&k->term, now, &who, p->term, promise_told(p),
 	    k->asked_at[p->seq % ASKED_KEPT]);
 }
--- a/gspard/quarantine_text.c
+++ b/gspard/quarantine_text.c
@@ -41,7 +41,8 @@
 	l->n = 0;
 	o = json_loadb(body->p == NULL ? "" : body->p, body->n, 0, NULL);
 	list = json_object_get(o, "list");
-	bad = !json_is_array(list) || json_array_size(list) > QUARANTINE_KEPT;
+	bad = !json_is_array(list) ||
+	    json_array_size(list) > QUARANTINE_ENTRIES_MAX;
 	json_array_foreach(list, i, v)
 	{
 		content = json_string_value(json_object_get(v, "content"));
--- a/gspard/record.c
+++ b/gspard/record.c
@@ -44,7 +44,7 @@
 
 /* Writes a control record as text. */
 void
-record_write(const struct record *r, struct str *out)
+record_write(const struct control_record *r, struct str *out)
 {
 	char id[24], *text;
 	json_t *o, *standbys;
@@ -65,7 +65,7 @@
 
 /* Reads a control record; 0, or -1 where it makes no sense. */
 int
-record_read(const struct str *body, struct record *r)
+record_read(const struct str *body, struct control_record *r)
 {
 	json_t *o, *standbys, *v;
 	const char *id;
@@ -86,7 +86,7 @@
 	standbys = json_object_get(o, "standbys");
 	json_array_foreach(standbys, i, v)
 	{
-		if (r->nstandby < STANDBYS)
+		if (r->nstandby < STANDBYS_MAX)
 			bad |= member_read(v, &r->standby[r->nstandby++]) != 0;
 	}
 	json_decref(o);
--- a/gspard/router.c
+++ b/gspard/router.c
@@ -31,8 +31,8 @@
 	uint64_t corr;
 	struct call *call;
 	char host[NAME_MAX_GS];
-	char cell[CELL_NAME];
-	struct route_try try;
+	char cell[CELL_NAME_MAX];
+	struct route_attempt try;
 	int sent;
 	int held;
 	usec next_try;
@@ -158,7 +158,7 @@
 	f.request = &q;
 	p->sent = 1;
 	p->held = 0;
-	p->try.tries++;
+	p->try.attempts++;
 	if (strcmp(p->host, kernel_conf(s->kernel)->host) != 0)
 		count_add(C_RELAYED, 1);
 	send_frame(s->kernel, p->host, 0, &f);
@@ -168,8 +168,8 @@
 static void
 hold(struct pending *p, usec now)
 {
-	if (p->try.held_from == 0) {
-		p->try.held_from = now;
+	if (p->try.held_since == 0) {
+		p->try.held_since = now;
 		count_add(C_PARKED, 1);
 	}
 	p->held = 1;
@@ -217,11 +217,11 @@
 {
 	struct router *r = s->state;
 
-	switch (route_after(&p->try, code, outcome, now, &r->budget)) {
+	switch (route_decide(&p->try, code, outcome, now, &r->budget)) {
 	case ROUTE_HOLD:
 		hold(p, now);
 		return;
-	case ROUTE_AGAIN:
+	case ROUTE_RETRY:
 		count_add(C_RETRIES, 1);
 		attempt(s, p, now);
 		return;
@@ -259,7 +259,7 @@
 	if (p->next != NULL)
 		p->next->link = &p->next;
 	r->all = p;
-	budget_first(&r->budget);
+	budget_deposit(&r->budget);
 	attempt(s, p, now);
 }
 
--- a/gspard/run.c
+++ b/gspard/run.c
@@ -68,11 +68,11 @@
 	int i;
 
 	if (r->ticket != 0 && outcome == OUT_NOT_RUN)
-		once_forget(&t->once, r->ticket);
+		once_reset(&t->once, r->ticket);
 	else if (r->ticket != 0) {
 		/* Remembered as unknown: a repeat must not run it again. */
 		keep = calloc(1, sizeof(*keep));
-		once_ended(&t->once, r->ticket, keep);
+		once_finish(&t->once, r->ticket, keep);
 	}
 	for (i = 0; i < r->naskers; i++)
 		refuse(s, &r->askers[i], code, outcome, retry_ms);
@@ -149,7 +149,7 @@
 	struct run *r;
 	void *value = NULL;
 
-	switch (once_ask(&t->once, q->idkey, number, &value)) {
+	switch (once_check(&t->once, q->idkey, number, &value)) {
 	case ONCE_RUN:
 		return (1);
 	case ONCE_JOIN:
@@ -163,13 +163,13 @@
 	case ONCE_REPLAY:
 		replay(s, a, value);
 		return (0);
-	case ONCE_STRANGE:
+	case ONCE_UNKNOWN:
 		refuse(s, a, GS_OLD_TICKET, OUT_UNKNOWN, 0);
 		return (0);
 	case ONCE_FULL:
 		refuse(s, a, GS_BUSY, OUT_NOT_RUN, 100);
 		return (0);
-	case ONCE_BAD:
+	case ONCE_INVALID:
 		break;
 	}
 	refuse(s, a, GS_BAD_TICKET, OUT_NOT_RUN, 0);
@@ -209,7 +209,7 @@
 	r->naskers = 1;
 	r->arrived = now;
 	r->answer_max = t->answer_max;
-	r->job.what = r;
+	r->job.user_data = r;
 	r->job.deadline = now + MS(q->left_ms);
 	r->job.caller = caller_number(q->caller);
 	r->job.is_long = t->class->is_long && q->left_ms > LONG_AFTER_MS;
@@ -224,7 +224,7 @@
 	count_add(C_QUEUED, 1);
 	if (ticket != 0) {
 		r->ticket = ticket;
-		once_running(&t->once, ticket, r);
+		once_begin(&t->once, ticket, r);
 	}
 	run_pump(s, t, now);
 }
@@ -251,7 +251,7 @@
 		refuse(s, &a, GS_MOVED, OUT_NOT_RUN, 20);
 		goto drop;
 	}
-	if (t->grant.phase == GRANT_DORMANT) {
+	if (t->grant.phase == GRANT_INACTIVE) {
 		refuse(s, &a, GS_NO_OWNER, OUT_NOT_RUN, LOST_RETRY_MS);
 		goto drop;
 	}
@@ -291,7 +291,7 @@
 	return (t->fence[j->shard] == 0);
 }
 
-/* Any job, for queue_pull. */
+/* Any job, for queue_remove. */
 int
 run_any(const struct job *j, void *arg)
 {
@@ -306,15 +306,16 @@
 	struct dcell *c = dcell(d, t->cell);
 	struct job *j;
 
-	while ((j = queue_late(&t->queue, now)) != NULL)
-		run_end(s, j->what, GS_TOO_LATE, OUT_NOT_RUN, LOST_RETRY_MS);
-	while ((j = queue_pull(&t->queue, moved_away, t)) != NULL)
-		run_end(s, j->what, GS_MOVED, OUT_NOT_RUN, 20);
+	while ((j = queue_expired(&t->queue, now)) != NULL)
+		run_end(
+		    s, j->user_data, GS_TOO_LATE, OUT_NOT_RUN, LOST_RETRY_MS);
+	while ((j = queue_remove(&t->queue, moved_away, t)) != NULL)
+		run_end(s, j->user_data, GS_MOVED, OUT_NOT_RUN, 20);
 	while (may_send(s, t, now)) {
 		j = queue_next(&t->queue, now, may_start, t);
 		if (j == NULL)
 			break;
-		run_send(s, j->what, now);
+		run_send(s, j->user_data, now);
 	}
 	if (now >= c->lease_until)
 		run_flush(s, t, GS_MOVED, now);
@@ -326,8 +327,8 @@
 {
 	struct job *j;
 
-	while ((j = queue_pull(&t->queue, run_any, NULL)) != NULL)
-		run_end(s, j->what, code, OUT_NOT_RUN,
+	while ((j = queue_remove(&t->queue, run_any, NULL)) != NULL)
+		run_end(s, j->user_data, code, OUT_NOT_RUN,
 		    code == GS_MOVED ? 20 : LOST_RETRY_MS);
 }
 
@@ -362,7 +363,7 @@
 {
 	struct wanted *w = arg;
 
-	return (unasked(j->what, w->host, w->conn, w->corr));
+	return (unasked(j->user_data, w->host, w->conn, w->corr));
 }
 
 /*
@@ -380,8 +381,8 @@
 	struct job *j;
 
 	for (t = d->targets; t != NULL; t = t->next) {
-		while ((j = queue_pull(&t->queue, job_unasked, &w)) != NULL)
-			run_end(s, j->what, GS_CANCELLED, OUT_NOT_RUN, 0);
+		while ((j = queue_remove(&t->queue, job_unasked, &w)) != NULL)
+			run_end(s, j->user_data, GS_CANCELLED, OUT_NOT_RUN, 0);
 		for (r = t->runs; r != NULL; r = r->next) {
 			if (r->ticket != 0 || r->cancelled ||
 			    !unasked(r, host, conn, corr))
--- a/gspard/send.c
+++ b/gspard/send.c
@@ -80,8 +80,8 @@
 	/* In the target's clock: a request that waited in a frozen target's
 	 * socket is then refused instead of run. */
 	head_num(r, "Gspar-Deadline",
-	    (long long)(t->grant.clock_there + r->job.deadline -
-		t->grant.heard));
+	    (long long)(t->grant.target_clock + r->job.deadline -
+		t->grant.last_heard));
 	head_num(r, "Gspar-Id", (long long)r->id);
 	if (q->idkey[0] != '\0')
 		head(r, "Idempotency-Key", q->idkey);
@@ -100,7 +100,7 @@
 {
 	long age = silence_conn_age(&t->silence, now);
 
-	if (age == CONN_FRESH)
+	if (age == CONN_NEW_ONLY)
 		curl_easy_setopt(easy, CURLOPT_FRESH_CONNECT, 1L);
 	else if (age > 0)
 		curl_easy_setopt(easy, CURLOPT_MAXLIFETIME_CONN, age);
@@ -178,7 +178,7 @@
 	t->nruns++;
 	t->inflight[r->job.shard]++;
 	count_add(C_SENT, 1);
-	budget_first(&t->again);
+	budget_deposit(&t->again);
 }
 
 /* True where a run may be on a silent connection, and may be sent again. */
@@ -228,7 +228,7 @@
 may_send(struct service *s, const struct target *t, usec now)
 {
 	return (now < dcell(s->state, t->cell)->lease_until &&
-	    grant_serves(&t->grant, now));
+	    grant_usable(&t->grant, now));
 }
 
 /*
@@ -245,7 +245,7 @@
 	for (r = t->runs; r != NULL; r = r->next) {
 		if (stuck(r, now) && now < r->job.deadline &&
 		    t->fence[r->job.shard] != 0 && may_send(s, t, now) &&
-		    budget_retry(&t->again))
+		    budget_withdraw(&t->again))
 			n += send_again(s, r, now);
 	}
 	if (n > 0)
@@ -267,7 +267,7 @@
 		if (kept->p != NULL)
 			gspar__answer__pack(ans, kept->p);
 	}
-	once_ended(&r->target->once, r->ticket, kept);
+	once_finish(&r->target->once, r->ticket, kept);
 }
 
 /* Passes a whole answer on to all who wait for it. */
@@ -339,7 +339,8 @@
 		break;
 	default:
 		run_end(s, r, GS_SHED, OUT_NOT_RUN,
-		    (uint32_t)(queue_wait(&r->target->queue, r->job.is_long) /
+		    (uint32_t)(queue_expected_wait(
+				   &r->target->queue, r->job.is_long) /
 			    1000 +
 			50));
 		break;
@@ -360,7 +361,7 @@
 	    res == CURLE_OK && !r->refused ? now - r->sent : 0);
 	curl_easy_getinfo(r->easy, CURLINFO_RESPONSE_CODE, &status);
 	if (res == CURLE_OK)
-		silence_answered(&t->silence, r->sent);
+		silence_request_answered(&t->silence, r->sent);
 	if (res != CURLE_OK)
 		end_failed(s, r, res);
 	else if (r->refused)
--- a/gspard/site_frame.c
+++ b/gspard/site_frame.c
@@ -52,7 +52,7 @@
 /* Fills in one rule, with its parts at the place given. */
 static void
 fill_rule(struct site_frame *f, Gspar__SiteRule *w, const struct rule *r,
-    uint32_t *parts)
+    uint32_t *backends)
 {
 	int i;
 
@@ -65,12 +65,12 @@
 	w->attempts = (uint32_t)r->attempts;
 	w->priority = r->priority;
 	w->gone = r->gone;
-	w->n_service = w->n_weight = (size_t)r->nparts;
-	w->service = parts;
-	w->weight = parts + r->nparts;
-	for (i = 0; i < r->nparts; i++) {
-		w->service[i] = (uint32_t)r->parts[i].service;
-		w->weight[i] = r->parts[i].weight;
+	w->n_service = w->n_weight = (size_t)r->nbackends;
+	w->service = backends;
+	w->weight = backends + r->nbackends;
+	for (i = 0; i < r->nbackends; i++) {
+		w->service[i] = (uint32_t)r->backends[i].service;
+		w->weight[i] = r->backends[i].weight;
 	}
 }
 
@@ -82,7 +82,7 @@
 	int i;
 
 	for (i = 0; i < t->nrules; i++)
-		n += (size_t)t->rules[i].nparts;
+		n += (size_t)t->rules[i].nbackends;
 	return (n);
 }
 
@@ -92,7 +92,7 @@
 site_frame_fill(struct site_frame *f, const struct site *t)
 {
 	size_t ns = (size_t)t->nservices + 1, nr = (size_t)t->nrules + 1;
-	uint32_t *parts;
+	uint32_t *backends;
 	int i;
 
 	memset(f, 0, sizeof(*f));
@@ -102,16 +102,17 @@
 	f->service_list = calloc(ns, sizeof(*f->service_list));
 	f->rules = calloc(nr, sizeof(*f->rules));
 	f->rule_list = calloc(nr, sizeof(*f->rule_list));
-	f->parts = parts = calloc(2 * count_parts(t) + 1, sizeof(*f->parts));
+	f->backends = backends =
+	    calloc(2 * count_parts(t) + 1, sizeof(*f->backends));
 	if (f->hosts == NULL || f->services == NULL ||
 	    f->service_list == NULL || f->rules == NULL ||
-	    f->rule_list == NULL || f->parts == NULL)
+	    f->rule_list == NULL || f->backends == NULL)
 		return (-1);
 	fill_services(f, t);
 	f->told.hosts = f->hosts;
 	for (i = 0; i < t->nrules; i++) {
-		fill_rule(f, &f->rules[i], &t->rules[i], parts);
-		parts += 2 * t->rules[i].nparts;
+		fill_rule(f, &f->rules[i], &t->rules[i], backends);
+		backends += 2 * t->rules[i].nbackends;
 		f->rule_list[i] = &f->rules[i];
 	}
 	f->told.rules = f->rule_list;
@@ -141,7 +142,7 @@
 	free(f->service_list);
 	free(f->rules);
 	free(f->rule_list);
-	free(f->parts);
+	free(f->backends);
 }
 
 /* Reads the services; 0, or -1. */
@@ -151,7 +152,7 @@
 	struct site_service *s;
 	size_t i;
 
-	if (w->n_services > SITE_SERVICES)
+	if (w->n_services > SITE_SERVICES_MAX)
 		return (-1);
 	for (i = 0; i < w->n_services; i++) {
 		s = &t->services[t->nservices++];
@@ -173,15 +174,15 @@
 {
 	size_t i;
 
-	if (w->n_service > RULE_PARTS || w->n_weight != w->n_service)
+	if (w->n_service > RULE_BACKENDS_MAX || w->n_weight != w->n_service)
 		return (-1);
 	for (i = 0; i < w->n_service; i++) {
 		if (w->service[i] >= (uint32_t)nservices)
 			return (-1);
-		r->parts[i].service = (int)w->service[i];
-		r->parts[i].weight = w->weight[i];
+		r->backends[i].service = (int)w->service[i];
+		r->backends[i].weight = w->weight[i];
 	}
-	r->nparts = (int)w->n_service;
+	r->nbackends = (int)w->n_service;
 	return (0);
 }
 
@@ -189,7 +190,7 @@
 static int
 read_rule(struct site *t, const Gspar__SiteTold *w, const Gspar__SiteRule *in)
 {
-	struct rule *r = site_add(t);
+	struct rule *r = site_add_rule(t);
 
 	if (in->host >= w->n_hosts ||
 	    str_set(&r->host, w->hosts[in->host], strlen(w->hosts[in->host])) !=
@@ -229,6 +230,6 @@
 		site_free(t);
 		return (NULL);
 	}
-	site_seal(t);
+	site_finish(t);
 	return (t);
 }
--- a/gspard/site_frame.h
+++ b/gspard/site_frame.h
@@ -11,7 +11,7 @@
 	char **hosts;
 	Gspar__SiteService *services, **service_list;
 	Gspar__SiteRule *rules, **rule_list;
-	uint32_t *parts;
+	uint32_t *backends;
 };
 
 int site_frame_fill(struct site_frame *, const struct site *);
--- a/gspard/store.h
+++ b/gspard/store.h
@@ -12,7 +12,7 @@
 /* A call as the HTTP client needs it. */
 struct store_http {
 	const char *method;
-	char url[CELL_NAME + 400];
+	char url[CELL_NAME_MAX + 400];
 	char head[64];	 /* one more header line, or "" */
 	struct str body; /* freed by the client */
 };
--- a/gspard/target.c
+++ b/gspard/target.c
@@ -176,7 +176,7 @@
 		if (!out && t->moving[i])
 			continue;
 		t->left_out[i] = (uint8_t)out;
-		t->grant.want++;
+		t->grant.wanted_set++;
 	}
 }
 
@@ -212,7 +212,7 @@
 			continue;
 		t->fence[n] = fence;
 		t->left_out[n] = 0;
-		t->grant.want++;
+		t->grant.wanted_set++;
 	}
 	target_sets(t);
 }
@@ -325,7 +325,7 @@
 	step = grant_next(&t->grant, now,
 	    t->view >= t->min_view && t->view != 0 ? c->lease_until : 0,
 	    &until);
-	if (t->grant.phase == GRANT_DORMANT && was != GRANT_DORMANT) {
+	if (t->grant.phase == GRANT_INACTIVE && was != GRANT_INACTIVE) {
 		event_add(
 		    "dispatch", 0, "%s does not answer, grant lapsed", t->name);
 		d->report = 1;
@@ -365,8 +365,8 @@
 		    n->in.p == NULL ? "" : n->in.p, n->in.n, 0, NULL);
 	}
 	if (res != CURLE_OK)
-		silence_missed(&t->silence);
-	else if (silence_heard(&t->silence, n->sent))
+		silence_probe_missed(&t->silence);
+	else if (silence_probe_answered(&t->silence, n->sent))
 		runs_again(s, t, now);
 	clock = json_integer_value(json_object_get(o, "clock"));
 	boot = json_integer_value(json_object_get(o, "boot"));
@@ -375,7 +375,7 @@
 		if (n->epoch != t->grant.epoch)
 			t->grant.up = was_up;
 	} else {
-		grant_heard(
+		grant_answered(
 		    &t->grant, now, n->step, status == 200, clock, boot);
 		leaving = json_is_true(json_object_get(o, "leaving"));
 		if (leaving != t->leaving)
--- a/gspard/watch.c
+++ b/gspard/watch.c
@@ -65,15 +65,15 @@
 	struct fleet_target t;
 
 	if (f->deleted) {
-		known_gone(&w->known, f->name, now);
+		known_entry_removed(&w->known, f->name, now);
 		return;
 	}
 	if (decode_target(f->raw, f->name, &t) != 0) {
 		note_foreign(w, f);
-		known_unusable(&w->known, f->name, now);
+		known_entry_invalid(&w->known, f->name, now);
 		return;
 	}
-	known_put(&w->known, &t, now);
+	known_entry_put(&w->known, &t, now);
 }
 
 /* Handles one evacuation; since is 0 where its start is unknown. */
@@ -118,7 +118,7 @@
 	for (i = 0; i < st->nfound; i++)
 		gone += st->found[i].deleted;
 	if (kind == FEED_TARGETS)
-		known_batch(&w->known, gone, now);
+		known_mass_removal(&w->known, gone, now);
 	for (i = 0; i < st->nfound; i++) {
 		if (kind == FEED_SITE)
 			watch_site_found(s, &st->found[i]);
@@ -157,7 +157,7 @@
 	if (kind == FEED_EVACUATIONS) {
 		w->listed.as_of = f->list_base;
 		w->known.changed |=
-		    evacuations_listed(&w->known.evacuations, &w->listed, now);
+		    evacuations_sync(&w->known.evacuations, &w->listed, now);
 	}
 }
 
@@ -212,7 +212,7 @@
 		return;
 	log_evacuations(w);
 	w->known.changed = 0;
-	fleet = known_fleet(&w->known);
+	fleet = known_snapshot(&w->known);
 	if (fleet == NULL || (sh = shared_new(fleet, fleet_free)) == NULL) {
 		fleet_free(fleet);
 		return;
@@ -468,7 +468,7 @@
 		set_fresh(s, 0);
 		break;
 	case MSG_FLEET_TOLD:
-		known_told(&w->known, m->data, now);
+		known_adopt(&w->known, m->data, now);
 		break;
 	case MSG_QUIT:
 		w->stop = 1;
--- a/regress/unit/readers.c
+++ b/regress/unit/readers.c
@@ -141,7 +141,8 @@
 {
 }
 
-static const struct keys_out nothing = {no_get, no_put, no_order, no_event};
+static const struct keys_callbacks nothing = {
+    no_get, no_put, no_order, no_event};
 static struct keys keys;
 
 /* A controller takes over with what the store holds: whatever that is, its
@@ -158,7 +159,7 @@
 	keys_init(&keys, "s", &conf, &nothing, NULL);
 	keys_begin(&keys, 2, MS(1));
 	keys_tick(&keys, MS(2));
-	keys_got(&keys, MS(3), 1, 5, p, n);
+	keys_get_done(&keys, MS(3), 1, 5, p, n);
 	require(keys.nranges > 0);
 	for (i = 0; i < keys.nranges; i++) {
 		require(keys.ranges[i].from == at && keys.ranges[i].to >= at);
@@ -172,7 +173,7 @@
 read_record(const char *p, size_t n)
 {
 	struct str body = {(char *)p, n}, text = {NULL, 0};
-	struct record r, again;
+	struct control_record r, again;
 
 	if (record_read(&body, &r) != 0)
 		return;
@@ -196,7 +197,7 @@
 	quarantine_write(&l, &text, 0);
 	require(quarantine_read(&text, &again, 0) == 0);
 	require(again.n == l.n &&
-	    quarantine_number(&again) == quarantine_number(&l));
+	    quarantine_checksum(&again) == quarantine_checksum(&l));
 	str_free(&text);
 }
 
--- a/regress/unit/t_behind.c
+++ b/regress/unit/t_behind.c
@@ -16,10 +16,10 @@
 
 	memset(&b, 0, sizeof(b));
 	CU_ASSERT_EQUAL(behind_step(&b, 7, now), BEHIND_WAIT);
-	behind_heard(&b, 7, 9, 1, now);
+	behind_announced(&b, 7, 9, 1, now);
 	CU_ASSERT_EQUAL(behind_step(&b, 7, now + MS(300)), BEHIND_WAIT);
 	CU_ASSERT_EQUAL(behind_step(&b, 9, now + MS(900)), BEHIND_WAIT);
-	behind_heard(&b, 9, 12, 0, now + MS(1000));
+	behind_announced(&b, 9, 12, 0, now + MS(1000));
 	CU_ASSERT_EQUAL(behind_step(&b, 9, now + MS(1000)), BEHIND_READ);
 	CU_ASSERT_EQUAL(behind_step(&b, 9, now + MS(1500)), BEHIND_WAIT);
 	CU_ASSERT_EQUAL(behind_step(&b, 12, now + MS(1800)), BEHIND_WAIT);
@@ -36,9 +36,9 @@
 	usec now = MS(5000);
 
 	memset(&b, 0, sizeof(b));
-	behind_heard(&b, 7, 9, 1, now);
+	behind_announced(&b, 7, 9, 1, now);
 	/* Heartbeats repeat the announcement; that postpones nothing. */
-	behind_heard(&b, 7, 9, 1, now + MS(300));
+	behind_announced(&b, 7, 9, 1, now + MS(300));
 	CU_ASSERT_EQUAL(behind_step(&b, 7, now + MS(400)), BEHIND_READ);
 }
 
@@ -54,7 +54,7 @@
 	int asked = 0, read = 0;
 
 	memset(&b, 0, sizeof(b));
-	behind_heard(&b, 7, 9, 0, now);
+	behind_announced(&b, 7, 9, 0, now);
 	for (at = now; at < now + MS(6000); at += MS(25)) {
 		switch (behind_step(&b, 7, at)) {
 		case BEHIND_READ:
@@ -66,7 +66,7 @@
 		case BEHIND_WAIT:
 			break;
 		}
-		behind_unread(&b);
+		behind_read_failed(&b);
 	}
 	CU_ASSERT_EQUAL(asked, 3);
 	CU_ASSERT_EQUAL(read, 3);
@@ -83,18 +83,18 @@
 	usec now = MS(5000);
 
 	memset(&b, 0, sizeof(b));
-	behind_heard(&b, 7, 9, 0, now);
+	behind_announced(&b, 7, 9, 0, now);
 	CU_ASSERT_EQUAL(behind_step(&b, 7, now), BEHIND_READ);
-	behind_heard(&b, 7, 12, 0, now + MS(300));
+	behind_announced(&b, 7, 12, 0, now + MS(300));
 	CU_ASSERT_EQUAL(behind_step(&b, 7, now + MS(300)), BEHIND_WAIT);
-	behind_read(&b, now + MS(600));
+	behind_read_done(&b, now + MS(600));
 	CU_ASSERT_EQUAL(behind_step(&b, 9, now + MS(600)), BEHIND_READ);
 	CU_ASSERT_EQUAL(behind_step(&b, 9, now + MS(800)), BEHIND_WAIT);
 	CU_ASSERT_EQUAL(behind_step(&b, 12, now + MS(1000)), BEHIND_WAIT);
 	/* A read that began earlier may return the version that is here. */
-	behind_heard(&b, 12, 15, 0, now + MS(2000));
+	behind_announced(&b, 12, 15, 0, now + MS(2000));
 	CU_ASSERT_EQUAL(behind_step(&b, 12, now + MS(2000)), BEHIND_READ);
-	behind_read(&b, now + MS(2010));
+	behind_read_done(&b, now + MS(2010));
 	CU_ASSERT_EQUAL(behind_step(&b, 12, now + MS(2010)), BEHIND_WAIT);
 	CU_ASSERT_EQUAL(behind_step(&b, 12, now + MS(2300)), BEHIND_READ);
 }
@@ -112,7 +112,7 @@
 
 	memset(&b, 0, sizeof(b));
 	for (v = 9; v < 40; v += 3, now += MS(330)) {
-		behind_heard(&b, v - 6, v, 1, now);
+		behind_announced(&b, v - 6, v, 1, now);
 		CU_ASSERT_EQUAL(behind_step(&b, v - 6, now), BEHIND_WAIT);
 		CU_ASSERT_EQUAL(
 		    behind_step(&b, v - 3, now + MS(100)), BEHIND_WAIT);
@@ -133,11 +133,11 @@
 	memset(&b, 0, sizeof(b));
 	for (at = now; at < now + MS(4000); at += MS(25)) {
 		if ((at - now) % MS(325) == 0) {
-			behind_heard(&b, 7, v, pushed, at);
+			behind_announced(&b, 7, v, pushed, at);
 			v += 3;
 		}
 		if (at == unread_at)
-			behind_unread(&b);
+			behind_read_failed(&b);
 		if (behind_step(&b, 7, at) == step)
 			return (at);
 	}
--- a/regress/unit/t_cell.c
+++ b/regress/unit/t_cell.c
@@ -58,7 +58,7 @@
 		name_copy(balance_event, sizeof(balance_event), what);
 }
 
-static const struct cell_out out = {on_get, on_put, on_changed, on_event};
+static const struct cell_callbacks out = {on_get, on_put, on_changed, on_event};
 
 /* Applies the pending write; false if its base version is outdated. */
 static int
@@ -79,16 +79,15 @@
 {
 	if (platform.gets > 0) {
 		platform.gets = 0;
-		cell_got(&c, now, "s", platform.json != NULL, platform.version,
-		    platform.json,
+		cell_get_done(&c, now, "s", platform.json != NULL,
+		    platform.version, platform.json,
 		    platform.json == NULL ? 0 : strlen(platform.json));
 	}
 	if (platform.put != NULL) {
 		if (apply_write())
-			cell_put_ended(
-			    &c, now, "s", PUT_DONE, platform.version);
+			cell_put_done(&c, now, "s", PUT_DONE, platform.version);
 		else
-			cell_put_ended(
+			cell_put_done(
 			    &c, now, "s", PUT_CONFLICT, platform.version);
 	}
 }
@@ -142,10 +141,10 @@
 		}
 		list[req.n_targets++] = &ts[i];
 	}
-	cell_asked(&c, now, h->host, &req);
+	cell_lease_request(&c, now, h->host, &req);
 	cell_tick(&c, now, 1, 1);
 	platform_answer(now);
-	n = cell_give(&c, now, h->host, &req, &reply, duties, 4);
+	n = cell_lease_reply(&c, now, h->host, &req, &reply, duties, 4);
 	h->nduties = n;
 	for (i = 0; i < n; i++)
 		h->epoch[strcmp(duties[i].target, "t2") == 0] = duties[i].epoch;
@@ -171,7 +170,7 @@
 static void
 start(struct host_report *h)
 {
-	struct cell_conf_times times = {MS(1300), MS(200)};
+	struct cell_times times = {MS(1300), MS(200)};
 	usec now;
 
 	free(platform.json);
@@ -196,7 +195,7 @@
 	int n = 0;
 
 	for (i = 0; i < 8; i++) {
-		if (c.services[0].owner[i] != NOBODY &&
+		if (c.services[0].owner[i] != CELL_NONE &&
 		    strcmp(c.targets[c.services[0].owner[i]].conf.name,
 			target) == 0)
 			n++;
@@ -276,7 +275,7 @@
 
 	start(&h);
 	cell_tick(&c, MS(9000), 1, 1);
-	CU_ASSERT_EQUAL(c.targets[0].disp, NOBODY);
+	CU_ASSERT_EQUAL(c.targets[0].dispatcher, CELL_NONE);
 	h.unreported[0] = h.unreported[1] = 1;
 	report(&h, MS(9100));
 	CU_ASSERT_EQUAL(h.nduties, 2);
@@ -299,7 +298,7 @@
 	report(&h2, MS(3110));
 	CU_ASSERT_EQUAL(h2.nduties, 0);
 	report(&h, MS(3150));
-	CU_ASSERT(c.targets[0].disp == NOBODY || h2.nduties >= 0);
+	CU_ASSERT(c.targets[0].dispatcher == CELL_NONE || h2.nduties >= 0);
 }
 
 /* The targets of a stopping host are handed over before its lease lapses. */
@@ -310,7 +309,7 @@
 	struct host_report h2 = {.host = "h2", .boot = 2};
 
 	start(&h);
-	CU_ASSERT(cell_handed_over(&c));
+	CU_ASSERT(cell_handover_done(&c));
 	report(&h2, MS(3050));
 	h.stopping = 1;
 	report(&h, MS(3100));
@@ -318,13 +317,13 @@
 	CU_ASSERT_EQUAL(h.nduties, 0);
 	h.unreported[0] = h.unreported[1] = 1;
 	report(&h, MS(3200));
-	CU_ASSERT(!cell_handed_over(&c));
+	CU_ASSERT(!cell_handover_done(&c));
 	report(&h2, MS(3210));
 	/* Assigned, but h2 has not reported them yet. */
-	CU_ASSERT(!cell_handed_over(&c));
+	CU_ASSERT(!cell_handover_done(&c));
 	report(&h2, MS(3211));
 	CU_ASSERT_EQUAL(h2.nduties, 2);
-	CU_ASSERT(cell_handed_over(&c));
+	CU_ASSERT(cell_handover_done(&c));
 }
 
 /* The shards of a leaving target move only after they are released. */
@@ -371,7 +370,7 @@
 	cell_tick(&c, MS(3100), 1, 1);
 	CU_ASSERT_PTR_NOT_NULL(platform.put);
 	CU_ASSERT(apply_write());
-	cell_put_ended(&c, MS(3110), "s", PUT_LOST, 0);
+	cell_put_done(&c, MS(3110), "s", PUT_UNKNOWN, 0);
 	CU_ASSERT_EQUAL(count_owned("t2"), 4);
 	cell_tick(&c, MS(3400), 1, 1);
 	platform_answer(MS(3410));
@@ -420,7 +419,7 @@
 	start(&h);
 	memset(&e, 0, sizeof(e));
 	name_copy(e.name, sizeof(e.name), "other");
-	name_copy(e.cells[0].name, CELL_NAME, "a");
+	name_copy(e.cells[0].name, CELL_NAME_MAX, "a");
 	e.shards = 8;
 	e.cells[0].last = 7;
 	e.cells[0].targets = &t;
@@ -439,7 +438,7 @@
 
 	req.boot = boot;
 	req.dc = (char *)dc;
-	cell_asked(&c, now, host, &req);
+	cell_lease_request(&c, now, host, &req);
 }
 
 /*
@@ -450,8 +449,8 @@
 standby_in_other_dc(void)
 {
 	struct host_report h = {.host = "h1", .boot = 1};
-	struct member got[STANDBYS];
-	struct record r = {.term = 1};
+	struct member got[STANDBYS_MAX];
+	struct control_record r = {.term = 1};
 
 	start(&h);
 	report(&h, MS(3000));
@@ -462,12 +461,14 @@
 	r.nstandby = 2;
 	r.standby[0] = (struct member){"h2", 2, ""};
 	r.standby[1] = (struct member){"h3", 3, ""};
-	CU_ASSERT_EQUAL(cell_standbys(&c, MS(3010), "h1", "a", &r, got), 2);
+	CU_ASSERT_EQUAL(
+	    cell_choose_standbys(&c, MS(3010), "h1", "a", &r, got), 2);
 	CU_ASSERT_STRING_EQUAL(got[0].host, "h4");
 	CU_ASSERT_STRING_EQUAL(got[1].host, "h2");
 	/* Present standbys are kept. */
 	r.standby[0] = (struct member){"h5", 5, ""};
-	CU_ASSERT_EQUAL(cell_standbys(&c, MS(3010), "h1", "a", &r, got), 2);
+	CU_ASSERT_EQUAL(
+	    cell_choose_standbys(&c, MS(3010), "h1", "a", &r, got), 2);
 	CU_ASSERT_STRING_EQUAL(got[0].host, "h5");
 	CU_ASSERT_STRING_EQUAL(got[1].host, "h3");
 }
@@ -483,7 +484,7 @@
 	start(&h);
 	memset(&e, 0, sizeof(e));
 	name_copy(e.name, sizeof(e.name), "s");
-	name_copy(e.cells[0].name, CELL_NAME, "a");
+	name_copy(e.cells[0].name, CELL_NAME_MAX, "a");
 	e.cells[0].last = 15;
 	e.cells[0].targets = &t;
 	e.cells[0].ntargets = 1;
--- a/regress/unit/t_dest.c
+++ b/regress/unit/t_dest.c
@@ -26,17 +26,17 @@
 	struct dest d;
 
 	dest_init(&d, 4);
-	CU_ASSERT(dest_room(&d, MS(1000), &twelve));
+	CU_ASSERT(dest_can_send(&d, MS(1000), &twelve));
 	dest_sent(&d, 0);
 	record_end(&d, MS(1000), DEST_ANSWERED, MS(100), 4, 14);
-	CU_ASSERT(!dest_room(&d, MS(1000), &twelve));
-	CU_ASSERT(!dest_room(&d, MS(1050), &twelve));
-	CU_ASSERT(dest_room(&d, MS(1400), &twelve));
+	CU_ASSERT(!dest_can_send(&d, MS(1000), &twelve));
+	CU_ASSERT(!dest_can_send(&d, MS(1050), &twelve));
+	CU_ASSERT(dest_can_send(&d, MS(1400), &twelve));
 	/* One host does not fill a target, however idle it seems. */
 	dest_init(&d, 4);
 	dest_sent(&d, 0);
 	dest_sent(&d, 0);
-	CU_ASSERT(!dest_room(&d, MS(1000), &twelve));
+	CU_ASSERT(!dest_can_send(&d, MS(1000), &twelve));
 }
 
 /* A leaving target gets no new requests, however idle it is: it may be gone
@@ -50,7 +50,7 @@
 	CU_ASSERT(dest_usable(&d, MS(1000)));
 	d.leaving = 1;
 	CU_ASSERT(!dest_usable(&d, MS(1000)));
-	CU_ASSERT(!dest_room(&d, MS(1000), &twelve));
+	CU_ASSERT(!dest_can_send(&d, MS(1000), &twelve));
 }
 
 /* Guards against sending to a target whose data centre has been evacuated. */
@@ -63,9 +63,9 @@
 	d.closed_from = MS(2000);
 	CU_ASSERT(dest_usable(&d, MS(1999)) && !dest_closed(&d, MS(1999)));
 	CU_ASSERT(!dest_usable(&d, MS(2000)) && dest_closed(&d, MS(2000)));
-	CU_ASSERT(!dest_room(&d, MS(2000), &twelve));
+	CU_ASSERT(!dest_can_send(&d, MS(2000), &twelve));
 	d.closed_from = 0;
-	CU_ASSERT(dest_room(&d, MS(2000), &twelve));
+	CU_ASSERT(dest_can_send(&d, MS(2000), &twelve));
 }
 
 /* Guards against sending a cold target as many requests as a warm one. */
@@ -78,14 +78,14 @@
 	dest_init(&d, 6);
 	d.cold_rate = 6;
 	d.cold_until = MS(4000);
-	dest_look(&d, &t, MS(1000));
+	dest_apply_limit(&d, &t, MS(1000));
 	CU_ASSERT(dest_limit(&d, MS(1000)) == 6);
-	CU_ASSERT(!dest_room(&d, MS(1000), &twelve));
+	CU_ASSERT(!dest_can_send(&d, MS(1000), &twelve));
 	/* This host has a turn every 15 s. */
 	CU_ASSERT(rate_wait(&d.rate, 0, MS(1000)) == MS(14000));
-	dest_look(&d, &t, MS(4000));
+	dest_apply_limit(&d, &t, MS(4000));
 	CU_ASSERT(dest_limit(&d, MS(4000)) < 0);
-	CU_ASSERT(dest_room(&d, MS(4000), &twelve));
+	CU_ASSERT(dest_can_send(&d, MS(4000), &twelve));
 	/* The target's own limit holds only if it is lower. */
 	d.limit = 2;
 	CU_ASSERT(dest_limit(&d, MS(1000)) == 2);
@@ -95,8 +95,8 @@
 	/* When it is cold again, the host has no turn saved. */
 	d.limit = -1;
 	d.cold_until = MS(9000);
-	dest_look(&d, &t, MS(5000));
-	CU_ASSERT(!dest_room(&d, MS(5000), &twelve));
+	dest_apply_limit(&d, &t, MS(5000));
+	CU_ASSERT(!dest_can_send(&d, MS(5000), &twelve));
 }
 
 /* With few hosts each may send more. */
@@ -108,7 +108,7 @@
 	int n;
 
 	dest_init(&d, 4);
-	for (n = 0; dest_room(&d, MS(1000), &two); n++)
+	for (n = 0; dest_can_send(&d, MS(1000), &two); n++)
 		dest_sent(&d, 0);
 	CU_ASSERT_EQUAL(n, 6);
 }
@@ -147,11 +147,11 @@
 	dest_init(&d, 4);
 	for (i = 0; i < 2; i++) {
 		dest_sent(&d, 0);
-		record_end(&d, MS(1000), DEST_BROKE, 0, -1, 0);
+		record_end(&d, MS(1000), DEST_BROKEN, 0, -1, 0);
 	}
 	CU_ASSERT(dest_usable(&d, MS(1001)));
 	dest_sent(&d, 0);
-	record_end(&d, MS(1000), DEST_BROKE, 0, -1, 0);
+	record_end(&d, MS(1000), DEST_BROKEN, 0, -1, 0);
 	CU_ASSERT(!dest_usable(&d, MS(1001)));
 }
 
@@ -164,7 +164,7 @@
 
 	dest_init(&fast, 4);
 	dest_init(&slow, 4);
-	fast.near = slow.near = 1;
+	fast.same_dc = slow.same_dc = 1;
 	for (i = 0; i < 60; i++) {
 		dest_sent(&fast, 0);
 		record_end(&fast, MS(i), DEST_ANSWERED, MS(60), 1, 0);
@@ -174,7 +174,7 @@
 	CU_ASSERT(dest_cost(&fast, MS(1000), MS(100), MS(100)) <
 	    dest_cost(&slow, MS(1000), MS(100), MS(100)));
 	far = fast;
-	far.near = 0;
+	far.same_dc = 0;
 	CU_ASSERT(dest_cost(&far, MS(1000), MS(100), MS(100)) <
 	    dest_cost(&slow, MS(1000), MS(100), MS(100)));
 	CU_ASSERT(dest_cost(&far, MS(1000), MS(100), MS(100)) >
@@ -197,8 +197,8 @@
 
 	dest_init(&fast, 4);
 	dest_init(&slow, 4);
-	fast.speed = 0.6;
-	slow.speed = 1.4;
+	fast.latency_ratio = 0.6;
+	slow.latency_ratio = 1.4;
 	fast.others_inflight = 5;
 	fast.load_at = MS(1000);
 	CU_ASSERT(dest_cost(&fast, MS(1000), MS(36), MS(150)) >
--- a/regress/unit/t_evacuation.c
+++ b/regress/unit/t_evacuation.c
@@ -44,7 +44,7 @@
 	set_up();
 	other.as_of = 7;
 	evacuations_begin(&other, "a", 0);
-	CU_ASSERT(evacuations_listed(&e, &other, MS(1000)) == 1);
+	CU_ASSERT(evacuations_sync(&e, &other, MS(1000)) == 1);
 	CU_ASSERT(evacuations_closed_from(&e, "a", GRACE) <= MS(1000));
 	CU_ASSERT(evacuations_closed_from(&e, "a", GRACE) != 0);
 }
@@ -57,16 +57,16 @@
 	other.as_of = 9;
 	evacuations_begin(&other, "a", 0);
 	evacuations_begin(&other, "b", 0);
-	CU_ASSERT(evacuations_listed(&e, &other, MS(1000)) == 1);
+	CU_ASSERT(evacuations_sync(&e, &other, MS(1000)) == 1);
 	other.n = 0;
 	other.as_of = 8;
-	CU_ASSERT(evacuations_listed(&e, &other, MS(1000)) == 0);
+	CU_ASSERT(evacuations_sync(&e, &other, MS(1000)) == 0);
 	CU_ASSERT(evacuations_active(&e, "a") && evacuations_active(&e, "b"));
 	other.as_of = 12;
 	evacuations_begin(&other, "b", 0);
-	CU_ASSERT(evacuations_listed(&e, &other, MS(2000)) == 1);
+	CU_ASSERT(evacuations_sync(&e, &other, MS(2000)) == 1);
 	CU_ASSERT(!evacuations_active(&e, "a") && evacuations_active(&e, "b"));
-	CU_ASSERT(evacuations_listed(&e, &other, MS(3000)) == 0);
+	CU_ASSERT(evacuations_sync(&e, &other, MS(3000)) == 0);
 }
 
 /* A controller with an older revision does not restart an evacuation that has
@@ -175,9 +175,9 @@
 	set_up();
 	evacuations_begin(&received.evacuations, "a", MS(1000));
 	received.evacuations.as_of = 5;
-	known_told(&k, &received, MS(1500));
+	known_adopt(&k, &received, MS(1500));
 	CU_ASSERT(k.changed);
-	f = known_fleet(&k);
+	f = known_snapshot(&k);
 	CU_ASSERT_FATAL(f != NULL);
 	CU_ASSERT(evacuations_active(&f->evacuations, "a"));
 	CU_ASSERT(f->digest == evacuations_digest(&received.evacuations));
--- a/regress/unit/t_feature.c
+++ b/regress/unit/t_feature.c
@@ -91,12 +91,12 @@
 	dest_init(&d, 4);
 	dest_sent(&d, 0);
 	dest_sent(&d, 0);
-	CU_ASSERT(!dest_room(&d, MS(1000), &twelve));
+	CU_ASSERT(!dest_can_send(&d, MS(1000), &twelve));
 	CU_ASSERT_EQUAL(features_off("fill"), 0);
-	CU_ASSERT(dest_room(&d, MS(1000), &twelve));
+	CU_ASSERT(dest_can_send(&d, MS(1000), &twelve));
 	/* It is still not sent to while it leaves. */
 	d.leaving = 1;
-	CU_ASSERT(!dest_room(&d, MS(1000), &twelve));
+	CU_ASSERT(!dest_can_send(&d, MS(1000), &twelve));
 }
 
 static void
@@ -132,10 +132,10 @@
 	memset(&t, 0, sizeof(t));
 	k.heartbeat = MS(900);
 	name_copy(t.id, sizeof(t.id), "t1");
-	known_put(&k, &t, MS(1));
+	known_entry_put(&k, &t, MS(1));
 	known_store_failed(&k, MS(1000));
 	known_store_answered(&k, MS(4000));
-	known_gone(&k, "t1", MS(4100));
+	known_entry_removed(&k, "t1", MS(4100));
 	gone = k.list[0].t.gone;
 	known_free(&k);
 	return (gone);
@@ -154,7 +154,7 @@
 standby(void)
 {
 	struct candidate c[3];
-	struct member m[STANDBYS];
+	struct member m[STANDBYS_MAX];
 	int i;
 
 	memset(c, 0, sizeof(c));
@@ -166,11 +166,11 @@
 	CU_ASSERT_EQUAL(features_off(""), 0);
 	standbys_pick(c, 3, "south", m);
 	CU_ASSERT_STRING_EQUAL(m[0].host, "c");
-	CU_ASSERT(first_wait(50) > 0);
+	CU_ASSERT(bootstrap_delay(50) > 0);
 	CU_ASSERT_EQUAL(features_off("standby"), 0);
 	standbys_pick(c, 3, "south", m);
 	CU_ASSERT_STRING_EQUAL(m[0].host, "a");
-	CU_ASSERT_EQUAL(first_wait(50), 0);
+	CU_ASSERT_EQUAL(bootstrap_delay(50), 0);
 }
 
 /* Two targets, the second three times as fast, with half of the keys each. */
@@ -187,7 +187,7 @@
 	for (i = 0; i < 2; i++) {
 		k->targets[i].used = k->targets[i].listed = 1;
 		k->targets[i].slots = 4;
-		k->targets[i].speed = i == 0 ? 1.5 : 0.5;
+		k->targets[i].latency_ratio = i == 0 ? 1.5 : 0.5;
 		r = &k->ranges[i];
 		r->from = i == 0 ? 0 : KEYS / 2;
 		r->to = i == 0 ? KEYS / 2 - 1 : KEYS - 1;
@@ -221,7 +221,7 @@
 {
 	struct keys *k = two_targets();
 
-	k->heat[100] = 1000;
+	k->load[100] = 1000;
 	return (planned(k, 100));
 }
 
@@ -234,7 +234,7 @@
 
 	k->ranges[0].moved_at = moved_at;
 	for (i = 0; i < 1000; i++)
-		k->heat[i] = 20;
+		k->load[i] = 20;
 	return (planned(k, 0));
 }
 
@@ -258,7 +258,7 @@
 	struct keys *k = two_targets();
 
 	CU_ASSERT_EQUAL(features_off(""), 0);
-	k->heat[100] = 1;
+	k->load[100] = 1;
 	keys_plan(k, MS(5000));
 	CU_ASSERT_DOUBLE_EQUAL(k->estimate[100], k->estimate[101], 1e-6);
 	CU_ASSERT_EQUAL(features_off("neighbours"), 0);
@@ -283,7 +283,7 @@
 	}
 	k->nranges = 40;
 	for (i = 0; i < KEYS; i++)
-		k->heat[i] = i < 400 ? 0 : 1;
+		k->load[i] = i < 400 ? 0 : 1;
 	/* Balance has nothing to do: the large range is its owner's part. */
 	k->targets[1].slots = 40;
 	keys_plan(k, MS(5000));
--- a/regress/unit/t_grant.c
+++ b/regress/unit/t_grant.c
@@ -11,7 +11,7 @@
 	enum grant_step s = grant_next(g, now, lease, until);
 
 	if (s != STEP_NONE)
-		grant_heard(g, now, s, 1, 1000000 + now, 5);
+		grant_answered(g, now, s, 1, 1000000 + now, 5);
 	return (s);
 }
 
@@ -27,11 +27,11 @@
 	CU_ASSERT_EQUAL(send_next(&g, MS(301), MS(9000), &until), STEP_FULL);
 	CU_ASSERT(until > 1000000 + MS(301));
 	CU_ASSERT(until <= 1000000 + MS(301 + 900));
-	CU_ASSERT(grant_serves(&g, MS(302)));
+	CU_ASSERT(grant_usable(&g, MS(302)));
 	CU_ASSERT_EQUAL(send_next(&g, MS(302), MS(9000), &until), STEP_NONE);
 	CU_ASSERT_EQUAL(send_next(&g, MS(501), MS(9000), &until), STEP_RENEW);
-	g.want++;
-	CU_ASSERT(!grant_serves(&g, MS(502)));
+	g.wanted_set++;
+	CU_ASSERT(!grant_usable(&g, MS(502)));
 	CU_ASSERT_EQUAL(send_next(&g, MS(502), MS(9000), &until), STEP_FULL);
 }
 
@@ -47,7 +47,7 @@
 	CU_ASSERT_EQUAL(send_next(&g, MS(700), MS(1000), &until), STEP_FULL);
 	CU_ASSERT(until <= 1000000 + MS(1000));
 	CU_ASSERT_EQUAL(send_next(&g, MS(1001), MS(1000), &until), STEP_NONE);
-	CU_ASSERT(!grant_serves(&g, MS(1001)));
+	CU_ASSERT(!grant_usable(&g, MS(1001)));
 }
 
 /*
@@ -67,19 +67,19 @@
 	for (now = MS(501); now < MS(2000); now += MS(50)) {
 		if (grant_next(&g, now, MS(99000), &until) != STEP_NONE)
 			grant_failed(&g, now);
-		if (g.phase == GRANT_DORMANT)
+		if (g.phase == GRANT_INACTIVE)
 			break;
 	}
-	CU_ASSERT_EQUAL(g.phase, GRANT_DORMANT);
-	CU_ASSERT(!grant_live(&g, now));
+	CU_ASSERT_EQUAL(g.phase, GRANT_INACTIVE);
+	CU_ASSERT(!grant_maybe_valid(&g, now));
 	CU_ASSERT(now > MS(301 + 890));
 	CU_ASSERT_EQUAL(send_next(&g, MS(3000), MS(99000), &until), STEP_CLOCK);
 	CU_ASSERT_EQUAL(send_next(&g, MS(3300), MS(99000), &until), STEP_CLOCK);
-	CU_ASSERT(!grant_serves(&g, MS(3300)));
-	grant_epoch(&g, 2, MS(3400));
+	CU_ASSERT(!grant_usable(&g, MS(3300)));
+	grant_new_epoch(&g, 2, MS(3400));
 	send_next(&g, MS(3600), MS(99000), &until);
 	CU_ASSERT_EQUAL(send_next(&g, MS(3900), MS(99000), &until), STEP_FULL);
-	CU_ASSERT(grant_serves(&g, MS(3901)));
+	CU_ASSERT(grant_usable(&g, MS(3901)));
 }
 
 /* A restarted target has lost its shards and gets a full grant. */
@@ -93,8 +93,8 @@
 	send_next(&g, MS(300), MS(99000), &until);
 	send_next(&g, MS(301), MS(99000), &until);
 	CU_ASSERT_EQUAL(grant_next(&g, MS(600), MS(99000), &until), STEP_RENEW);
-	grant_heard(&g, MS(600), STEP_RENEW, 0, 77, 6);
-	CU_ASSERT(!grant_serves(&g, MS(601)));
+	grant_answered(&g, MS(600), STEP_RENEW, 0, 77, 6);
+	CU_ASSERT(!grant_usable(&g, MS(601)));
 	CU_ASSERT_EQUAL(send_next(&g, MS(801), MS(99000), &until), STEP_FULL);
 }
 
@@ -129,14 +129,14 @@
 	grant_init(&g, &conf, 1, 0);
 	send_next(&g, MS(300), MS(99000), &until);
 	send_next(&g, MS(301), MS(99000), &until);
-	CU_ASSERT(grant_exact(&g, MS(302)));
-	g.want++;
+	CU_ASSERT(grant_set_certain(&g, MS(302)));
+	g.wanted_set++;
 	CU_ASSERT_EQUAL(grant_next(&g, MS(600), MS(99000), &until), STEP_FULL);
 	grant_failed(&g, MS(900));
 	CU_ASSERT_EQUAL(send_next(&g, MS(901), MS(99000), &until), STEP_CLOCK);
 	CU_ASSERT_EQUAL(send_next(&g, MS(902), MS(99000), &until), STEP_FULL);
-	CU_ASSERT(!grant_exact(&g, MS(903)));
-	CU_ASSERT(grant_exact(&g, MS(1502)));
+	CU_ASSERT(!grant_set_certain(&g, MS(903)));
+	CU_ASSERT(grant_set_certain(&g, MS(1502)));
 }
 
 static const struct unit_test tests[] = {
--- a/regress/unit/t_incarnation.c
+++ b/regress/unit/t_incarnation.c
@@ -9,9 +9,9 @@
 {
 	char a[NAME_MAX_GS], b[NAME_MAX_GS], plain[NAME_MAX_GS];
 
-	CU_ASSERT_EQUAL(incarnation_name(a, sizeof(a), "i-7", 999), 0);
-	CU_ASSERT_EQUAL(incarnation_name(b, sizeof(b), "i-7", 1000), 0);
-	CU_ASSERT_EQUAL(incarnation_name(plain, sizeof(plain), "i-7", 0), 0);
+	CU_ASSERT_EQUAL(incarnation_format(a, sizeof(a), "i-7", 999), 0);
+	CU_ASSERT_EQUAL(incarnation_format(b, sizeof(b), "i-7", 1000), 0);
+	CU_ASSERT_EQUAL(incarnation_format(plain, sizeof(plain), "i-7", 0), 0);
 	CU_ASSERT(incarnation_is_of(a, "i-7") && incarnation_is_of(b, "i-7"));
 	CU_ASSERT(!incarnation_is_of(a, "i-77") && !incarnation_is_of(a, "i-"));
 	CU_ASSERT(incarnation_same_target(a, b));
@@ -29,10 +29,10 @@
 {
 	char small[8];
 
-	CU_ASSERT_EQUAL(incarnation_name(small, 8, "i-7", 999), 0);
-	CU_ASSERT_EQUAL(incarnation_name(small, 8, "i-7", 10000), -1);
+	CU_ASSERT_EQUAL(incarnation_format(small, 8, "i-7", 999), 0);
+	CU_ASSERT_EQUAL(incarnation_format(small, 8, "i-7", 10000), -1);
 	/* An id that looks like an incarnation's name is rejected. */
-	CU_ASSERT_EQUAL(incarnation_name(small, 8, "i#7", 0), -1);
+	CU_ASSERT_EQUAL(incarnation_format(small, 8, "i#7", 0), -1);
 }
 
 static const struct unit_test tests[] = {
