--- a/regress/unit/t_keys.c
+++ b/regress/unit/t_keys.c
@@ -131,7 +131,7 @@
 
 	m->controller = controller_of(arg);
 	m->base = base;
-	m->write = keys_write(arg);
+	m->write = keys_write_id(arg);
 	m->text = strdup(json);
 	if (chance() < loss) /* it arrives seconds later, without a reply */
 		m->due = now + (usec)(chance() * (double)MS(6000));
@@ -139,7 +139,7 @@
 	m = send_message(MESSAGE_PUT_REPLY, MS(1500));
 	m->controller = controller_of(arg);
 	m->status = 503;
-	m->write = keys_write(arg);
+	m->write = keys_write_id(arg);
 }
 
 /* True if the address that an order goes to is another target's. */
@@ -329,24 +329,24 @@
 		deliver_order(m);
 		break;
 	case MESSAGE_ORDER_REPLY:
-		keys_ordered(k, now, m->order.id, m->status, "token");
+		keys_order_done(k, now, m->order.id, m->status, "token");
 		break;
 	case MESSAGE_PUT:
 		deliver_put(m);
 		break;
 	case MESSAGE_PUT_REPLY:
-		keys_put_ended(k, now, m->write,
+		keys_put_done(k, now, m->write,
 		    m->status == 200	   ? PUT_DONE
 			: m->status == 409 ? PUT_CONFLICT
-					   : PUT_LOST,
+					   : PUT_UNKNOWN,
 		    m->version);
 		break;
 	case MESSAGE_GET:
 		if (store_down)
 			keys_get_failed(k, now);
 		else
-			keys_got(k, now, stored != NULL, stored_version, stored,
-			    stored == NULL ? 0 : strlen(stored));
+			keys_get_done(k, now, stored != NULL, stored_version,
+			    stored, stored == NULL ? 0 : strlen(stored));
 		break;
 	}
 }
@@ -372,7 +372,7 @@
 	m->receiver = f == NULL ? -1 : (int)(f - fakes);
 	m->due = now + (usec)(chance() * (double)MS(1950));
 	m->arrival = m->due;
-	call->status = ORDER_UNREAD;
+	call->status = ORDER_NO_REPLY_NEW_CONN;
 	call->until = now + MS(1500);
 }
 
@@ -382,7 +382,7 @@
 	on_order(arg, service, o);
 	calls[ncalls].controller = controller_of(arg);
 	calls[ncalls].id = o->id;
-	calls[ncalls].status = ORDER_SILENT;
+	calls[ncalls].status = ORDER_NO_REPLY;
 	calls[ncalls].until = now + (o->release ? MS(2500) : MS(500));
 	if (!o->release && chance() < read_late_share)
 		delay_read(&messages[nmessages - 1], &calls[ncalls]);
@@ -403,7 +403,7 @@
 	ncalls++;
 }
 
-static const struct keys_out callbacks = {
+static const struct keys_callbacks callbacks = {
     on_get, on_put, on_order_with_timeout, on_event};
 
 /* Ends the orders whose time is over. */
@@ -418,7 +418,7 @@
 			continue;
 		w = calls[i];
 		calls[i--] = calls[--ncalls];
-		keys_ordered(&ctl[w.controller], now, w.id, w.status, "");
+		keys_order_done(&ctl[w.controller], now, w.id, w.status, "");
 	}
 }
 
@@ -444,7 +444,7 @@
 		snprintf(t[f.ntargets].dc, NAME_MAX_GS, "dc%d", i % 2);
 		f.ntargets++;
 	}
-	keys_fleet(k, &f, now);
+	keys_set_fleet(k, &f, now);
 }
 
 static void
@@ -475,10 +475,10 @@
 		fakes[i].listed = 0;
 	}
 	name_copy(id, sizeof(id), fakes[t].id);
-	id[incarnation_target(id)] = '\0';
+	id[incarnation_id_length(id)] = '\0';
 	add_fake();
 	f = &fakes[nfakes - 1];
-	incarnation_name(f->id, sizeof(f->id), id, (uint64_t)now);
+	incarnation_format(f->id, sizeof(f->id), id, (uint64_t)now);
 	if (!elsewhere)
 		name_copy(f->addr, sizeof(f->addr), fakes[t].addr);
 	return (f);
@@ -595,7 +595,7 @@
 		keys[n++] = (uint16_t)(30000 + (int)(chance() * 100));
 	for (i = 0; i < cold && n < 256; i++)
 		keys[n++] = (uint16_t)(chance() * 65536);
-	keys_heat(&ctl[active_ctl], keys, n, 1, now);
+	keys_add_load(&ctl[active_ctl], keys, n, 1, now);
 }
 
 /* Returns how many targets hold keys of the hot range. */
@@ -744,7 +744,7 @@
 	int i;
 
 	start(8);
-	keys_cold(&ctl[0], MS(3000), 1);
+	keys_set_cold_start(&ctl[0], MS(3000), 1);
 	evacuations_begin(&evacuations, "dc1", now);
 	send_fleet(&ctl[0]);
 	run(MS(1500));
@@ -773,7 +773,7 @@
 	int i, had;
 
 	start(8);
-	keys_cold(&ctl[0], MS(3000), 1);
+	keys_set_cold_start(&ctl[0], MS(3000), 1);
 	had = held_in(1);
 	cold_until[1] = now + MS(20000);
 	send_fleet(&ctl[0]);
@@ -892,12 +892,12 @@
 	start(8);
 	for (i = 0; i < 40; i++)
 		for (n = 0; n < nfakes; n++)
-			keys_learnt(&ctl[0], fakes[n].id, n == fast ? 0.6 : 1.3,
-			    5, now);
+			keys_add_latency(&ctl[0], fakes[n].id,
+			    n == fast ? 0.6 : 1.3, 5, now);
 	for (i = 0; i < 25; i++) {
 		for (n = 0; n < 30; n++)
 			keys[n] = n < 10 ? 1000 : (uint16_t)(chance() * 65536);
-		keys_heat(&ctl[0], keys, 30, 1, now);
+		keys_add_load(&ctl[0], keys, 30, 1, now);
 		run(MS(200));
 	}
 	for (i = 0; i < ctl[0].nranges; i++) {
@@ -922,7 +922,7 @@
 	start(8);
 	for (i = 0; i < 2 * rounds; i++) {
 		if (i < rounds)
-			keys_limited(&ctl[0], fakes[2].id, limit, now);
+			keys_set_rate_limit(&ctl[0], fakes[2].id, limit, now);
 		for (n = 0; n < each; n++) {
 			keys[n] = (uint16_t)(chance() * 65536);
 			for (t = 0; t < ctl[0].nranges; t++) {
@@ -940,7 +940,7 @@
 				    i >= 2 * rounds - last_rounds;
 			}
 		}
-		keys_heat(&ctl[0], keys, each, 1, now);
+		keys_add_load(&ctl[0], keys, each, 1, now);
 		run(MS(200));
 	}
 	/* Each count covers two seconds; 1.5 times the limit and 5 requests
--- a/regress/unit/t_known.c
+++ b/regress/unit/t_known.c
@@ -17,7 +17,7 @@
 	memset(&t, 0, sizeof(t));
 	name_copy(t.id, sizeof(t.id), id);
 	name_copy(t.service, sizeof(t.service), "s");
-	known_put(&k, &t, now);
+	known_entry_put(&k, &t, now);
 }
 
 /* Starts a test with n targets. */
@@ -43,7 +43,7 @@
 	int i, n = 0;
 
 	known_tick(&k, now);
-	f = known_fleet(&k);
+	f = known_snapshot(&k);
 	for (i = 0; i < f->ntargets; i++)
 		n += !f->targets[i].leaving;
 	fleet_free(f);
@@ -54,7 +54,7 @@
 removed(void)
 {
 	set_up(6);
-	known_gone(&k, "t3", MS(100));
+	known_entry_removed(&k, "t3", MS(100));
 	CU_ASSERT_EQUAL(usable(MS(100)), 5);
 	CU_ASSERT_EQUAL(k.n, 6);
 	/* Later it is dropped from the list. */
@@ -91,7 +91,7 @@
 	set_up(6);
 	known_store_failed(&k, MS(1000));
 	known_store_answered(&k, MS(1500));
-	known_gone(&k, "t1", MS(1500));
+	known_entry_removed(&k, "t1", MS(1500));
 	CU_ASSERT_EQUAL(usable(MS(1500)), 5);
 }
 
@@ -104,7 +104,7 @@
 	k.list[2].t.leaving = 1;
 	known_store_failed(&k, MS(1000));
 	known_store_answered(&k, MS(5000));
-	known_gone(&k, "t2", MS(5000));
+	known_entry_removed(&k, "t2", MS(5000));
 	CU_ASSERT_EQUAL(usable(MS(5000)), 5);
 }
 
@@ -119,10 +119,10 @@
 	char id[8];
 
 	set_up(8);
-	known_batch(&k, 6, MS(1000));
+	known_mass_removal(&k, 6, MS(1000));
 	for (i = 0; i < 6; i++) {
 		snprintf(id, sizeof(id), "t%d", i);
-		known_gone(&k, id, MS(1000));
+		known_entry_removed(&k, id, MS(1000));
 	}
 	CU_ASSERT_EQUAL(usable(MS(1000)), 8);
 	CU_ASSERT_EQUAL(usable(MS(1000) + LAPSE_GRACE + 1), 2);
@@ -134,9 +134,9 @@
 two_at_once(void)
 {
 	set_up(8);
-	known_batch(&k, 2, MS(1000));
-	known_gone(&k, "t0", MS(1000));
-	known_gone(&k, "t1", MS(1000));
+	known_mass_removal(&k, 2, MS(1000));
+	known_entry_removed(&k, "t0", MS(1000));
+	known_entry_removed(&k, "t1", MS(1000));
 	CU_ASSERT_EQUAL(usable(MS(1000)), 6);
 }
 
@@ -158,18 +158,18 @@
 	memset(t, 0, sizeof(t));
 	name_copy(t[0].id, sizeof(t[0].id), "t1");
 	t[0].gone = 1;
-	known_told(&k, &f, MS(5100));
+	known_adopt(&k, &f, MS(5100));
 	CU_ASSERT_EQUAL(usable(MS(5100)), 5);
 	/* A new target. */
 	t[0].gone = 0;
 	name_copy(t[0].id, sizeof(t[0].id), "new");
-	known_told(&k, &f, MS(5200));
+	known_adopt(&k, &f, MS(5200));
 	CU_ASSERT_EQUAL(usable(MS(5200)), 6);
 	/* A complete list. */
 	f.whole = 1;
 	f.ntargets = 2;
 	name_copy(t[1].id, sizeof(t[1].id), "t2");
-	known_told(&k, &f, MS(5300));
+	known_adopt(&k, &f, MS(5300));
 	CU_ASSERT_EQUAL(usable(MS(5300)), 2);
 }
 
@@ -187,10 +187,10 @@
 	memset(&t, 0, sizeof(t));
 	name_copy(t.id, sizeof(t.id), "t1");
 	t.leaving = 1;
-	known_put(&k, &t, MS(1000));
+	known_entry_put(&k, &t, MS(1000));
 	CU_ASSERT_EQUAL(usable(MS(1000)), 2);
 	t.leaving = 0;
-	known_told(&k, &f, MS(9000));
+	known_adopt(&k, &f, MS(9000));
 	CU_ASSERT_EQUAL(usable(MS(9000)), 2);
 }
 
@@ -202,7 +202,7 @@
 	int i, n = 0;
 
 	known_tick(&k, now);
-	f = known_fleet(&k);
+	f = known_snapshot(&k);
 	for (i = 0; i < f->ntargets; i++)
 		n +=
 		    !f->targets[i].leaving && strcmp(f->targets[i].id, id) == 0;
@@ -225,7 +225,7 @@
 	memset(&t, 0, sizeof(t));
 	name_copy(t.id, sizeof(t.id), "t7#1000");
 	t.leaving = 1;
-	known_put(&k, &t, MS(100));
+	known_entry_put(&k, &t, MS(100));
 	CU_ASSERT_EQUAL(usable(MS(100)), 2);
 	put("t7#2000", MS(200));
 	CU_ASSERT_EQUAL(usable_of("t7#2000", MS(200)), 1);
@@ -234,7 +234,7 @@
 	CU_ASSERT_EQUAL(usable_of("t7#1000", MS(300)), 0);
 	CU_ASSERT_EQUAL(usable_of("t7#2000", MS(300)), 1);
 	CU_ASSERT_EQUAL(k.n, 4);
-	known_gone(&k, "t7", MS(400));
+	known_entry_removed(&k, "t7", MS(400));
 	CU_ASSERT_EQUAL(usable(MS(400)), 2);
 }
 
@@ -264,7 +264,7 @@
 	set_up(6);
 	known_store_failed(&k, MS(1000));
 	known_store_answered(&k, MS(5000));
-	known_unusable(&k, "t3", MS(5100));
+	known_entry_invalid(&k, "t3", MS(5100));
 	CU_ASSERT_EQUAL(usable(MS(5100)), 5);
 	put("t3", MS(5900));
 	CU_ASSERT_EQUAL(usable(MS(5900)), 6);
@@ -277,17 +277,17 @@
 	struct fleet *a, *b;
 
 	set_up(3);
-	a = known_fleet(&k);
+	a = known_snapshot(&k);
 	known_free(&k);
 	k.heartbeat = MS(900);
 	put("t2", MS(9));
 	put("t0", MS(9));
 	put("t1", MS(9));
-	b = known_fleet(&k);
+	b = known_snapshot(&k);
 	CU_ASSERT_EQUAL(a->digest, b->digest);
 	fleet_free(b);
-	known_gone(&k, "t1", MS(10));
-	b = known_fleet(&k);
+	known_entry_removed(&k, "t1", MS(10));
+	b = known_snapshot(&k);
 	CU_ASSERT_NOT_EQUAL(a->digest, b->digest);
 	fleet_free(a);
 	fleet_free(b);
--- a/regress/unit/t_known_size.c
+++ b/regress/unit/t_known_size.c
@@ -28,7 +28,7 @@
 		for (i = 0; i < n; i += pass) {
 			snprintf(t.id, sizeof(t.id), "i-%08x",
 			    (unsigned)i * 2654435761u);
-			known_put(&k, &t, MS(1000));
+			known_entry_put(&k, &t, MS(1000));
 		}
 		known_list_end(&k, MS(1000));
 	}
--- a/regress/unit/t_lately.c
+++ b/regress/unit/t_lately.c
@@ -15,16 +15,16 @@
 static void
 frequent_changes(void)
 {
-	struct lately l;
+	struct superseded l;
 	usec now = MS(1000);
 	uint64_t n;
 
 	memset(&l, 0, sizeof(l));
 	for (n = 1; n < 50; n++) {
-		lately_changed(&l, n, now);
-		CU_ASSERT(lately_stood(&l, n, MS(400), now + MS(100)));
-		CU_ASSERT(n < 4 || !lately_stood(&l, n - 3, MS(400), now));
-		CU_ASSERT(!lately_stood(&l, 777, MS(400), now));
+		superseded_add(&l, n, now);
+		CU_ASSERT(superseded_within(&l, n, MS(400), now + MS(100)));
+		CU_ASSERT(n < 4 || !superseded_within(&l, n - 3, MS(400), now));
+		CU_ASSERT(!superseded_within(&l, 777, MS(400), now));
 		now += MS(300);
 	}
 }
@@ -33,10 +33,10 @@
 static void
 no_change_yet(void)
 {
-	struct lately l;
+	struct superseded l;
 
 	memset(&l, 0, sizeof(l));
-	CU_ASSERT(!lately_stood(&l, 0, MS(400), MS(100)));
+	CU_ASSERT(!superseded_within(&l, 0, MS(400), MS(100)));
 }
 
 static const struct unit_test tests[] = {
--- a/regress/unit/t_lease.c
+++ b/regress/unit/t_lease.c
@@ -52,8 +52,8 @@
 	struct hostlease h = {.term = 0};
 	uint64_t seq;
 
-	seq = hostlease_ask(&h, MS(1000), MS(200));
-	CU_ASSERT(hostlease_given(&h, MS(1900), "c", 1, seq, MS(1300)));
+	seq = hostlease_request(&h, MS(1000), MS(200));
+	CU_ASSERT(hostlease_reply(&h, MS(1900), "c", 1, seq, MS(1300)));
 	CU_ASSERT(h.until < MS(2300));
 }
 
@@ -67,14 +67,14 @@
 	struct hostlease h = {.term = 0};
 	uint64_t a, b;
 
-	a = hostlease_ask(&h, MS(0), MS(200));
-	CU_ASSERT(hostlease_given(&h, MS(1), "new", 2, a, MS(1300)));
-	b = hostlease_ask(&h, MS(200), MS(200));
-	CU_ASSERT(!hostlease_given(&h, MS(201), "old", 1, b, MS(1300)));
+	a = hostlease_request(&h, MS(0), MS(200));
+	CU_ASSERT(hostlease_reply(&h, MS(1), "new", 2, a, MS(1300)));
+	b = hostlease_request(&h, MS(200), MS(200));
+	CU_ASSERT(!hostlease_reply(&h, MS(201), "old", 1, b, MS(1300)));
 	CU_ASSERT(h.until < MS(1300));
 	CU_ASSERT_STRING_EQUAL(h.controller, "new");
 	CU_ASSERT(!hostlease_hint(&h, "old", 1));
-	CU_ASSERT(!hostlease_given(&h, MS(300), "new", 2, 99, MS(1300)));
+	CU_ASSERT(!hostlease_reply(&h, MS(300), "new", 2, 99, MS(1300)));
 }
 
 static const struct unit_test tests[] = {
--- a/regress/unit/t_leave.c
+++ b/regress/unit/t_leave.c
@@ -14,12 +14,12 @@
 static void
 before_balancer_notices(void)
 {
-	struct leave l = leave_plan(NOW, GRACE);
+	struct stop_plan l = stop_plan_make(NOW, GRACE);
 
-	CU_ASSERT(leave_takes(&l, NOW + MS(2000), NOW + MS(5000)));
-	CU_ASSERT(leave_takes(&l, NOW + MS(2000), NOW + MS(20000)));
-	CU_ASSERT(leave_deadline(&l, NOW + MS(20000)) == l.end);
-	CU_ASSERT(leave_deadline(&l, NOW + MS(900)) == NOW + MS(900));
+	CU_ASSERT(stop_plan_accepts(&l, NOW + MS(2000), NOW + MS(5000)));
+	CU_ASSERT(stop_plan_accepts(&l, NOW + MS(2000), NOW + MS(20000)));
+	CU_ASSERT(stop_plan_deadline(&l, NOW + MS(20000)) == l.end);
+	CU_ASSERT(stop_plan_deadline(&l, NOW + MS(900)) == NOW + MS(900));
 }
 
 /*
@@ -31,25 +31,25 @@
 static void
 kept_connection(void)
 {
-	struct leave l = leave_plan(NOW, GRACE);
+	struct stop_plan l = stop_plan_make(NOW, GRACE);
 	usec now = NOW + MS(4900);
 
-	CU_ASSERT(!leave_takes(&l, now, now + MS(3000)));
-	CU_ASSERT(leave_takes(&l, now, now + MS(100)));
+	CU_ASSERT(!stop_plan_accepts(&l, now, now + MS(3000)));
+	CU_ASSERT(stop_plan_accepts(&l, now, now + MS(100)));
 	now = NOW + MS(3500);
-	CU_ASSERT(leave_takes(&l, now, now + MS(1200)));
+	CU_ASSERT(stop_plan_accepts(&l, now, now + MS(1200)));
 }
 
 /* Time is left to write the answers, also with a short grace period. */
 static void
 order(void)
 {
-	struct leave l = leave_plan(NOW, GRACE);
+	struct stop_plan l = stop_plan_make(NOW, GRACE);
 
 	CU_ASSERT(l.end >= NOW + GRACE * 5 / 6 && l.end < NOW + MS(5300));
-	CU_ASSERT(l.shut < l.end);
-	l = leave_plan(NOW, MS(1000));
-	CU_ASSERT(l.shut <= l.end && l.end < NOW + MS(1000));
+	CU_ASSERT(l.accept_all_until < l.end);
+	l = stop_plan_make(NOW, MS(1000));
+	CU_ASSERT(l.accept_all_until <= l.end && l.end < NOW + MS(1000));
 }
 
 static const struct unit_test tests[] = {
--- a/regress/unit/t_once.c
+++ b/regress/unit/t_once.c
@@ -28,12 +28,12 @@
 
 	once_init(&o, 7, 8, drop);
 	once_ticket(&o, t);
-	CU_ASSERT_EQUAL(once_ask(&o, t, &n, &v), ONCE_RUN);
-	once_running(&o, n, &run);
-	CU_ASSERT_EQUAL(once_ask(&o, t, &n, &v), ONCE_JOIN);
+	CU_ASSERT_EQUAL(once_check(&o, t, &n, &v), ONCE_RUN);
+	once_begin(&o, n, &run);
+	CU_ASSERT_EQUAL(once_check(&o, t, &n, &v), ONCE_JOIN);
 	CU_ASSERT_PTR_EQUAL(v, &run);
-	once_ended(&o, n, &ended);
-	CU_ASSERT_EQUAL(once_ask(&o, t, &n, &v), ONCE_REPLAY);
+	once_finish(&o, n, &ended);
+	CU_ASSERT_EQUAL(once_check(&o, t, &n, &v), ONCE_REPLAY);
 	CU_ASSERT_PTR_EQUAL(v, &ended);
 	once_free(&o);
 	CU_ASSERT_EQUAL(dropped, 1);
@@ -50,10 +50,10 @@
 
 	once_init(&o, 7, 8, NULL);
 	once_ticket(&o, t);
-	once_ask(&o, t, &n, &v);
-	once_running(&o, n, NULL);
-	once_forget(&o, n);
-	CU_ASSERT_EQUAL(once_ask(&o, t, &n, &v), ONCE_RUN);
+	once_check(&o, t, &n, &v);
+	once_begin(&o, n, NULL);
+	once_reset(&o, n);
+	CU_ASSERT_EQUAL(once_check(&o, t, &n, &v), ONCE_RUN);
 	once_free(&o);
 }
 
@@ -73,7 +73,7 @@
 	once_init(&b, 8, 8, NULL);
 	once_ticket(&a, t);
 	once_ticket(&b, (char[TICKET_TEXT]){0});
-	CU_ASSERT_EQUAL(once_ask(&b, t, &n, &v), ONCE_STRANGE);
+	CU_ASSERT_EQUAL(once_check(&b, t, &n, &v), ONCE_UNKNOWN);
 	once_free(&a);
 	once_free(&b);
 }
@@ -91,13 +91,13 @@
 	once_init(&o, 7, 8, NULL);
 	for (i = 0; i < 20; i++) {
 		once_ticket(&o, t[i]);
-		CU_ASSERT_EQUAL(once_ask(&o, t[i], &n, &v), ONCE_RUN);
-		once_running(&o, n, NULL);
-		once_ended(&o, n, NULL);
+		CU_ASSERT_EQUAL(once_check(&o, t[i], &n, &v), ONCE_RUN);
+		once_begin(&o, n, NULL);
+		once_finish(&o, n, NULL);
 	}
 	for (i = 0; i < 20; i++)
-		CU_ASSERT_EQUAL(once_ask(&o, t[i], &n, &v),
-		    i < 12 ? ONCE_STRANGE : ONCE_REPLAY);
+		CU_ASSERT_EQUAL(once_check(&o, t[i], &n, &v),
+		    i < 12 ? ONCE_UNKNOWN : ONCE_REPLAY);
 	once_free(&o);
 }
 
@@ -114,10 +114,10 @@
 	once_init(&o, 7, 8, NULL);
 	for (i = 0; i < 9; i++)
 		once_ticket(&o, t[i]);
-	once_ask(&o, t[0], &n, &v);
-	once_running(&o, n, NULL);
-	CU_ASSERT_EQUAL(once_ask(&o, t[8], &n, &v), ONCE_FULL);
-	CU_ASSERT_EQUAL(once_ask(&o, t[0], &n, &v), ONCE_JOIN);
+	once_check(&o, t[0], &n, &v);
+	once_begin(&o, n, NULL);
+	CU_ASSERT_EQUAL(once_check(&o, t[8], &n, &v), ONCE_FULL);
+	CU_ASSERT_EQUAL(once_check(&o, t[0], &n, &v), ONCE_JOIN);
 	once_free(&o);
 }
 
@@ -134,7 +134,7 @@
 
 	once_init(&o, 7, 8, NULL);
 	for (i = 0; i < sizeof(bad) / sizeof(bad[0]); i++)
-		CU_ASSERT_EQUAL(once_ask(&o, bad[i], &n, &v), ONCE_BAD);
+		CU_ASSERT_EQUAL(once_check(&o, bad[i], &n, &v), ONCE_INVALID);
 	once_free(&o);
 }
 
--- a/regress/unit/t_owners.c
+++ b/regress/unit/t_owners.c
@@ -53,13 +53,13 @@
 
 	for (i = 0; i < 30000; i++)
 		heat_add(&h, i % 3 == 0 ? 7 : (uint16_t)(i * 31 + 100));
-	CU_ASSERT_EQUAL(h.n, HEAT_KEPT);
-	CU_ASSERT_EQUAL(h.seen, 30000);
+	CU_ASSERT_EQUAL(h.n, HEAT_SAMPLE_MAX);
+	CU_ASSERT_EQUAL(h.requests, 30000);
 	for (i = 0; i < h.n; i++)
 		hot += h.keys[i] == 7;
-	CU_ASSERT(hot > HEAT_KEPT / 4 && hot < HEAT_KEPT / 2);
+	CU_ASSERT(hot > HEAT_SAMPLE_MAX / 4 && hot < HEAT_SAMPLE_MAX / 2);
 	heat_clear(&h);
-	CU_ASSERT_EQUAL(h.n + (int)h.seen, 0);
+	CU_ASSERT_EQUAL(h.n + (int)h.requests, 0);
 }
 
 /* A snapshot with random boundaries and owners of ranges. */
@@ -155,7 +155,7 @@
 		change_some(current, &seed);
 		d = owners_diff(old, current);
 		CU_ASSERT(d->services[0].nranges <= 8);
-		next = owners_overlay(host, d);
+		next = owners_apply(host, d);
 		owners_free(host);
 		host = next;
 		CU_ASSERT_EQUAL(host->number, current->number);
@@ -167,7 +167,7 @@
 	next = random_owners(1000, &seed);
 	d = owners_diff(host, next);
 	owners_free(current);
-	current = owners_overlay(host, d);
+	current = owners_apply(host, d);
 	CU_ASSERT(same_owners(current, next));
 	owners_free(d);
 	owners_free(next);
--- a/regress/unit/t_pace.c
+++ b/regress/unit/t_pace.c
@@ -31,7 +31,7 @@
 
 	memset(&p, 0, sizeof(p));
 	for (now = MS(1000); now < MS(11000); now += MS(25)) {
-		if (!pace_free(&p, now))
+		if (!pace_ready(&p, now))
 			continue;
 		pace_sent(&p, COPY, 200, now);
 		n++;
--- a/regress/unit/t_platform.c
+++ b/regress/unit/t_platform.c
@@ -47,19 +47,20 @@
 	CU_ASSERT_EQUAL(t->version, 31);
 	CU_ASSERT_EQUAL(t->idle_time, MS(15000));
 	CU_ASSERT_EQUAL(t->body_max, 200);
-	r = site_find(t, &host, &path);
+	r = site_find_rule(t, &host, &path);
 	CU_ASSERT_PTR_NOT_NULL_FATAL(r);
 	CU_ASSERT(r->idempotent);
 	CU_ASSERT_EQUAL(r->timeout, MS(1200));
 	CU_ASSERT_EQUAL(r->aim, MS(300));
-	CU_ASSERT_EQUAL(r->nparts, 2);
-	CU_ASSERT_EQUAL(r->weights, 100);
-	CU_ASSERT(t->services[r->parts[0].service].keyed);
-	CU_ASSERT(!t->services[r->parts[1].service].keyed);
-	CU_ASSERT_EQUAL(t->services[r->parts[0].service].cold_start, MS(2500));
+	CU_ASSERT_EQUAL(r->nbackends, 2);
+	CU_ASSERT_EQUAL(r->total_weight, 100);
+	CU_ASSERT(t->services[r->backends[0].service].keyed);
+	CU_ASSERT(!t->services[r->backends[1].service].keyed);
+	CU_ASSERT_EQUAL(
+	    t->services[r->backends[0].service].cold_start, MS(2500));
 	CU_ASSERT_DOUBLE_EQUAL(
-	    t->services[r->parts[0].service].cold_rate, 5.8, 1e-9);
-	CU_ASSERT(t->services[r->parts[1].service].cold_rate == 0);
+	    t->services[r->backends[0].service].cold_rate, 5.8, 1e-9);
+	CU_ASSERT(t->services[r->backends[1].service].cold_rate == 0);
 	site_free(t);
 }
 
@@ -436,7 +437,7 @@
 
 	read_head(&r, lines);
 	CU_ASSERT_STRING_EQUAL(r.heads.p, "Content-Type: text/plain\r\n");
-	CU_ASSERT(r.load.told);
+	CU_ASSERT(r.load.reported);
 	CU_ASSERT_EQUAL(r.load.running, 3);
 	CU_ASSERT_EQUAL(r.load.waiting, 2);
 	CU_ASSERT(r.closes);
@@ -474,7 +475,7 @@
 	/* One that tells none. */
 	lines[1] = NULL;
 	read_head(&r, lines);
-	CU_ASSERT(!r.load.told);
+	CU_ASSERT(!r.load.reported);
 	str_free(&r.heads);
 }
 
--- a/regress/unit/t_quarantine.c
+++ b/regress/unit/t_quarantine.c
@@ -21,7 +21,7 @@
 {
 	struct quarantine_break b = {digest, target, host, sends, 0, 0};
 
-	return (quarantine_broke(&q, &b, now));
+	return (quarantine_add_break(&q, &b, now));
 }
 
 /* A target crashes while it runs a content; returns 1 if that quarantines it.
@@ -31,7 +31,7 @@
 {
 	int n = broke(digest, target, HOST, 1, now);
 
-	return (quarantine_ended(&q, target, now + MS(100)) + n);
+	return (quarantine_add_end(&q, target, now + MS(100)) + n);
 }
 
 /* Returns how much longer a content is quarantined. */
@@ -83,9 +83,9 @@
 	for (i = 0; i < 9; i++)
 		CU_ASSERT(crash(CONTENT, 1, MS(1000)) == 0);
 	CU_ASSERT(crash(CONTENT, 2, MS(4000)) == 0);
-	for (i = 0; i < QUARANTINE_BREAKS; i++) {
+	for (i = 0; i < QUARANTINE_BREAKS_MAX; i++) {
 		broke(1000 + i, 1000 + i, HOST, 1, MS(5000));
-		quarantine_ended(&q, 5000 + i, MS(5000));
+		quarantine_add_end(&q, 5000 + i, MS(5000));
 	}
 	CU_ASSERT(crash(CONTENT, 1, MS(6000)) == 0);
 	CU_ASSERT(left(CONTENT, MS(7000)) == 0);
@@ -98,14 +98,14 @@
 	uint64_t t;
 
 	memset(&q, 0, sizeof(q));
-	quarantine_ended(&q, 999, MS(1000));
+	quarantine_add_end(&q, 999, MS(1000));
 	for (t = 1; t < 30; t++)
 		CU_ASSERT(broke(CONTENT, t, HOST, 1, MS(1000)) == 0);
 	CU_ASSERT(left(CONTENT, MS(2000)) == 0);
 	CU_ASSERT(!on_probation(CONTENT, MS(2000)));
 	/* They end much later, for another reason. */
 	for (t = 1; t < 30; t++)
-		CU_ASSERT(quarantine_ended(&q, t, MS(60000)) == 0);
+		CU_ASSERT(quarantine_add_end(&q, t, MS(60000)) == 0);
 	CU_ASSERT(!on_probation(CONTENT, MS(60000)));
 }
 
@@ -117,7 +117,7 @@
 
 	memset(&q, 0, sizeof(q));
 	for (t = 1; t <= 3; t++) {
-		quarantine_ended(&q, t, MS(1000 * (usec)t));
+		quarantine_add_end(&q, t, MS(1000 * (usec)t));
 		CU_ASSERT(broke(CONTENT, t, HOST, 1,
 			      MS(1000 * (usec)t + 400)) == (t == 3));
 	}
@@ -170,7 +170,7 @@
 {
 	struct quarantine_item item = {digest, now + span, 0};
 
-	return (quarantine_add(&q, &item, now));
+	return (quarantine_add_item(&q, &item, now));
 }
 
 /* A host adopts another's quarantine with the time that is left of it. */
@@ -195,18 +195,18 @@
 
 	memset(&q, 0, sizeof(q));
 	quarantine_list(&q, &l, 0);
-	CU_ASSERT(quarantine_number(&l) == 0);
+	CU_ASSERT(quarantine_checksum(&l) == 0);
 	add(1, MS(500), 0);
 	add(2, MS(900), 0);
 	quarantine_list(&q, &l, 0);
-	n = quarantine_number(&l);
+	n = quarantine_checksum(&l);
 	memset(&q, 0, sizeof(q));
 	add(2, MS(800), 0);
 	quarantine_list(&q, &l, 0);
-	CU_ASSERT(quarantine_number(&l) != n);
+	CU_ASSERT(quarantine_checksum(&l) != n);
 	add(1, MS(700), 0);
 	quarantine_list(&q, &l, 0);
-	CU_ASSERT(quarantine_number(&l) == n);
+	CU_ASSERT(quarantine_checksum(&l) == n);
 }
 
 /* The text for the store keeps the contents and the time that is left. */
@@ -222,8 +222,8 @@
 	quarantine_list(&q, &l, MS(200));
 	quarantine_write(&l, &s, MS(200));
 	CU_ASSERT(quarantine_read(&s, &back, MS(9000)) == 0);
-	CU_ASSERT(
-	    back.n == 2 && quarantine_number(&back) == quarantine_number(&l));
+	CU_ASSERT(back.n == 2 &&
+	    quarantine_checksum(&back) == quarantine_checksum(&l));
 	CU_ASSERT(quarantine_item_left(&back.items[0], MS(9000)) == MS(400));
 	/* An expired item is written with no time left. */
 	quarantine_write(&l, &s, MS(1000));
@@ -243,7 +243,7 @@
 	static struct recent r;
 
 	CU_ASSERT(!recent_has(&r, 0, MS(100)));
-	recent_note(&r, CONTENT, MS(1000));
+	recent_add(&r, CONTENT, MS(1000));
 	CU_ASSERT(recent_has(&r, CONTENT, MS(5000)));
 	CU_ASSERT(!recent_has(&r, CONTENT + RECENT_MAX, MS(5000)));
 	CU_ASSERT(!recent_has(&r, CONTENT, MS(60000)));
@@ -257,7 +257,7 @@
 	broke(CONTENT, 1, 11, 3, MS(1000));
 	broke(CONTENT, 1, 12, 1, MS(1000));
 	CU_ASSERT(!on_probation(CONTENT, MS(1050)));
-	CU_ASSERT(quarantine_ended(&q, 1, MS(1100)) == 0);
+	CU_ASSERT(quarantine_add_end(&q, 1, MS(1100)) == 0);
 	CU_ASSERT(on_probation(CONTENT, MS(1100)));
 	/* A run that was sent before probation proves nothing. */
 	CU_ASSERT(crash(CONTENT, 2, MS(1300)) == 0);
@@ -276,9 +276,9 @@
 
 	memset(&q, 0, sizeof(q));
 	broke(CONTENT, 1, 11, 3, MS(1000));
-	quarantine_ended(&q, 1, MS(1100));
-	CU_ASSERT(quarantine_broke(&q, &b, MS(1200)) == 0);
-	CU_ASSERT(quarantine_ended(&q, 2, MS(1300)) == 1);
+	quarantine_add_end(&q, 1, MS(1100));
+	CU_ASSERT(quarantine_add_break(&q, &b, MS(1200)) == 0);
+	CU_ASSERT(quarantine_add_end(&q, 2, MS(1300)) == 1);
 	CU_ASSERT(left(CONTENT, MS(1300)) > 0);
 }
 
@@ -291,14 +291,14 @@
 	memset(&q, 0, sizeof(q));
 	for (t = 1; t <= 3; t++)
 		CU_ASSERT(crash(CONTENT, t, MS(1000)) == 0);
-	CU_ASSERT(quarantine_settle(&q, MS(1200)) == 0);
-	CU_ASSERT(quarantine_settle(&q, MS(2000)) == 1);
+	CU_ASSERT(quarantine_confirm_due(&q, MS(1200)) == 0);
+	CU_ASSERT(quarantine_confirm_due(&q, MS(2000)) == 1);
 	CU_ASSERT(left(CONTENT, MS(2000)) > 0);
 	/* A content that is answered meanwhile is cleared. */
 	for (t = 1; t <= 3; t++)
 		crash(CONTENT + 1, 10 + t, MS(5000));
-	quarantine_answered(&q, CONTENT + 1, MS(5400));
-	CU_ASSERT(quarantine_settle(&q, MS(6000)) == 0);
+	quarantine_clear(&q, CONTENT + 1, MS(5400));
+	CU_ASSERT(quarantine_confirm_due(&q, MS(6000)) == 0);
 }
 
 /* Reports hold totals: a repeated report does not count, one more send does. */
@@ -306,7 +306,7 @@
 more_sends(void)
 {
 	memset(&q, 0, sizeof(q));
-	quarantine_ended(&q, 1, MS(1000));
+	quarantine_add_end(&q, 1, MS(1000));
 	broke(CONTENT, 1, 11, 1, MS(1100));
 	broke(CONTENT, 1, 11, 1, MS(1300));
 	CU_ASSERT(!on_probation(CONTENT, MS(1400)));
@@ -316,12 +316,12 @@
 	memset(&q, 0, sizeof(q));
 	broke(CONTENT, 1, 11, 2, MS(1000));
 	broke(CONTENT, 1, 11, 1, MS(1100));
-	quarantine_ended(&q, 1, MS(1200));
+	quarantine_add_end(&q, 1, MS(1200));
 	CU_ASSERT(on_probation(CONTENT, MS(1200)));
 	memset(&q, 0, sizeof(q));
-	quarantine_broke_here(&q, CONTENT, 1, 0, MS(1000));
-	quarantine_broke_here(&q, CONTENT, 1, 0, MS(1000));
-	quarantine_ended(&q, 1, MS(1100));
+	quarantine_add_own_break(&q, CONTENT, 1, 0, MS(1000));
+	quarantine_add_own_break(&q, CONTENT, 1, 0, MS(1000));
+	quarantine_add_end(&q, 1, MS(1100));
 	CU_ASSERT(on_probation(CONTENT, MS(1100)));
 }
 
@@ -336,21 +336,22 @@
 	memset(&q, 0, sizeof(q));
 	for (now = MS(1000); now < MS(40000); now += MS(3000)) {
 		broke(CONTENT, (uint64_t)now, 11, 4, now);
-		CU_ASSERT(quarantine_ended(&q, (uint64_t)now, now) == 0);
-		quarantine_answered(&q, CONTENT, now + MS(400));
+		CU_ASSERT(quarantine_add_end(&q, (uint64_t)now, now) == 0);
+		quarantine_clear(&q, CONTENT, now + MS(400));
 		CU_ASSERT(!on_probation(CONTENT, now + MS(400)));
 		/* A host that lacks the update reports its old list. */
-		CU_ASSERT(quarantine_add(&q, &received, now + MS(500)) == 0);
+		CU_ASSERT(
+		    quarantine_add_item(&q, &received, now + MS(500)) == 0);
 	}
 	CU_ASSERT(left(CONTENT, MS(41000)) == 0);
 	/* An answer does not end a quarantine. */
 	add(CONTENT, HOUR, MS(60000));
-	quarantine_answered(&q, CONTENT, MS(60100));
+	quarantine_clear(&q, CONTENT, MS(60100));
 	CU_ASSERT(left(CONTENT, MS(60200)) > 0);
 	/* Nor does it clear the content of the next crash after it. */
 	memset(&q, 0, sizeof(q));
 	add(CONTENT, MS(500), MS(60000));
-	quarantine_answered(&q, CONTENT, MS(60400));
+	quarantine_clear(&q, CONTENT, MS(60400));
 	CU_ASSERT(crash(CONTENT, 9, MS(60700)) == 1);
 }
 
@@ -360,7 +361,7 @@
 {
 	memset(&q, 0, sizeof(q));
 	broke(CONTENT, 1, 11, 4, MS(1000));
-	quarantine_ended(&q, 1, MS(1000));
+	quarantine_add_end(&q, 1, MS(1000));
 	CU_ASSERT(on_probation(CONTENT, MS(30000)));
 	CU_ASSERT(!on_probation(CONTENT, MS(62000)));
 	/* One more crash quarantines it. */
@@ -377,19 +378,19 @@
 	received.items[0].digest = CONTENT;
 	received.items[0].until = MS(60000);
 	received.items[0].probation = 1;
-	quarantine_told(&q, &received, MS(1000));
+	quarantine_adopt(&q, &received, MS(1000));
 	CU_ASSERT(on_probation(CONTENT, MS(1000)));
-	CU_ASSERT(quarantine_number(&l) == quarantine_number(&received));
+	CU_ASSERT(quarantine_checksum(&l) == quarantine_checksum(&received));
 	quarantine_confirmed(&l, &received);
 	CU_ASSERT(received.n == 0);
-	quarantine_told(&q, &received, MS(2000));
+	quarantine_adopt(&q, &received, MS(2000));
 	CU_ASSERT(!on_probation(CONTENT, MS(2000)));
 	/* A quarantine is adopted, and kept when the list drops it. */
 	received.n = 1;
 	received.items[0].probation = 0;
-	quarantine_told(&q, &received, MS(3000));
+	quarantine_adopt(&q, &received, MS(3000));
 	received.n = 0;
-	quarantine_told(&q, &received, MS(4000));
+	quarantine_adopt(&q, &received, MS(4000));
 	CU_ASSERT(left(CONTENT, MS(4000)) > 0);
 	quarantine_list(&q, &l, MS(4000));
 	quarantine_confirmed(&l, &received);
@@ -405,10 +406,10 @@
 
 	for (digest = 1; digest < 1000; digest += 37) {
 		for (rank = 0, n = 0; rank < 90; rank++)
-			n += probation_is_here(digest, rank, 90);
+			n += quarantine_runs_here(digest, rank, 90);
 		CU_ASSERT(n == 1);
 	}
-	CU_ASSERT(!probation_is_here(7, 0, 0));
+	CU_ASSERT(!quarantine_runs_here(7, 0, 0));
 }
 
 /* Ten thousand contents in flight at crashing targets do not overflow the list
@@ -426,7 +427,7 @@
 		crash(1000 + i, 1000 + i / 10, MS(8000 + (usec)i));
 	CU_ASSERT(left(CONTENT, MS(20000)) > 0);
 	quarantine_list(&q, &l, MS(20000));
-	CU_ASSERT(l.n <= QUARANTINE_KEPT);
+	CU_ASSERT(l.n <= QUARANTINE_ENTRIES_MAX);
 }
 
 static const struct unit_test tests[] = {
--- a/regress/unit/t_queue.c
+++ b/regress/unit/t_queue.c
@@ -192,9 +192,9 @@
 
 	queue_init(&q, 4, 10);
 	queue_add(&q, &a, 0, &retry);
-	CU_ASSERT_PTR_NULL(queue_late(&q, MS(99)));
+	CU_ASSERT_PTR_NULL(queue_expired(&q, MS(99)));
 	CU_ASSERT_PTR_NULL(queue_next(&q, MS(100), accept_any, NULL));
-	CU_ASSERT_PTR_EQUAL(queue_late(&q, MS(100)), &a);
+	CU_ASSERT_PTR_EQUAL(queue_expired(&q, MS(100)), &a);
 	CU_ASSERT_EQUAL(q.count, 0);
 }
 
--- a/regress/unit/t_route.c
+++ b/regress/unit/t_route.c
@@ -3,8 +3,8 @@
 #include "route.h"
 #include "unit.h"
 
-static const struct route_try idem = {1, 1, 0, MS(5000)};
-static const struct route_try once = {0, 1, 0, MS(5000)};
+static const struct route_attempt idem = {1, 1, 0, MS(5000)};
+static const struct route_attempt once = {0, 1, 0, MS(5000)};
 
 /* A request that may have run and is not idempotent is never retried. */
 static void
@@ -18,7 +18,7 @@
 	budget_init(&b, 0.1, 10);
 	for (i = 0; i < sizeof(codes) / sizeof(codes[0]); i++)
 		CU_ASSERT_EQUAL(
-		    route_after(&once, codes[i], OUT_UNKNOWN, 0, &b),
+		    route_decide(&once, codes[i], OUT_UNKNOWN, 0, &b),
 		    ROUTE_END);
 }
 
@@ -26,44 +26,44 @@
 static void
 retries_are_bounded(void)
 {
-	struct route_try many = idem;
+	struct route_attempt many = idem;
 	struct budget b;
 
 	budget_init(&b, 0.1, 1);
-	CU_ASSERT_EQUAL(route_after(&idem, GS_TARGET_LOST, OUT_UNKNOWN, 0, &b),
-	    ROUTE_AGAIN);
+	CU_ASSERT_EQUAL(route_decide(&idem, GS_TARGET_LOST, OUT_UNKNOWN, 0, &b),
+	    ROUTE_RETRY);
 	CU_ASSERT_EQUAL(
-	    route_after(&idem, GS_TARGET_LOST, OUT_UNKNOWN, 0, &b), ROUTE_END);
+	    route_decide(&idem, GS_TARGET_LOST, OUT_UNKNOWN, 0, &b), ROUTE_END);
 	/* After a lost connection the first retry needs no budget. */
 	CU_ASSERT_EQUAL(
-	    route_after(&idem, GS_PEER_LOST, OUT_UNKNOWN, 0, &b), ROUTE_AGAIN);
-	many.tries = 2;
+	    route_decide(&idem, GS_PEER_LOST, OUT_UNKNOWN, 0, &b), ROUTE_RETRY);
+	many.attempts = 2;
 	CU_ASSERT_EQUAL(
-	    route_after(&many, GS_PEER_LOST, OUT_UNKNOWN, 0, &b), ROUTE_END);
+	    route_decide(&many, GS_PEER_LOST, OUT_UNKNOWN, 0, &b), ROUTE_END);
 	budget_init(&b, 0.1, 10);
 	CU_ASSERT_EQUAL(
-	    route_after(&idem, GS_PEER_LOST, OUT_UNKNOWN, MS(5000), &b),
+	    route_decide(&idem, GS_PEER_LOST, OUT_UNKNOWN, MS(5000), &b),
 	    ROUTE_END);
-	many.tries = 3;
+	many.attempts = 3;
 	CU_ASSERT_EQUAL(
-	    route_after(&many, GS_PEER_LOST, OUT_UNKNOWN, 0, &b), ROUTE_END);
+	    route_decide(&many, GS_PEER_LOST, OUT_UNKNOWN, 0, &b), ROUTE_END);
 }
 
 /* A request whose key is moving is held for a second at most, then it fails. */
 static void
 hold_is_bounded(void)
 {
-	struct route_try t = once;
+	struct route_attempt t = once;
 	struct budget b;
 
 	budget_init(&b, 0.1, 10);
 	CU_ASSERT_EQUAL(
-	    route_after(&t, GS_MOVED, OUT_NOT_RUN, MS(100), &b), ROUTE_HOLD);
-	t.held_from = MS(100);
+	    route_decide(&t, GS_MOVED, OUT_NOT_RUN, MS(100), &b), ROUTE_HOLD);
+	t.held_since = MS(100);
 	CU_ASSERT_EQUAL(
-	    route_after(&t, GS_MOVED, OUT_NOT_RUN, MS(1000), &b), ROUTE_HOLD);
+	    route_decide(&t, GS_MOVED, OUT_NOT_RUN, MS(1000), &b), ROUTE_HOLD);
 	CU_ASSERT_EQUAL(
-	    route_after(&t, GS_MOVED, OUT_NOT_RUN, MS(1100), &b), ROUTE_END);
+	    route_decide(&t, GS_MOVED, OUT_NOT_RUN, MS(1100), &b), ROUTE_END);
 }
 
 /* Refused requests are not retried: that would only add load. */
@@ -78,7 +78,7 @@
 	budget_init(&b, 0.1, 10);
 	for (i = 0; i < sizeof(codes) / sizeof(codes[0]); i++)
 		CU_ASSERT_EQUAL(
-		    route_after(&idem, codes[i], OUT_NOT_RUN, 0, &b),
+		    route_decide(&idem, codes[i], OUT_NOT_RUN, 0, &b),
 		    ROUTE_END);
 }
 
@@ -91,8 +91,8 @@
 
 	budget_init(&b, 0.1, 20);
 	for (i = 0; i < 10000; i++) {
-		budget_first(&b);
-		while (budget_retry(&b))
+		budget_deposit(&b);
+		while (budget_withdraw(&b))
 			retries++;
 	}
 	CU_ASSERT(retries <= 1000 + 21);
--- a/regress/unit/t_site.c
+++ b/regress/unit/t_site.c
@@ -9,7 +9,7 @@
 static struct rule *
 add(struct site *t, const char *host, const char *prefix)
 {
-	struct rule *r = site_add(t);
+	struct rule *r = site_add_rule(t);
 
 	str_set(&r->host, host, strlen(host));
 	str_set(&r->prefix, prefix, strlen(prefix));
@@ -23,7 +23,7 @@
 	struct str h = {(char *)host, strlen(host)};
 	struct str p = {(char *)path, strlen(path)};
 
-	return (site_find(t, &h, &p));
+	return (site_find_rule(t, &h, &p));
 }
 
 /* Makes a configuration with rules for two hosts. */
@@ -36,7 +36,7 @@
 	add(t, "b.example", "/x/")->priority = 2;
 	add(t, "a.example", "/x/y/")->priority = 3;
 	add(t, "a.example", "/x/")->priority = 4;
-	site_seal(t);
+	site_finish(t);
 	return (t);
 }
 
@@ -70,18 +70,18 @@
 static void
 split(void)
 {
-	struct rule r = {.nparts = 2, .weights = 100};
+	struct rule r = {.nbackends = 2, .total_weight = 100};
 	uint64_t from, n;
 	int second;
 
-	r.parts[0].service = 5;
-	r.parts[0].weight = 90;
-	r.parts[1].service = 7;
-	r.parts[1].weight = 10;
+	r.backends[0].service = 5;
+	r.backends[0].weight = 90;
+	r.backends[1].service = 7;
+	r.backends[1].weight = 10;
 	for (from = 0; from < 5000; from += 37) {
 		second = 0;
 		for (n = from; n < from + 200; n++)
-			second += rule_part(&r, n) == 7;
+			second += rule_backend(&r, n) == 7;
 		CU_ASSERT(second >= 18 && second <= 22);
 	}
 }
@@ -90,17 +90,17 @@
 static void
 weight_zero(void)
 {
-	struct rule r = {.nparts = 2, .weights = 10};
+	struct rule r = {.nbackends = 2, .total_weight = 10};
 	uint64_t n;
 
-	r.parts[0].service = 1;
-	r.parts[0].weight = 0;
-	r.parts[1].service = 2;
-	r.parts[1].weight = 10;
+	r.backends[0].service = 1;
+	r.backends[0].weight = 0;
+	r.backends[1].service = 2;
+	r.backends[1].weight = 10;
 	for (n = 0; n < 500; n++)
-		CU_ASSERT_EQUAL(rule_part(&r, n), 2);
-	r.weights = 0;
-	CU_ASSERT_EQUAL(rule_part(&r, 1), -1);
+		CU_ASSERT_EQUAL(rule_backend(&r, n), 2);
+	r.total_weight = 0;
+	CU_ASSERT_EQUAL(rule_backend(&r, 1), -1);
 }
 
 static const struct unit_test tests[] = {
--- a/regress/unit/t_site_change.c
+++ b/regress/unit/t_site_change.c
@@ -29,15 +29,15 @@
 static struct rule *
 add(struct site *t, const char *host, int prefix, int service)
 {
-	struct rule *r = site_add(t);
+	struct rule *r = site_add_rule(t);
 	char p[32];
 
 	snprintf(p, sizeof(p), "/%d/", prefix);
 	str_set(&r->host, host, strlen(host));
 	str_set(&r->prefix, p, strlen(p));
-	r->parts[0].service = service;
-	r->parts[0].weight = 1;
-	r->nparts = 1;
+	r->backends[0].service = service;
+	r->backends[0].weight = 1;
+	r->nbackends = 1;
 	return (r);
 }
 
@@ -55,13 +55,14 @@
 		x = &a->rules[i];
 		y = &b->rules[i];
 		if (rule_cmp(x, y) != 0 || x->priority != y->priority ||
-		    x->nparts != y->nparts || x->weights != y->weights ||
-		    x->gone || y->gone)
+		    x->nbackends != y->nbackends ||
+		    x->total_weight != y->total_weight || x->gone || y->gone)
 			return (0);
-		for (k = 0; k < x->nparts; k++) {
-			if (strcmp(a->services[x->parts[k].service].name,
-				b->services[y->parts[k].service].name) != 0 ||
-			    x->parts[k].weight != y->parts[k].weight)
+		for (k = 0; k < x->nbackends; k++) {
+			if (strcmp(a->services[x->backends[k].service].name,
+				b->services[y->backends[k].service].name) !=
+				0 ||
+			    x->backends[k].weight != y->backends[k].weight)
 				return (0);
 		}
 	}
@@ -73,7 +74,7 @@
 static int
 round_trip(const struct site *old, const struct site *new)
 {
-	struct site *c = site_change(old, new), *result;
+	struct site *c = site_diff(old, new), *result;
 	int n;
 
 	CU_ASSERT_PTR_NOT_NULL_FATAL(c);
@@ -98,8 +99,8 @@
 			add(new, "a.example", i, i == 9);
 	}
 	add(new, "b.example", 1, 1);
-	site_seal(old);
-	site_seal(new);
+	site_finish(old);
+	site_finish(new);
 	CU_ASSERT_EQUAL(round_trip(old, new), 3);
 	CU_ASSERT_EQUAL(round_trip(old, old), 0);
 	site_free(old);
@@ -117,10 +118,10 @@
 	add(new, "a.example", 1, 0);
 	strcpy(new->services[0].name, "s2");
 	strcpy(new->services[2].name, "s0");
-	site_seal(old);
-	site_seal(new);
+	site_finish(old);
+	site_finish(new);
 	CU_ASSERT_EQUAL(round_trip(old, new), 0);
-	c = site_change(old, new);
+	c = site_diff(old, new);
 	strcpy(c->services[0].name, "s9");
 	CU_ASSERT_PTR_NULL(site_apply(old, c));
 	strcpy(c->services[0].name, "s2");
@@ -148,12 +149,12 @@
 		    rand_r(seed) % t->nservices);
 		r->priority = rand_r(seed) % 2;
 		if (rand_r(seed) % 3 == 0) {
-			r->parts[1] = r->parts[0];
-			r->parts[1].weight = 1 + (uint32_t)rand_r(seed) % 9;
-			r->nparts = 2;
+			r->backends[1] = r->backends[0];
+			r->backends[1].weight = 1 + (uint32_t)rand_r(seed) % 9;
+			r->nbackends = 2;
 		}
 	}
-	site_seal(t);
+	site_finish(t);
 	return (t);
 }
 
--- a/regress/unit/t_site_frame.c
+++ b/regress/unit/t_site_frame.c
@@ -30,7 +30,7 @@
 	t->head_time = MS(3000);
 	t->idle_time = MS(15000);
 	for (i = 0; i < 3; i++) {
-		r = site_add(t);
+		r = site_add_rule(t);
 		str_set(&r->host, i < 2 ? "a.example" : "b.example", 9);
 		str_set(&r->prefix, &"/xy/"[i], 4 - (size_t)i);
 		r->idempotent = i == 1;
@@ -38,12 +38,12 @@
 		r->aim = MS(300);
 		r->attempts = 2;
 		r->priority = i - 1;
-		r->nparts = i == 2 ? 2 : 1;
-		r->parts[0].service = 1;
-		r->parts[0].weight = 90;
-		r->parts[1].weight = 10;
+		r->nbackends = i == 2 ? 2 : 1;
+		r->backends[0].service = 1;
+		r->backends[0].weight = 90;
+		r->backends[1].weight = 10;
 	}
-	site_seal(t);
+	site_finish(t);
 	return (t);
 }
 
@@ -99,9 +99,9 @@
 		CU_ASSERT_EQUAL(a->aim, b->aim);
 		CU_ASSERT_EQUAL(a->attempts, b->attempts);
 		CU_ASSERT_EQUAL(a->priority, b->priority);
-		CU_ASSERT_EQUAL(a->weights, b->weights);
-		CU_ASSERT_EQUAL(a->nparts, b->nparts);
-		CU_ASSERT_EQUAL(a->parts[0].service, b->parts[0].service);
+		CU_ASSERT_EQUAL(a->total_weight, b->total_weight);
+		CU_ASSERT_EQUAL(a->nbackends, b->nbackends);
+		CU_ASSERT_EQUAL(a->backends[0].service, b->backends[0].service);
 	}
 	site_free(t);
 	site_free(got);
@@ -117,7 +117,7 @@
 	str_free(&now->rules[2].prefix);
 	now->nrules = 2;
 	now->version = 34;
-	c = site_change(was, now);
+	c = site_diff(was, now);
 	got = over_the_wire(c);
 	CU_ASSERT_PTR_NOT_NULL_FATAL(got);
 	CU_ASSERT_EQUAL(got->nrules, 1);
--- a/regress/unit/t_standby.c
+++ b/regress/unit/t_standby.c
@@ -6,7 +6,7 @@
 
 /* Returns a host that could be a standby. */
 static struct candidate
-host(const char *name, const char *dc, int bears, int is_one)
+host(const char *name, const char *dc, int bears, int is_standby)
 {
 	struct candidate c;
 
@@ -14,7 +14,7 @@
 	name_copy(c.who.host, sizeof(c.who.host), name);
 	name_copy(c.dc, sizeof(c.dc), dc);
 	c.bears = bears;
-	c.is_one = is_one;
+	c.is_standby = is_standby;
 	return (c);
 }
 
@@ -30,7 +30,7 @@
 	struct candidate c[] = {host("s1", "north", 55, 0),
 	    host("s2", "east", 55, 1), host("b1", "north", 312, 0),
 	    host("b2", "east", 312, 0), host("b3", "south", 312, 0)};
-	struct member m[STANDBYS];
+	struct member m[STANDBYS_MAX];
 
 	CU_ASSERT_EQUAL(standbys_pick(c, 5, "south", m), 2);
 	CU_ASSERT_STRING_EQUAL(m[0].host, "b1");
@@ -47,7 +47,7 @@
 	struct candidate c[] = {host("a", "south", 312, 0),
 	    host("b", "north", 312, 0), host("c", "north", 312, 0),
 	    host("d", "east", 55, 0)};
-	struct member m[STANDBYS];
+	struct member m[STANDBYS_MAX];
 
 	CU_ASSERT_EQUAL(standbys_pick(c, 4, "south", m), 2);
 	CU_ASSERT_STRING_EQUAL(m[0].host, "b");
@@ -66,19 +66,19 @@
 	struct candidate c[] = {host("s1", "north", 55, 0),
 	    host("b1", "north", 312, 1), host("b2", "east", 312, 0)};
 
-	CU_ASSERT(!larger_stands_by(c, 3, 55, 81));
+	CU_ASSERT(!larger_standby_ready(c, 3, 55, 81));
 	c[2].store = 1; /* not a standby, so not first to take control */
-	CU_ASSERT(!larger_stands_by(c, 3, 55, 81));
+	CU_ASSERT(!larger_standby_ready(c, 3, 55, 81));
 	c[1].store = 1;
-	CU_ASSERT(larger_stands_by(c, 3, 55, 81));
+	CU_ASSERT(larger_standby_ready(c, 3, 55, 81));
 	/*
 	 * A host large enough for its fleet, or of unknown size, keeps control.
 	 */
-	CU_ASSERT(!larger_stands_by(c, 3, 55, 40));
-	CU_ASSERT(!larger_stands_by(c, 3, 0, 81));
+	CU_ASSERT(!larger_standby_ready(c, 3, 55, 40));
+	CU_ASSERT(!larger_standby_ready(c, 3, 0, 81));
 	/* A standby that is only a little larger does not take over. */
 	c[1].bears = 70;
-	CU_ASSERT(!larger_stands_by(c, 3, 55, 81));
+	CU_ASSERT(!larger_standby_ready(c, 3, 55, 81));
 }
 
 /*
@@ -91,7 +91,7 @@
 	struct candidate c[] = {host("a", "north", 250, 0),
 	    host("b", "east", 250, 0), host("c", "north", 250, 1),
 	    host("d", "east", 250, 1)};
-	struct member m[STANDBYS];
+	struct member m[STANDBYS_MAX];
 
 	CU_ASSERT_EQUAL(standbys_pick(c, 4, "south", m), 2);
 	CU_ASSERT_STRING_EQUAL(m[0].host, "c");
@@ -103,7 +103,7 @@
 few_candidates(void)
 {
 	struct candidate c[] = {host("a", "south", 0, 0)};
-	struct member m[STANDBYS];
+	struct member m[STANDBYS_MAX];
 
 	CU_ASSERT_EQUAL(standbys_pick(c, 0, "south", m), 0);
 	CU_ASSERT_EQUAL(standbys_pick(c, 1, "south", m), 1);
@@ -113,11 +113,11 @@
 static void
 sizes(void)
 {
-	CU_ASSERT_EQUAL(hosts_borne(0.1, 10), 55);
-	CU_ASSERT_EQUAL(hosts_borne(0.5, 200), 312);
-	CU_ASSERT_EQUAL(hosts_borne(0, 200), 0);
-	CU_ASSERT(first_wait(55) > first_wait(312));
-	CU_ASSERT_EQUAL(first_wait(0), 0);
+	CU_ASSERT_EQUAL(host_capacity(0.1, 10), 55);
+	CU_ASSERT_EQUAL(host_capacity(0.5, 200), 312);
+	CU_ASSERT_EQUAL(host_capacity(0, 200), 0);
+	CU_ASSERT(bootstrap_delay(55) > bootstrap_delay(312));
+	CU_ASSERT_EQUAL(bootstrap_delay(0), 0);
 }
 
 static const struct unit_test tests[] = {
--- a/regress/unit/t_term.c
+++ b/regress/unit/t_term.c
@@ -17,7 +17,7 @@
 	int down;
 	int lose_answer;
 	uint64_t version;
-	struct record rec;
+	struct control_record rec;
 } store;
 
 struct node {
@@ -25,7 +25,7 @@
 	int gets;
 	int puts;
 	uint64_t base;
-	struct record put;
+	struct control_record put;
 	struct member asked[8];
 	int nasked;
 };
@@ -37,7 +37,7 @@
 }
 
 static void
-on_put(void *arg, uint64_t base, const struct record *r)
+on_put(void *arg, uint64_t base, const struct control_record *r)
 {
 	struct node *n = arg;
 
@@ -60,7 +60,7 @@
 {
 }
 
-static const struct term_out out = {on_get, on_put, on_ask, on_event};
+static const struct term_callbacks out = {on_get, on_put, on_ask, on_event};
 
 /* Initialises the process of a host. */
 static void
@@ -84,20 +84,20 @@
 		if (store.down)
 			term_get_failed(&n->t, now);
 		else
-			term_got(&n->t, now, store.version != 0, store.version,
-			    &store.rec);
+			term_get_done(&n->t, now, store.version != 0,
+			    store.version, &store.rec);
 	}
 	if (n->puts > 0) {
 		n->puts--;
 		if (store.down) {
-			term_put_ended(&n->t, now, PUT_LOST, 0);
+			term_put_done(&n->t, now, PUT_UNKNOWN, 0);
 		} else if (n->base != store.version) {
-			term_put_ended(&n->t, now, PUT_CONFLICT, store.version);
+			term_put_done(&n->t, now, PUT_CONFLICT, store.version);
 		} else {
 			store.rec = n->put;
 			store.version++;
-			term_put_ended(&n->t, now,
-			    store.lose_answer ? PUT_LOST : PUT_DONE,
+			term_put_done(&n->t, now,
+			    store.lose_answer ? PUT_UNKNOWN : PUT_DONE,
 			    store.version);
 			store.lose_answer = 0;
 		}
@@ -114,8 +114,9 @@
 	for (i = 0; i < a->nasked; i++) {
 		if (b == NULL || a->asked[i].boot != b->t.conf.self.boot)
 			continue;
-		yes = term_asked(&b->t, now, a->t.rec.term, a->asked[i].boot);
-		term_promised(
+		yes = term_promise_request(
+		    &b->t, now, a->t.rec.term, a->asked[i].boot);
+		term_promise_reply(
 		    &a->t, now, &b->t.conf.self, a->t.rec.term, yes, now);
 	}
 	a->nasked = 0;
@@ -151,7 +152,7 @@
 	node_init(a, "a", 1000);
 	node_init(b, "b", 2000);
 	run(a, NULL, 0, MS(500));
-	term_standbys(&a->t, &b->t.conf.self, 1);
+	term_set_standbys(&a->t, &b->t.conf.self, 1);
 	run(a, b, MS(500), MS(1000));
 	CU_ASSERT_EQUAL(a->t.role, TERM_HOLDER);
 	CU_ASSERT_EQUAL(a->t.rec.nstandby, 1);
@@ -175,8 +176,8 @@
 	CU_ASSERT(now < MS(2000));
 	CU_ASSERT_EQUAL(b.t.rec.term, a.t.rec.term + 1);
 	/* Host leases count as lapsed only after a whole host lease. */
-	CU_ASSERT(!term_settled(&b.t, now + MS(1200)));
-	CU_ASSERT(term_settled(&b.t, now + MS(1400)));
+	CU_ASSERT(!term_old_leases_lapsed(&b.t, now + MS(1200)));
+	CU_ASSERT(term_old_leases_lapsed(&b.t, now + MS(1400)));
 	/* The old holder, if it was only paused, may renew nothing. */
 	CU_ASSERT(!term_may_renew(&a.t, now));
 }
@@ -225,7 +226,7 @@
 		serve(&b, now);
 	}
 	CU_ASSERT_EQUAL(b.t.role, TERM_FOLLOWER);
-	CU_ASSERT(term_asked(&b.t, now, a.t.rec.term, 2000));
+	CU_ASSERT(term_promise_request(&b.t, now, a.t.rec.term, 2000));
 }
 
 /*
@@ -257,7 +258,8 @@
 	store.down = 1;
 	run(&a, &b2, MS(1000), MS(2000));
 	CU_ASSERT(!term_may_renew(&a.t, MS(2000)));
-	CU_ASSERT_EQUAL(term_asked(&b2.t, MS(2000), a.t.rec.term, 2000), 0);
+	CU_ASSERT_EQUAL(
+	    term_promise_request(&b2.t, MS(2000), a.t.rec.term, 2000), 0);
 }
 
 /* A promise counts from when the request was sent, not from its arrival. */
@@ -269,7 +271,7 @@
 	start(&a, &b);
 	a.t.lease_until = 0;
 	a.t.npromises = 0;
-	term_promised(
+	term_promise_reply(
 	    &a.t, MS(5600), &b.t.conf.self, a.t.rec.term, 1, MS(5000));
 	CU_ASSERT(term_may_renew(&a.t, MS(5650)));
 	CU_ASSERT(!term_may_renew(&a.t, MS(5700)));
@@ -286,12 +288,12 @@
 
 	start(&a, &b);
 	node_init(&c, "c", 3000);
-	term_standbys(&a.t, &c.t.conf.self, 1);
+	term_set_standbys(&a.t, &c.t.conf.self, 1);
 	store.down = 1;
 	run(&a, &b, MS(1000), MS(1900));
 	CU_ASSERT(a.t.put_pending);
 	CU_ASSERT(!term_may_renew(&a.t, MS(1900)));
-	term_promised(
+	term_promise_reply(
 	    &a.t, MS(1900), &c.t.conf.self, a.t.rec.term, 1, MS(1890));
 	CU_ASSERT(term_may_renew(&a.t, MS(1900)));
 }
@@ -332,7 +334,7 @@
 	CU_ASSERT_EQUAL(b.t.role, TERM_ACQUIRING);
 	store.down = 1;
 	serve(&b, now);
-	CU_ASSERT_EQUAL(term_asked(&b.t, now, a.t.rec.term, 2000), 0);
+	CU_ASSERT_EQUAL(term_promise_request(&b.t, now, a.t.rec.term, 2000), 0);
 }
 
 /* Two hosts take over at once: one write succeeds, the other host follows. */
@@ -371,19 +373,20 @@
 
 	start(&a, &b);
 	node_init(&c, "c", 3000);
-	c.t.lonely = 1;
+	c.t.no_controller = 1;
 	run(NULL, &c, MS(1000), MS(6000));
 	CU_ASSERT_EQUAL(c.t.role, TERM_HOLDER);
-	CU_ASSERT(!term_settled(&c.t, MS(60000)));
+	CU_ASSERT(!term_old_leases_lapsed(&c.t, MS(60000)));
 	/* A reply of a process that is no standby changes nothing. */
-	term_promised(&c.t, MS(6000), &a.t.conf.self, c.t.rec.term, 0, 0);
-	CU_ASSERT(!term_settled(&c.t, MS(60000)));
-	term_promised(&c.t, MS(6000), &b.t.conf.self, c.t.rec.term, 0, 0);
-	CU_ASSERT(!term_settled(&c.t, MS(6000) + LEASE + HOST_LEASE));
-	CU_ASSERT(term_settled(&c.t, MS(6050) + LEASE + HOST_LEASE));
+	term_promise_reply(&c.t, MS(6000), &a.t.conf.self, c.t.rec.term, 0, 0);
+	CU_ASSERT(!term_old_leases_lapsed(&c.t, MS(60000)));
+	term_promise_reply(&c.t, MS(6000), &b.t.conf.self, c.t.rec.term, 0, 0);
+	CU_ASSERT(!term_old_leases_lapsed(&c.t, MS(6000) + LEASE + HOST_LEASE));
+	CU_ASSERT(term_old_leases_lapsed(&c.t, MS(6050) + LEASE + HOST_LEASE));
 	/* The standby has withdrawn: no promise under the old term. */
-	CU_ASSERT(term_asked(&b.t, MS(6000), c.t.rec.term, 2000));
-	CU_ASSERT_EQUAL(term_asked(&b.t, MS(6100), a.t.rec.term, 2000), 0);
+	CU_ASSERT(term_promise_request(&b.t, MS(6000), c.t.rec.term, 2000));
+	CU_ASSERT_EQUAL(
+	    term_promise_request(&b.t, MS(6100), a.t.rec.term, 2000), 0);
 }
 
 /*
@@ -406,7 +409,7 @@
 		}
 		if (a.puts > 0) {
 			a.puts = 0;
-			term_put_ended(&a.t, now, PUT_LOST, 0);
+			term_put_done(&a.t, now, PUT_UNKNOWN, 0);
 		}
 		term_tick(&b.t, now);
 		serve(&b, now);
@@ -434,7 +437,7 @@
 	CU_ASSERT_EQUAL(a.t.role, TERM_FOLLOWER);
 	CU_ASSERT_EQUAL(b.t.role, TERM_HOLDER);
 	CU_ASSERT(now < MS(1500));
-	CU_ASSERT_EQUAL(term_asked(&a.t, now, b.t.rec.term, 1000), 0);
+	CU_ASSERT_EQUAL(term_promise_request(&a.t, now, b.t.rec.term, 1000), 0);
 }
 
 /* Two hosts whose holder announces the record's version. */
@@ -442,8 +445,8 @@
 start_announcing(struct node *a, struct node *b)
 {
 	start(a, b);
-	a->t.conf.told = 1;
-	b->t.conf.told = 1;
+	a->t.conf.version_announced = 1;
+	b->t.conf.version_announced = 1;
 }
 
 /*
@@ -461,7 +464,7 @@
 
 	start_announcing(&a, &b);
 	for (now = MS(1000); now < MS(6000); now += MS(10)) {
-		term_heard(&b.t, now, a.t.version);
+		term_version_announced(&b.t, now, a.t.version);
 		run(&a, NULL, now, now + MS(10));
 		term_tick(&b.t, now);
 		gets += b.gets;
@@ -472,7 +475,7 @@
 	lost = now;
 	for (; now < lost + MS(4000) && b.t.role != TERM_HOLDER;
 	     now += MS(10)) {
-		b.t.lonely = now - lost > MS(400);
+		b.t.no_controller = now - lost > MS(400);
 		term_tick(&b.t, now);
 		serve(&b, now);
 	}
@@ -501,13 +504,13 @@
 	node_init(&a2, "a", 5000);
 	name_copy(
 	    a2.t.conf.self.addr, sizeof(a2.t.conf.self.addr), "10.0.0.1:1");
-	a2.t.conf.told = 1;
+	a2.t.conf.version_announced = 1;
 	for (now = MS(2000); now < MS(2300); now += MS(10)) {
 		term_tick(&a2.t, now);
 		serve(&a2, now);
 	}
 	CU_ASSERT_EQUAL(a2.t.role, TERM_HOLDER);
-	CU_ASSERT(term_settled(&a2.t, now + HOST_LEASE + MS(100)));
+	CU_ASSERT(term_old_leases_lapsed(&a2.t, now + HOST_LEASE + MS(100)));
 }
 
 /*
@@ -523,9 +526,9 @@
 	store.down = 1;
 	run(&a, &b, MS(1000), MS(3000));
 	CU_ASSERT(term_may_renew(&a.t, MS(3000)));
-	term_outdone(&a.t, MS(3000), a.t.rec.term);
+	term_superseded(&a.t, MS(3000), a.t.rec.term);
 	CU_ASSERT(term_may_renew(&a.t, MS(3000)));
-	term_outdone(&a.t, MS(3000), a.t.rec.term + 1);
+	term_superseded(&a.t, MS(3000), a.t.rec.term + 1);
 	CU_ASSERT(!term_may_renew(&a.t, MS(3000)));
 	CU_ASSERT_EQUAL(a.t.role, TERM_FOLLOWER);
 }
@@ -538,7 +541,7 @@
 start_shutdown(struct node *a, struct node *b)
 {
 	start(a, b);
-	a->t.conf.left_promise = b->t.conf.left_promise = MS(12000);
+	a->t.conf.final_promise = b->t.conf.final_promise = MS(12000);
 	store.down = 1;
 	run(a, b, MS(1000), MS(2000));
 	term_leave(&b->t, MS(2000));
@@ -550,8 +553,8 @@
 unlisted_takes_control(struct node *c)
 {
 	node_init(c, "c", 3000);
-	c->t.conf.left_promise = MS(12000);
-	c->t.lonely = 1;
+	c->t.conf.final_promise = MS(12000);
+	c->t.no_controller = 1;
 	store.down = 0;
 	run(NULL, c, MS(4000), MS(9000));
 }
@@ -598,16 +601,16 @@
 	for (now = MS(4000); now < MS(30000); now += MS(10)) {
 		term_tick(&a.t, now);
 		a.gets = a.puts = a.nasked = 0;
-		CU_ASSERT(
-		    !term_may_renew(&a.t, now) || !term_settled(&c.t, now));
+		CU_ASSERT(!term_may_renew(&a.t, now) ||
+		    !term_old_leases_lapsed(&c.t, now));
 	}
-	CU_ASSERT(term_settled(&c.t, MS(30000)));
+	CU_ASSERT(term_old_leases_lapsed(&c.t, MS(30000)));
 	/* Its reply to the new holder is no withdrawal either. */
 	start_shutdown(&a, &b);
 	unlisted_takes_control(&c);
-	term_promised(&c.t, MS(9000), &b.t.conf.self, c.t.rec.term,
-	    term_asked(&b.t, MS(9000), c.t.rec.term, 2000), MS(9000));
-	CU_ASSERT(!term_settled(&c.t, MS(9000) + MS(12000)));
+	term_promise_reply(&c.t, MS(9000), &b.t.conf.self, c.t.rec.term,
+	    term_promise_request(&b.t, MS(9000), c.t.rec.term, 2000), MS(9000));
+	CU_ASSERT(!term_old_leases_lapsed(&c.t, MS(9000) + MS(12000)));
 }
 
 /*
@@ -625,17 +628,20 @@
 	CU_ASSERT_EQUAL(c.t.role, TERM_HOLDER);
 	other = a.t.conf.self;
 	other.boot++;
-	term_yielded(&c.t, MS(9000), &other, c.t.rec.term);
-	term_yielded(&c.t, MS(9000), &a.t.conf.self, c.t.rec.term - 1);
-	CU_ASSERT(!term_settled(&c.t, MS(9000) + HOST_LEASE + MS(200)));
-	term_outdone(&a.t, MS(9000), c.t.rec.term);
+	term_holder_follows(&c.t, MS(9000), &other, c.t.rec.term);
+	term_holder_follows(&c.t, MS(9000), &a.t.conf.self, c.t.rec.term - 1);
+	CU_ASSERT(
+	    !term_old_leases_lapsed(&c.t, MS(9000) + HOST_LEASE + MS(200)));
+	term_superseded(&a.t, MS(9000), c.t.rec.term);
 	CU_ASSERT(!term_may_renew(&a.t, MS(9000)));
-	term_yielded(&c.t, MS(9000), &a.t.conf.self, c.t.rec.term);
-	CU_ASSERT(!term_settled(&c.t, MS(9000) + HOST_LEASE));
-	CU_ASSERT(term_settled(&c.t, MS(9000) + HOST_LEASE + MS(200)));
+	term_holder_follows(&c.t, MS(9000), &a.t.conf.self, c.t.rec.term);
+	CU_ASSERT(!term_old_leases_lapsed(&c.t, MS(9000) + HOST_LEASE));
+	CU_ASSERT(
+	    term_old_leases_lapsed(&c.t, MS(9000) + HOST_LEASE + MS(200)));
 	/* A repeated report postpones nothing. */
-	term_yielded(&c.t, MS(10000), &a.t.conf.self, c.t.rec.term);
-	CU_ASSERT(term_settled(&c.t, MS(9000) + HOST_LEASE + MS(200)));
+	term_holder_follows(&c.t, MS(10000), &a.t.conf.self, c.t.rec.term);
+	CU_ASSERT(
+	    term_old_leases_lapsed(&c.t, MS(9000) + HOST_LEASE + MS(200)));
 }
 
 /* A process of the same host name at another address proves nothing. */
@@ -652,7 +658,7 @@
 	node_init(&a2, "a", 5000);
 	name_copy(
 	    a2.t.conf.self.addr, sizeof(a2.t.conf.self.addr), "10.0.0.9:1");
-	a2.t.conf.told = 1;
+	a2.t.conf.version_announced = 1;
 	for (now = MS(2000); now < MS(2000) + LEASE; now += MS(10)) {
 		term_tick(&a2.t, now);
 		serve(&a2, now);
@@ -678,7 +684,7 @@
 
 		snprintf(name, sizeof(name), "h%d", i);
 		node_init(&n[i], name, 1000003u * 7919u * (unsigned)(i + 1));
-		n[i].t.conf.told = 1;
+		n[i].t.conf.version_announced = 1;
 	}
 	/*
 	 * All hosts send, then the store answers all, a few milliseconds later.
