--- a/decide/known.c
+++ b/decide/membership.c
@@ -5,7 +5,7 @@
 
 #include "feature.h"
 #include "incarnation.h"
-#include "known.h"
+#include "membership.h"
 
 /* Entries do not lapse in outages shorter than this many heartbeats. */
 #define LAPSE_HEARTBEATS 2
@@ -17,7 +17,7 @@
 
 /* Frees the list and resets all of it. */
 void
-known_free(struct known *k)
+membership_free(struct membership *k)
 {
 	free(k->list);
 	free(k->buckets);
@@ -26,7 +26,7 @@
 
 /* Returns the bucket of a target; all its incarnations are in it. */
 static int *
-bucket_of(const struct known *k, const char *id)
+bucket_of(const struct membership *k, const char *id)
 {
 	uint64_t h = XXH3_64bits(id, incarnation_id_length(id));
 
@@ -37,14 +37,14 @@
  * all targets are read entry by entry: scanning all targets for each would take
  * quadratic time. */
 static int
-bucket_first(const struct known *k, const char *id)
+bucket_first(const struct membership *k, const char *id)
 {
 	return (k->nbuckets == 0 ? 0 : *bucket_of(k, id));
 }
 
 /* Adds a target to its bucket. */
 static void
-bucket_add(struct known *k, int i)
+bucket_add(struct membership *k, int i)
 {
 	int *bucket = bucket_of(k, k->list[i].t.id);
 
@@ -54,7 +54,7 @@
 
 /* Rebuilds the hash table. */
 static void
-rehash(struct known *k)
+rehash(struct membership *k)
 {
 	int i;
 
@@ -66,10 +66,10 @@
 /* Grows the list, if needed, to hold one more target; 0, or -1 if out of
  * memory. */
 static int
-grow(struct known *k)
+grow(struct membership *k)
 {
 	int capacity = k->capacity == 0 ? INITIAL_CAPACITY : k->capacity * 2;
-	struct known_target *list;
+	struct membership_target *list;
 	int *buckets;
 
 	if (k->n < k->capacity)
@@ -90,8 +90,8 @@
 }
 
 /* Finds a target by the id of its incarnation; NULL if absent. */
-static struct known_target *
-find(struct known *k, const char *id)
+static struct membership_target *
+find(struct membership *k, const char *id)
 {
 	int i;
 
@@ -104,7 +104,7 @@
 
 /* Records that a call to the store failed. */
 void
-known_store_failed(struct known *k, usec now)
+membership_store_failed(struct membership *k, usec now)
 {
 	if (k->failing_since == 0)
 		k->failing_since = now;
@@ -116,7 +116,7 @@
  * targets of a service would stop getting requests just as the store is back.
  */
 void
-known_store_answered(struct known *k, usec now)
+membership_store_answered(struct membership *k, usec now)
 {
 	if (k->failing_since != 0 &&
 	    now - k->failing_since >= LAPSE_HEARTBEATS * k->heartbeat)
@@ -127,7 +127,7 @@
 /* True if a later incarnation of the target is known, so that news of this one
  * is outdated. */
 static int
-is_superseded(const struct known *k, const char *id)
+is_superseded(const struct membership *k, const char *id)
 {
 	int i;
 
@@ -140,7 +140,7 @@
 
 /* Marks a target as gone. */
 static void
-mark_gone(struct known *k, struct known_target *e, usec now)
+mark_gone(struct membership *k, struct membership_target *e, usec now)
 {
 	e->missing_since = 0;
 	if (e->gone_since == 0)
@@ -155,7 +155,7 @@
  * their entry, for it now belongs to the later incarnation.
  */
 static void
-end_earlier(struct known *k, const char *id, usec now)
+end_earlier(struct membership *k, const char *id, usec now)
 {
 	int i;
 
@@ -167,9 +167,10 @@
 
 /* Adds or updates a target from its entry; its cold_until is the time left. */
 void
-known_entry_put(struct known *k, const struct fleet_target *t, usec now)
+membership_entry_put(
+    struct membership *k, const struct fleet_target *t, usec now)
 {
-	struct known_target *e = find(k, t->id);
+	struct membership_target *e = find(k, t->id);
 	usec cold = t->cold_until;
 
 	if (is_superseded(k, t->id))
@@ -196,7 +197,7 @@
 
 /* Handles the removal of a target's entry. */
 static void
-entry_removed(struct known *k, struct known_target *e, usec now)
+entry_removed(struct membership *k, struct membership_target *e, usec now)
 {
 	if (e->gone_since != 0 || e->missing_since != 0)
 		return;
@@ -210,8 +211,8 @@
 
 /* Calls a function for each incarnation of a target. */
 static void
-each_incarnation(struct known *k, const char *target, usec now,
-    void (*fn)(struct known *, struct known_target *, usec))
+each_incarnation(struct membership *k, const char *target, usec now,
+    void (*fn)(struct membership *, struct membership_target *, usec))
 {
 	int i;
 
@@ -223,7 +224,7 @@
 
 /* Handles the removal of an entry; target is an id without start time. */
 void
-known_entry_removed(struct known *k, const char *target, usec now)
+membership_entry_removed(struct membership *k, const char *target, usec now)
 {
 	each_incarnation(k, target, now, entry_removed);
 }
@@ -235,7 +236,7 @@
  * unknown, so it is asked to release its keys, like one that is gone.
  */
 void
-known_entry_invalid(struct known *k, const char *target, usec now)
+membership_entry_invalid(struct membership *k, const char *target, usec now)
 {
 	each_incarnation(k, target, now, mark_gone);
 }
@@ -246,18 +247,18 @@
  * that are missing from a complete list are gone.
  */
 void
-known_adopt(struct known *k, const struct fleet *f, usec now)
+membership_adopt(struct membership *k, const struct fleet *f, usec now)
 {
 	const struct fleet_target *t;
-	struct known_target *e;
+	struct membership_target *e;
 	int i;
 
 	if (f->whole)
-		known_list_begin(k);
+		membership_list_begin(k);
 	for (i = 0; i < f->ntargets; i++) {
 		t = &f->targets[i];
 		if (!t->gone)
-			known_entry_put(k, t, now);
+			membership_entry_put(k, t, now);
 		else if ((e = find(k, t->id)) != NULL) {
 			e->seen = 1;
 			mark_gone(k, e, now);
@@ -272,7 +273,7 @@
 
 /* Starts reading a complete list of the entries. */
 void
-known_list_begin(struct known *k)
+membership_list_begin(struct membership *k)
 {
 	int i;
 
@@ -282,13 +283,13 @@
 
 /* Ends reading a complete list: entries that were not in it are removed. */
 void
-known_list_end(struct known *k, usec now)
+membership_list_end(struct membership *k, usec now)
 {
 	int i, missing = 0;
 
 	for (i = 0; i < k->n; i++)
 		missing += !k->list[i].seen && k->list[i].gone_since == 0;
-	known_mass_removal(k, missing, now);
+	membership_mass_removal(k, missing, now);
 	for (i = 0; i < k->n; i++) {
 		if (!k->list[i].seen)
 			entry_removed(k, &k->list[i], now);
@@ -301,7 +302,7 @@
  * not notice.
  */
 void
-known_mass_removal(struct known *k, int removed, usec now)
+membership_mass_removal(struct membership *k, int removed, usec now)
 {
 	int i, live = 0;
 
@@ -315,9 +316,9 @@
 /* Marks targets as gone whose entries have not come back in time, and drops
  * those that have been gone for long. */
 void
-known_tick(struct known *k, usec now)
+membership_tick(struct membership *k, usec now)
 {
-	struct known_target *e;
+	struct membership_target *e;
 	int i, before = k->n;
 
 	evacuations_expire(&k->evacuations, now);
@@ -349,7 +350,7 @@
 
 /* Returns a snapshot, to be freed with fleet_free; NULL if out of memory. */
 struct fleet *
-known_snapshot(struct known *k)
+membership_snapshot(struct membership *k)
 {
 	struct fleet *f;
 	int i;
--- a/decide/known.h
+++ b/decide/membership.h
@@ -2,8 +2,8 @@
  * Membership: the targets that this host knows, from the platform's store or
  * from the controller, and how far missing entries are trusted.
  */
-#ifndef KNOWN_H
-#define KNOWN_H
+#ifndef MEMBERSHIP_H
+#define MEMBERSHIP_H
 
 #include <stdint.h>
 
@@ -16,7 +16,7 @@
  * moved. */
 #define GONE_RETENTION MS(20000)
 
-struct known_target {
+struct membership_target {
 	struct fleet_target t;
 	usec missing_since;  /* entry removed while in doubt; else 0 */
 	usec gone_since;     /* 0 if not gone */
@@ -26,8 +26,8 @@
 	int next;	     /* in its bucket: 1 + index, 0 at the end */
 };
 
-struct known {
-	struct known_target *list;
+struct membership {
+	struct membership_target *list;
 	int n;
 	int capacity;
 	int *buckets; /* hash table by target id: 1 + index, 0 if empty */
@@ -39,17 +39,20 @@
 	int changed;	    /* since the last snapshot; the user clears it */
 };
 
-void known_free(struct known *);
-void known_store_failed(struct known *, usec now);
-void known_store_answered(struct known *, usec now);
-void known_entry_put(struct known *, const struct fleet_target *, usec now);
-void known_entry_removed(struct known *, const char *target, usec now);
-void known_entry_invalid(struct known *, const char *target, usec now);
-void known_list_begin(struct known *);
-void known_list_end(struct known *, usec now);
-void known_mass_removal(struct known *, int removed, usec now);
-void known_tick(struct known *, usec now);
-void known_adopt(struct known *, const struct fleet *, usec now);
-struct fleet *known_snapshot(struct known *);
+void membership_free(struct membership *);
+void membership_store_failed(struct membership *, usec now);
+void membership_store_answered(struct membership *, usec now);
+void membership_entry_put(
+    struct membership *, const struct fleet_target *, usec now);
+void membership_entry_removed(
+    struct membership *, const char *target, usec now);
+void membership_entry_invalid(
+    struct membership *, const char *target, usec now);
+void membership_list_begin(struct membership *);
+void membership_list_end(struct membership *, usec now);
+void membership_mass_removal(struct membership *, int removed, usec now);
+void membership_tick(struct membership *, usec now);
+void membership_adopt(struct membership *, const struct fleet *, usec now);
+struct fleet *membership_snapshot(struct membership *);
 
 #endif
--- a/decide/leave.c
+++ b/decide/stop_plan.c
@@ -1,4 +1,4 @@
-#include "leave.h"
+#include "stop_plan.h"
 
 /* By then the load balancer has taken the host out: it probes once a second and
  * acts on the second failed probe. */
--- a/decide/leave.h
+++ b/decide/stop_plan.h
@@ -2,8 +2,8 @@
  * The schedule of a host's orderly stop: until when it accepts requests, and
  * when the last of them must be answered.
  */
-#ifndef LEAVE_H
-#define LEAVE_H
+#ifndef STOP_PLAN_H
+#define STOP_PLAN_H
 
 #include "clock.h"
 
--- a/decide/lately.c
+++ b/decide/superseded.c
@@ -1,4 +1,4 @@
-#include "lately.h"
+#include "superseded.h"
 
 /* Records that a version was replaced now. */
 void
--- a/decide/lately.h
+++ b/decide/superseded.h
@@ -1,6 +1,6 @@
 /* The versions of a value that were replaced most recently. */
-#ifndef LATELY_H
-#define LATELY_H
+#ifndef SUPERSEDED_H
+#define SUPERSEDED_H
 
 #include <stdint.h>
 
--- a/gspard/direct.h
+++ b/gspard/direct.h
@@ -9,7 +9,7 @@
 #include "dest.h"
 #include "fleet.h"
 #include "heat.h"
-#include "leave.h"
+#include "stop_plan.h"
 #include "owners.h"
 #include "quarantine.h"
 #include "recent.h"
--- a/gspard/gspard.c
+++ b/gspard/gspard.c
@@ -12,7 +12,7 @@
 
 #include "call.h"
 #include "gspard.h"
-#include "leave.h"
+#include "stop_plan.h"
 #include "settings.h"
 
 /* How long a stop waits for handing over, and then for calls to end. */
--- a/gspard/watch.c
+++ b/gspard/watch.c
@@ -65,15 +65,15 @@
 	struct fleet_target t;
 
 	if (f->deleted) {
-		known_entry_removed(&w->known, f->name, now);
+		membership_entry_removed(&w->membership, f->name, now);
 		return;
 	}
 	if (decode_target(f->raw, f->name, &t) != 0) {
 		note_foreign(w, f);
-		known_entry_invalid(&w->known, f->name, now);
+		membership_entry_invalid(&w->membership, f->name, now);
 		return;
 	}
-	known_entry_put(&w->known, &t, now);
+	membership_entry_put(&w->membership, &t, now);
 }
 
 /* Handles one evacuation; since is 0 where its start is unknown. */
@@ -81,7 +81,8 @@
 take_evacuation(
     struct watch *w, const struct found *f, int listing, usec since, usec now)
 {
-	struct evacuations *e = listing ? &w->listed : &w->known.evacuations;
+	struct evacuations *e =
+	    listing ? &w->listed : &w->membership.evacuations;
 
 	if (f->deleted)
 		evacuations_end(e, f->name, now);
@@ -95,7 +96,7 @@
 static void
 take_evacuations(struct watch *w, const struct store *st, usec since, usec now)
 {
-	struct evacuations *e = &w->known.evacuations;
+	struct evacuations *e = &w->membership.evacuations;
 	int i;
 
 	/* Another host has sent a later revision meanwhile. */
@@ -104,7 +105,7 @@
 	for (i = 0; i < st->nfound; i++)
 		take_evacuation(w, &st->found[i], 0, since, now);
 	e->as_of = st->version;
-	w->known.changed = 1;
+	w->membership.changed = 1;
 }
 
 /* Reads all objects that a call found. */
@@ -118,7 +119,7 @@
 	for (i = 0; i < st->nfound; i++)
 		gone += st->found[i].deleted;
 	if (kind == FEED_TARGETS)
-		known_mass_removal(&w->known, gone, now);
+		membership_mass_removal(&w->membership, gone, now);
 	for (i = 0; i < st->nfound; i++) {
 		if (kind == FEED_SITE)
 			watch_site_found(s, &st->found[i]);
@@ -153,11 +154,11 @@
 	f->base = f->list_base;
 	f->next = now + WATCH_PAUSE;
 	if (kind == FEED_TARGETS)
-		known_list_end(&w->known, now);
+		membership_list_end(&w->membership, now);
 	if (kind == FEED_EVACUATIONS) {
 		w->listed.as_of = f->list_base;
-		w->known.changed |=
-		    evacuations_sync(&w->known.evacuations, &w->listed, now);
+		w->membership.changed |= evacuations_sync(
+		    &w->membership.evacuations, &w->listed, now);
 	}
 }
 
@@ -178,14 +179,14 @@
 	return (w->feeds[FEED_TARGETS].listed &&
 	    (!is_followed(s, FEED_EVACUATIONS) ||
 		w->feeds[FEED_EVACUATIONS].listed ||
-		w->known.evacuations.as_of != 0));
+		w->membership.evacuations.as_of != 0));
 }
 
 /* Logs evacuations when they have changed. */
 static void
 log_evacuations(struct watch *w)
 {
-	const struct evacuations *e = &w->known.evacuations;
+	const struct evacuations *e = &w->membership.evacuations;
 	uint64_t digest = evacuations_digest(e);
 	int i;
 
@@ -207,12 +208,12 @@
 	struct shared *sh;
 	struct fleet *fleet;
 
-	known_tick(&w->known, now);
-	if (!w->known.changed || !knows_fleet(s))
+	membership_tick(&w->membership, now);
+	if (!w->membership.changed || !knows_fleet(s))
 		return;
 	log_evacuations(w);
-	w->known.changed = 0;
-	fleet = known_snapshot(&w->known);
+	w->membership.changed = 0;
+	fleet = membership_snapshot(&w->membership);
 	if (fleet == NULL || (sh = shared_new(fleet, fleet_free)) == NULL) {
 		fleet_free(fleet);
 		return;
@@ -267,7 +268,7 @@
 	f->next = now + f->backoff;
 	/* A call from before it was told may end now. */
 	if (!w->told)
-		known_store_failed(&w->known, now);
+		membership_store_failed(&w->membership, now);
 	set_fresh(s, 0);
 	if (f == &w->feeds[FEED_SITE])
 		msg_post(s->kernel, "control", MSG_SITE_UNREAD, NULL, NULL);
@@ -355,7 +356,7 @@
 		log_line(LOG_NOTICE, "watch", "Store answers again for %s.",
 		    f->kind);
 	f->backoff = 0;
-	known_store_answered(&w->known, now);
+	membership_store_answered(&w->membership, now);
 	if (kind == FEED_EVACUATIONS && st->op == STORE_WATCH)
 		take_evacuations(w, st, since, now);
 	else
@@ -387,7 +388,7 @@
 	if (f->listing) {
 		name_copy(st->after, sizeof(st->after), f->after);
 		if (f->after[0] == '\0' && f == &w->feeds[FEED_TARGETS])
-			known_list_begin(&w->known);
+			membership_list_begin(&w->membership);
 		if (f->after[0] == '\0' && f == &w->feeds[FEED_EVACUATIONS])
 			memset(&w->listed, 0, sizeof(w->listed));
 	} else {
@@ -432,7 +433,7 @@
 {
 	int i;
 
-	known_store_answered(&w->known, now);
+	membership_store_answered(&w->membership, now);
 	for (i = 0; i < FEEDS; i++)
 		w->feeds[i].backoff = 0;
 }
@@ -468,7 +469,7 @@
 		set_fresh(s, 0);
 		break;
 	case MSG_FLEET_TOLD:
-		known_adopt(&w->known, m->data, now);
+		membership_adopt(&w->membership, m->data, now);
 		break;
 	case MSG_QUIT:
 		w->stop = 1;
@@ -513,7 +514,8 @@
 	w->feeds[FEED_SITE].listing = 1;
 	w->feeds[FEED_TARGETS].listing = 1;
 	w->feeds[FEED_EVACUATIONS].listing = 1;
-	w->known.heartbeat = MS(kernel_conf(s->kernel)->bounds.heartbeat_ms);
+	w->membership.heartbeat =
+	    MS(kernel_conf(s->kernel)->bounds.heartbeat_ms);
 	return (0);
 }
 
@@ -523,7 +525,7 @@
 {
 	struct watch *w = s->state;
 
-	known_free(&w->known);
+	membership_free(&w->membership);
 	shared_unref(w->site);
 	free(w);
 }
--- a/gspard/watch.h
+++ b/gspard/watch.h
@@ -3,7 +3,7 @@
 #define WATCH_H
 
 #include "gspard.h"
-#include "known.h"
+#include "membership.h"
 
 /* Entries that make no sense, of which it is known that they were logged. */
 #define FOREIGN_KEPT 64
@@ -26,7 +26,7 @@
 
 struct watch {
 	struct feed feeds[FEEDS];
-	struct known known;
+	struct membership membership;
 	struct evacuations listed; /* while a list of them is read */
 	struct shared *site;
 	uint64_t logged_evacuations; /* digest */
--- a/regress/safeguards.sh
+++ b/regress/safeguards.sh
@@ -119,18 +119,18 @@
     's/born(later) > born(earlier)/born(later) != born(earlier)/'
 
 # No new work to a leaving target.
-without said-so-for-good known known.c 's/e->t.leaving |= e->said_so;/;/'
-without past-lives-are-old-news known known.c \
+without said-so-for-good membership membership.c 's/e->t.leaving |= e->said_so;/;/'
+without past-lives-are-old-news membership membership.c \
     's/^	if (is_past(k, t->id))/	if (0)/'
-without earlier-life-ends known known.c 's/^	end_earlier(k, t->id, now);/;/'
-without missing-in-a-whole-list known known.c \
+without earlier-life-ends membership membership.c 's/^	end_earlier(k, t->id, now);/;/'
+without missing-in-a-whole-list membership membership.c \
     's/for (i = 0; f->whole \&\& i < k->n; i++)/for (i = 0; 0; i++)/'
-without doubt-ends known known.c \
+without doubt-ends membership membership.c \
     's/e->missing_since != 0 \&\& now >= k->doubt_until/0/'
-without unusable-entry known known.c \
+without unusable-entry membership membership.c \
     's/each_life(k, target, now, mark_gone)/each_life(k, target, now, lost)/'
 without leaving-is-not-usable dest dest.c 's/!d->leaving \&\& //'
-without digest-of-now-and-lately lately lately.c \
+without digest-of-now-and-lately superseded superseded.c \
     's/l->was\[i\].number == number/1/'
 
 # Control, beyond what the model has.
@@ -158,9 +158,9 @@
 without pace-of-copies pace pace.c 's/return (now >= p->free_at);/return (1);/'
 without pace-of-telling pace pace.c 's/ <= link_bytes(link_mbps) \* TELL_SPAN_S/ >= 0/'
 without budget-of-repeats route budget.c 's/if (b->tokens < 1)/if (0)/'
-without end-of-a-stopping-host leave leave.c \
+without end-of-a-stopping-host stop_plan stop_plan.c \
     's/return (deadline < l->end ? deadline : l->end);/return (deadline);/'
-without late-requests-of-a-stop leave leave.c \
+without late-requests-of-a-stop stop_plan stop_plan.c \
     's/return (now < l->shut || deadline <= l->end);/return (1);/'
 
 # Limits of targets.
--- a/regress/unit/t_evacuation.c
+++ b/regress/unit/t_evacuation.c
@@ -3,7 +3,7 @@
 #include <string.h>
 
 #include "evacuation.h"
-#include "known.h"
+#include "membership.h"
 #include "unit.h"
 
 #define GRACE MS(2500)
@@ -169,20 +169,20 @@
 static void
 in_fleet(void)
 {
-	static struct known k;
+	static struct membership k;
 	struct fleet received = {.ntargets = 0}, *f;
 
 	set_up();
 	evacuations_begin(&received.evacuations, "a", MS(1000));
 	received.evacuations.as_of = 5;
-	known_adopt(&k, &received, MS(1500));
+	membership_adopt(&k, &received, MS(1500));
 	CU_ASSERT(k.changed);
-	f = known_snapshot(&k);
+	f = membership_snapshot(&k);
 	CU_ASSERT_FATAL(f != NULL);
 	CU_ASSERT(evacuations_active(&f->evacuations, "a"));
 	CU_ASSERT(f->digest == evacuations_digest(&received.evacuations));
 	fleet_free(f);
-	known_free(&k);
+	membership_free(&k);
 }
 
 static const struct unit_test tests[] = {
--- a/regress/unit/t_feature.c
+++ b/regress/unit/t_feature.c
@@ -8,7 +8,7 @@
 #include "dest.h"
 #include "feature.h"
 #include "keys.h"
-#include "known.h"
+#include "membership.h"
 #include "standby.h"
 #include "unit.h"
 
@@ -124,7 +124,7 @@
 static int
 lapsed_is_gone(void)
 {
-	struct known k;
+	struct membership k;
 	struct fleet_target t;
 	int gone;
 
@@ -132,12 +132,12 @@
 	memset(&t, 0, sizeof(t));
 	k.heartbeat = MS(900);
 	name_copy(t.id, sizeof(t.id), "t1");
-	known_entry_put(&k, &t, MS(1));
-	known_store_failed(&k, MS(1000));
-	known_store_answered(&k, MS(4000));
-	known_entry_removed(&k, "t1", MS(4100));
+	membership_entry_put(&k, &t, MS(1));
+	membership_store_failed(&k, MS(1000));
+	membership_store_answered(&k, MS(4000));
+	membership_entry_removed(&k, "t1", MS(4100));
 	gone = k.list[0].t.gone;
-	known_free(&k);
+	membership_free(&k);
 	return (gone);
 }
 
--- a/regress/unit/t_known.c
+++ b/regress/unit/t_membership.c
@@ -3,10 +3,10 @@
 #include <stdio.h>
 #include <string.h>
 
-#include "known.h"
+#include "membership.h"
 #include "unit.h"
 
-static struct known k;
+static struct membership k;
 
 /* Adds a target. */
 static void
@@ -17,7 +17,7 @@
 	memset(&t, 0, sizeof(t));
 	name_copy(t.id, sizeof(t.id), id);
 	name_copy(t.service, sizeof(t.service), "s");
-	known_entry_put(&k, &t, now);
+	membership_entry_put(&k, &t, now);
 }
 
 /* Starts a test with n targets. */
@@ -27,7 +27,7 @@
 	char id[8];
 	int i;
 
-	known_free(&k);
+	membership_free(&k);
 	k.heartbeat = MS(900);
 	for (i = 0; i < n; i++) {
 		snprintf(id, sizeof(id), "t%d", i);
@@ -42,8 +42,8 @@
 	struct fleet *f;
 	int i, n = 0;
 
-	known_tick(&k, now);
-	f = known_snapshot(&k);
+	membership_tick(&k, now);
+	f = membership_snapshot(&k);
 	for (i = 0; i < f->ntargets; i++)
 		n += !f->targets[i].leaving;
 	fleet_free(f);
@@ -54,7 +54,7 @@
 removed(void)
 {
 	set_up(6);
-	known_entry_removed(&k, "t3", MS(100));
+	membership_entry_removed(&k, "t3", MS(100));
 	CU_ASSERT_EQUAL(usable(MS(100)), 5);
 	CU_ASSERT_EQUAL(k.n, 6);
 	/* Later it is dropped from the list. */
@@ -72,11 +72,11 @@
 lapsed_in_outage(void)
 {
 	set_up(6);
-	known_store_failed(&k, MS(1000));
-	known_store_failed(&k, MS(3000));
-	known_store_answered(&k, MS(5000));
-	known_list_begin(&k);
-	known_list_end(&k, MS(5000));
+	membership_store_failed(&k, MS(1000));
+	membership_store_failed(&k, MS(3000));
+	membership_store_answered(&k, MS(5000));
+	membership_list_begin(&k);
+	membership_list_end(&k, MS(5000));
 	CU_ASSERT_EQUAL(usable(MS(5000)), 6);
 	put("t0", MS(6000));
 	put("t1", MS(6500));
@@ -89,9 +89,9 @@
 short_outage(void)
 {
 	set_up(6);
-	known_store_failed(&k, MS(1000));
-	known_store_answered(&k, MS(1500));
-	known_entry_removed(&k, "t1", MS(1500));
+	membership_store_failed(&k, MS(1000));
+	membership_store_answered(&k, MS(1500));
+	membership_entry_removed(&k, "t1", MS(1500));
 	CU_ASSERT_EQUAL(usable(MS(1500)), 5);
 }
 
@@ -102,9 +102,9 @@
 {
 	set_up(6);
 	k.list[2].t.leaving = 1;
-	known_store_failed(&k, MS(1000));
-	known_store_answered(&k, MS(5000));
-	known_entry_removed(&k, "t2", MS(5000));
+	membership_store_failed(&k, MS(1000));
+	membership_store_answered(&k, MS(5000));
+	membership_entry_removed(&k, "t2", MS(5000));
 	CU_ASSERT_EQUAL(usable(MS(5000)), 5);
 }
 
@@ -119,10 +119,10 @@
 	char id[8];
 
 	set_up(8);
-	known_mass_removal(&k, 6, MS(1000));
+	membership_mass_removal(&k, 6, MS(1000));
 	for (i = 0; i < 6; i++) {
 		snprintf(id, sizeof(id), "t%d", i);
-		known_entry_removed(&k, id, MS(1000));
+		membership_entry_removed(&k, id, MS(1000));
 	}
 	CU_ASSERT_EQUAL(usable(MS(1000)), 8);
 	CU_ASSERT_EQUAL(usable(MS(1000) + LAPSE_GRACE + 1), 2);
@@ -134,9 +134,9 @@
 two_at_once(void)
 {
 	set_up(8);
-	known_mass_removal(&k, 2, MS(1000));
-	known_entry_removed(&k, "t0", MS(1000));
-	known_entry_removed(&k, "t1", MS(1000));
+	membership_mass_removal(&k, 2, MS(1000));
+	membership_entry_removed(&k, "t0", MS(1000));
+	membership_entry_removed(&k, "t1", MS(1000));
 	CU_ASSERT_EQUAL(usable(MS(1000)), 6);
 }
 
@@ -153,23 +153,23 @@
 	struct fleet f = {.targets = t, .ntargets = 1};
 
 	set_up(6);
-	known_store_failed(&k, MS(1000));
-	known_store_answered(&k, MS(5000));
+	membership_store_failed(&k, MS(1000));
+	membership_store_answered(&k, MS(5000));
 	memset(t, 0, sizeof(t));
 	name_copy(t[0].id, sizeof(t[0].id), "t1");
 	t[0].gone = 1;
-	known_adopt(&k, &f, MS(5100));
+	membership_adopt(&k, &f, MS(5100));
 	CU_ASSERT_EQUAL(usable(MS(5100)), 5);
 	/* A new target. */
 	t[0].gone = 0;
 	name_copy(t[0].id, sizeof(t[0].id), "new");
-	known_adopt(&k, &f, MS(5200));
+	membership_adopt(&k, &f, MS(5200));
 	CU_ASSERT_EQUAL(usable(MS(5200)), 6);
 	/* A complete list. */
 	f.whole = 1;
 	f.ntargets = 2;
 	name_copy(t[1].id, sizeof(t[1].id), "t2");
-	known_adopt(&k, &f, MS(5300));
+	membership_adopt(&k, &f, MS(5300));
 	CU_ASSERT_EQUAL(usable(MS(5300)), 2);
 }
 
@@ -187,10 +187,10 @@
 	memset(&t, 0, sizeof(t));
 	name_copy(t.id, sizeof(t.id), "t1");
 	t.leaving = 1;
-	known_entry_put(&k, &t, MS(1000));
+	membership_entry_put(&k, &t, MS(1000));
 	CU_ASSERT_EQUAL(usable(MS(1000)), 2);
 	t.leaving = 0;
-	known_adopt(&k, &f, MS(9000));
+	membership_adopt(&k, &f, MS(9000));
 	CU_ASSERT_EQUAL(usable(MS(9000)), 2);
 }
 
@@ -201,8 +201,8 @@
 	struct fleet *f;
 	int i, n = 0;
 
-	known_tick(&k, now);
-	f = known_snapshot(&k);
+	membership_tick(&k, now);
+	f = membership_snapshot(&k);
 	for (i = 0; i < f->ntargets; i++)
 		n +=
 		    !f->targets[i].leaving && strcmp(f->targets[i].id, id) == 0;
@@ -225,7 +225,7 @@
 	memset(&t, 0, sizeof(t));
 	name_copy(t.id, sizeof(t.id), "t7#1000");
 	t.leaving = 1;
-	known_entry_put(&k, &t, MS(100));
+	membership_entry_put(&k, &t, MS(100));
 	CU_ASSERT_EQUAL(usable(MS(100)), 2);
 	put("t7#2000", MS(200));
 	CU_ASSERT_EQUAL(usable_of("t7#2000", MS(200)), 1);
@@ -234,7 +234,7 @@
 	CU_ASSERT_EQUAL(usable_of("t7#1000", MS(300)), 0);
 	CU_ASSERT_EQUAL(usable_of("t7#2000", MS(300)), 1);
 	CU_ASSERT_EQUAL(k.n, 4);
-	known_entry_removed(&k, "t7", MS(400));
+	membership_entry_removed(&k, "t7", MS(400));
 	CU_ASSERT_EQUAL(usable(MS(400)), 2);
 }
 
@@ -262,9 +262,9 @@
 invalid_entry(void)
 {
 	set_up(6);
-	known_store_failed(&k, MS(1000));
-	known_store_answered(&k, MS(5000));
-	known_entry_invalid(&k, "t3", MS(5100));
+	membership_store_failed(&k, MS(1000));
+	membership_store_answered(&k, MS(5000));
+	membership_entry_invalid(&k, "t3", MS(5100));
 	CU_ASSERT_EQUAL(usable(MS(5100)), 5);
 	put("t3", MS(5900));
 	CU_ASSERT_EQUAL(usable(MS(5900)), 6);
@@ -277,17 +277,17 @@
 	struct fleet *a, *b;
 
 	set_up(3);
-	a = known_snapshot(&k);
-	known_free(&k);
+	a = membership_snapshot(&k);
+	membership_free(&k);
 	k.heartbeat = MS(900);
 	put("t2", MS(9));
 	put("t0", MS(9));
 	put("t1", MS(9));
-	b = known_snapshot(&k);
+	b = membership_snapshot(&k);
 	CU_ASSERT_EQUAL(a->digest, b->digest);
 	fleet_free(b);
-	known_entry_removed(&k, "t1", MS(10));
-	b = known_snapshot(&k);
+	membership_entry_removed(&k, "t1", MS(10));
+	b = membership_snapshot(&k);
 	CU_ASSERT_NOT_EQUAL(a->digest, b->digest);
 	fleet_free(a);
 	fleet_free(b);
--- a/regress/unit/t_known_size.c
+++ b/regress/unit/t_membership_size.c
@@ -2,7 +2,7 @@
 #include <stdio.h>
 #include <string.h>
 
-#include "known.h"
+#include "membership.h"
 #include "unit.h"
 
 /* The fastest of several tries counts, as other programs may be running. */
@@ -13,7 +13,7 @@
 static usec
 read_list(int n)
 {
-	struct known k;
+	struct membership k;
 	struct fleet_target t;
 	usec from;
 	int i, pass;
@@ -24,16 +24,16 @@
 	name_copy(t.service, sizeof(t.service), "s");
 	from = clock_mono();
 	for (pass = 2; pass > 0; pass--) {
-		known_list_begin(&k);
+		membership_list_begin(&k);
 		for (i = 0; i < n; i += pass) {
 			snprintf(t.id, sizeof(t.id), "i-%08x",
 			    (unsigned)i * 2654435761u);
-			known_entry_put(&k, &t, MS(1000));
+			membership_entry_put(&k, &t, MS(1000));
 		}
-		known_list_end(&k, MS(1000));
+		membership_list_end(&k, MS(1000));
 	}
 	from = clock_mono() - from;
-	known_free(&k);
+	membership_free(&k);
 	return (from);
 }
 
--- a/regress/unit/t_leave.c
+++ b/regress/unit/t_stop_plan.c
@@ -1,5 +1,5 @@
 /* Tests which requests a stopping host accepts, and their deadlines. */
-#include "leave.h"
+#include "stop_plan.h"
 #include "unit.h"
 
 #define NOW MS(50000)
--- a/regress/unit/t_lately.c
+++ b/regress/unit/t_superseded.c
@@ -2,7 +2,7 @@
  * have lost one. */
 #include <string.h>
 
-#include "lately.h"
+#include "superseded.h"
 #include "unit.h"
 
 /*
