--- a/gspard/keeper.h
+++ b/gspard/keeper.h
@@ -1,6 +1,6 @@
 /*
- * The control service of hosts that send to targets themselves: who controls,
- * which hosts there are, and who owns which keys.
+ * The control service of hosts that send to targets directly: the election of
+ * the controller, the list of hosts and the ownership of keys.
  */
 #ifndef KEEPER_H
 #define KEEPER_H
@@ -19,17 +19,22 @@
 #include "target_ops.h"
 #include "term.h"
 
-#define KEEPER_HOSTS 512
-#define KEEPER_SERVICES 16
+#define KEEPER_HOSTS_MAX 512
+#define KEEPER_SERVICES_MAX 16
 #define ASKED_KEPT 64
-/* A host whose reports show that it lacks what it was told is told again after
- * this. */
-#define TELL_AGAIN MS(600)
-/* Of a range on the wire: on its way, or that and when it is back, in ms. */
-#define STATE_MOVING 1u
-#define STATE_BACK 2u
-
-/* What the router learnt since its last report. */
+/*
+ * If a host's reports show that it lacks an update that was sent, the update is
+ * sent again after this time.
+ */
+#define PUSH_RETRY_DELAY MS(600)
+/*
+ * State of a range on the wire: 0 is served, RANGE_MOVING is moving, and
+ * RANGE_MOVING_UNTIL + n is moving and served again in n ms.
+ */
+#define RANGE_MOVING 1u
+#define RANGE_MOVING_UNTIL 2u
+
+/* Request counts and target latencies since the router's last report. */
 struct heat_keys {
 	char service[NAME_MAX_GS];
 	struct heat heat;
@@ -38,17 +43,17 @@
 struct heat_target {
 	char id[NAME_MAX_GS];
 	double speed;
-	double limit; /* that it names, a second; negative is none */
+	double limit; /* requests per second that it allows; negative if none */
 	int answers;
 };
 
-/* Room for what one report tells of requests that crash targets. */
-#define QUARANTINE_REPORTED 256
+/* Buffers for the crash data of one report. */
+#define QUARANTINE_REPORT_MAX 256
 
-struct quarantine_room {
-	Gspar__BrokenSend broken[QUARANTINE_REPORTED];
-	Gspar__BrokenSend *broken_list[QUARANTINE_REPORTED];
-	uint64_t ended[QUARANTINE_REPORTED];
+struct quarantine_report_buf {
+	Gspar__BrokenSend broken[QUARANTINE_REPORT_MAX];
+	Gspar__BrokenSend *broken_list[QUARANTINE_REPORT_MAX];
+	uint64_t ended[QUARANTINE_REPORT_MAX];
 	uint64_t answered[CRASH_REPORT_MAX];
 	Gspar__Quarantined items[QUARANTINE_ENTRIES_MAX];
 	Gspar__Quarantined *list[QUARANTINE_ENTRIES_MAX];
@@ -69,23 +74,23 @@
     double limit, int answers);
 void heat_report_free(void *);
 
-/* A host as the controller and all others know it. */
+/* A host as the other hosts know it, and what the controller sent to it. */
 struct keeper_host {
-	struct member who;
+	struct member process;
 	char dc[NAME_MAX_GS];
-	usec heard;
-	usec named;	 /* by the controller, last; 0 is not in its list */
-	usec try_until;	 /* told, though not heard: control is new here */
-	uint64_t owners; /* the number that it has */
-	uint64_t told;	 /* the number last sent to it, and when */
-	usec told_at;
-	usec fleet_at;	    /* when it was told all targets */
-	usec quarantine_at; /* when it was told what is quarantined */
-	int bears;	    /* hosts that it could control */
-	int store;	    /* the store has answered it just now */
-	uint64_t site;	    /* the configuration that it has */
-	uint64_t site_told; /* the one that was sent to it last */
-	int site_asked;	    /* it is to be told the one in force here */
+	usec last_heard;
+	usec listed_at; /* when the controller last listed it; 0 if not */
+	usec assumed_up_until;	  /* sent to without having been heard */
+	uint64_t owners_reported; /* number of the snapshot that it has */
+	uint64_t owners_sent;	  /* number last sent to it, and when */
+	usec owners_sent_at;
+	usec fleet_sent_at;	 /* when all targets were last sent to it */
+	usec quarantine_sent_at; /* when the quarantine list was sent */
+	int max_hosts;		 /* hosts that it could control */
+	int store_reachable;	 /* the store has answered it recently */
+	uint64_t site_version;	 /* version of its site configuration */
+	uint64_t site_sent;	 /* version last sent to it */
+	int site_requested;	 /* it has asked for the configuration */
 	int stopping;
 };
 
@@ -94,71 +99,71 @@
 	const struct target_ops *ops;
 	struct term term;
 	uint64_t promise_seq;
-	usec asked_at[ASKED_KEPT];
+	usec asked_at[ASKED_KEPT]; /* of promise requests, by sequence number */
 	char controller[NAME_MAX_GS];
 	uint64_t controller_term;
-	usec heard;   /* the controller, last */
-	int strained; /* the controller says that it bears fewer hosts */
-	usec next_witness;
+	usec controller_heard;	   /* when it was last heard */
+	int controller_overloaded; /* it reports more hosts than it can serve */
+	usec next_store_probe;
 	usec next_standbys;
-	usec store_seen; /* the store answered about the control record */
+	usec store_answered_at; /* last successful call for the record */
 
-	struct keeper_host hosts[KEEPER_HOSTS];
+	struct keeper_host hosts[KEEPER_HOSTS_MAX];
 	int nhosts;
 	int hosts_changed;
-	struct keys *keys[KEEPER_SERVICES];
+	struct keys *keys[KEEPER_SERVICES_MAX];
 	int nkeys;
-	int acting;
+	int acting; /* this host is the controller */
 	struct shared *site;
 	struct shared *fleet;
-	struct superseded fleet_was; /* digests of earlier lists */
-	uint64_t told_fleet; /* digest of the controller's; 0 is not told */
-	usec differs_since;
+	struct superseded fleet_superseded; /* digests of earlier lists */
+	uint64_t controller_fleet; /* the controller's digest; 0 if unknown */
+	usec fleet_differs_since;
 	usec next_relist;
-	int told_follow;
-	int fresh;	  /* the store itself answers here for targets */
-	int follows;	  /* the controller says that it follows the store */
-	usec fleet_heard; /* last sign of a host that does, and tells */
-	usec next_news;
-	struct shared *spread; /* the targets that were told to all */
-	struct behind behind;  /* a newer configuration is somewhere */
-	struct pace site_pace; /* of copies that hosts asked for */
-	int site_fits;	       /* it was little enough to be told */
-	int site_ask;	       /* the next report, or sign of life, asks */
-	char site_from[NAME_MAX_GS]; /* a host that has a newer one */
+	int following;		/* the watch service follows the store */
+	int fresh;		/* the store answers this host for targets */
+	int controller_follows; /* the controller follows the store */
+	usec follower_heard;	/* last heartbeat or relay of a follower */
+	usec next_relay;
+	struct shared *fleet_sent; /* the targets last broadcast */
+	struct behind behind;	   /* whether a newer configuration exists */
+	struct pace site_pace;	   /* of copies that hosts requested */
+	int site_pushed;	   /* was small enough to be pushed */
+	int site_request; /* request it with the next report or heartbeat */
+	char site_source[NAME_MAX_GS]; /* a host that has a newer one */
 	struct heat_report *heat;
 
 	/* Requests that crash targets: what was seen, what is quarantined. */
 	struct quarantine quarantine;
 	struct quarantine_list quarantined;
-	struct quarantine_room report_room;
-	uint64_t told_quarantine; /* number of the controller's list */
-	uint64_t report_term; /* to whose controller crashes were told ... */
-	usec report_since;    /* ... and since when */
+	struct quarantine_report_buf report_buf;
+	uint64_t controller_quarantine; /* checksum of the controller's list */
+	uint64_t report_term; /* term of the controller that gets reports ... */
+	usec report_since;    /* ... and since when it does */
 	uint64_t answered[CRASH_REPORT_MAX]; /* for the next report */
 	int nanswered;
-	int quarantine_open;  /* the store is asked */
-	int quarantine_known; /* its list is known; of a controller */
+	int quarantine_pending; /* a call to the store is pending */
+	int quarantine_known;	/* as controller: the stored list was read */
 	uint64_t quarantine_version;
-	uint64_t quarantine_stored; /* number of its list */
+	uint64_t quarantine_stored; /* checksum of the stored list */
 	usec quarantine_next;
 
-	/* Who owns what, as published here. */
+	/* The owners of keys, as last published on this host. */
 	struct shared *owners;
 	uint64_t number;
-	usec next_spread;
+	usec next_heartbeat;
 
 	CURLM *multi;
 	struct order_call *calls;
 	usec acting_since;
-	int yielded; /* control was given back, for this host hears too few */
+	int yielded; /* released control; not a candidate until eligible_at */
 	usec eligible_at;
 	int stopping;
-	usec giving_since; /* control is given to another; 0 is not */
+	usec handover_since; /* when releasing control began; 0 if not */
 	int resigned;
 	int had_control; /* when it resigned */
-	usec leave_by;	 /* a stop gives control up by then */
-	int gone;	 /* a stop has nothing more to do */
+	usec stop_by;	 /* control is given up by then during a stop */
+	int stopped;	 /* the orderly stop is complete */
 	int stop;
 };
 
@@ -167,42 +172,42 @@
 const char *keeper_self(const struct keeper *);
 const struct site *keeper_site(const struct keeper *);
 const struct fleet *keeper_fleet(const struct keeper *);
-int keeper_tells(const struct keeper_host *, usec now);
+int keeper_host_up(const struct keeper_host *, usec now);
 void keeper_host_seen(struct keeper *, const struct member *, const char *dc,
     int stopping, usec now);
-void keeper_peers(struct keeper *);
+void keeper_publish_peers(struct keeper *);
 
 /* keeper_term.c */
-void keeper_term_open(struct keeper *);
-int keeper_stands_by(const struct keeper *);
-void keeper_name_standbys(struct keeper *, usec now);
-void keeper_yield_if_deaf(struct keeper *, usec now);
+void keeper_term_init(struct keeper *);
+int keeper_is_standby(const struct keeper *);
+void keeper_choose_standbys(struct keeper *, usec now);
+void keeper_yield_if_isolated(struct keeper *, usec now);
 void keeper_yield_to_larger(struct keeper *, usec now);
-void keeper_give_back(struct keeper *, usec now);
-void keeper_witness(struct keeper *, usec now);
-int keeper_bears(const struct keeper *);
-void keeper_record_stored(struct keeper *, const struct store *, usec now);
-void keeper_promise_ask(struct keeper *, const struct msg *, usec now);
-void keeper_promise(struct keeper *, const struct msg *, usec now);
+void keeper_release_control(struct keeper *, usec now);
+void keeper_probe_store(struct keeper *, usec now);
+int keeper_capacity(const struct keeper *);
+void keeper_record_done(struct keeper *, const struct store *, usec now);
+void keeper_promise_request(struct keeper *, const struct msg *, usec now);
+void keeper_promise_reply(struct keeper *, const struct msg *, usec now);
 
 /* keeper_keys.c */
 struct keys *keeper_keys(struct keeper *, const char *service);
 void keeper_add_services(struct keeper *, usec now);
 void keeper_drop_keys(struct keeper *);
-void keeper_keys_stored(struct keeper *, const struct store *, usec now);
+void keeper_keys_done(struct keeper *, const struct store *, usec now);
 enum put_result keeper_put_result(const struct store *);
 
 /* keeper_order.c */
 void order_send(struct keeper *, const char *service, const struct key_order *);
 void orders_reap(struct keeper *, usec now);
-void orders_drop(struct keeper *);
+void orders_cancel(struct keeper *);
 
 /* keeper_fleet.c */
-void fleet_spread(struct keeper *, usec now);
-void fleet_compare(struct keeper *, const char *host, uint64_t, usec now);
-void fleet_take(struct keeper *, const Gspar__FleetTold *, usec now);
-void fleet_missed(struct keeper *, usec now);
-void fleet_news(struct keeper *, const Gspar__StoreNews *, usec now);
+void fleet_broadcast(struct keeper *, usec now);
+void fleet_check_host(struct keeper *, const char *host, uint64_t, usec now);
+void fleet_receive(struct keeper *, const Gspar__FleetTold *, usec now);
+void fleet_relist_if_stale(struct keeper *, usec now);
+void fleet_receive_relay(struct keeper *, const Gspar__StoreNews *, usec now);
 void fleet_fill_target(
     Gspar__TargetTold *, const struct fleet_target *, usec now);
 size_t fleet_fill_evacuations(const struct evacuations *, Gspar__Evacuation *,
@@ -211,39 +216,40 @@
 /* keeper_relay.c */
 int relay_due(const struct keeper *, usec now);
 void relay_tick(struct keeper *, usec now);
-void relay_take(struct keeper *, const Gspar__StoreNews *, usec now);
+void relay_receive(struct keeper *, const Gspar__StoreNews *, usec now);
 
 /* keeper_spread.c */
-uint64_t spread_number(const struct keeper *);
-void spread_tick(struct keeper *, usec now);
-void spread_farewell(struct keeper *, usec now);
+uint64_t owners_number(const struct keeper *);
+void broadcast_tick(struct keeper *, usec now);
+void broadcast_resignation(struct keeper *, usec now);
 void owners_publish(struct keeper *, struct owners *);
 void report_tick(struct keeper *, usec now);
-void report_take(
+void report_receive(
     struct keeper *, const char *host, const Gspar__HostReport *, usec now);
 
 /* keeper_quarantine.c */
 #define QUARANTINE_TAG "quarantine"
-void quarantine_take_seen(
+void quarantine_add_seen(
     struct keeper *, const struct crash_report *, usec now);
-void quarantine_refused(struct keeper *, const char *target, usec now);
-void quarantine_fill(struct keeper *, Gspar__HostReport *, usec now);
-void quarantine_report(
+void quarantine_conn_refused(struct keeper *, const char *target, usec now);
+void quarantine_fill_report(struct keeper *, Gspar__HostReport *, usec now);
+void quarantine_receive_report(
     struct keeper *, struct keeper_host *, const Gspar__HostReport *, usec now);
-void quarantine_take(struct keeper *, const Gspar__QuarantineTold *, usec now);
+void quarantine_receive(
+    struct keeper *, const Gspar__QuarantineTold *, usec now);
 void quarantine_tick(struct keeper *, usec now);
-void quarantine_stored(struct keeper *, const struct store *, usec now);
+void quarantine_store_done(struct keeper *, const struct store *, usec now);
 
 /* keeper_site.c */
-void site_begin(struct keeper *);
-void site_spread(struct keeper *, const struct site *was, usec now);
-void site_report(
+void site_control_began(struct keeper *);
+void site_broadcast(struct keeper *, const struct site *was, usec now);
+void site_receive_report(
     struct keeper *, struct keeper_host *, const Gspar__HostReport *, usec now);
-void site_heard(struct keeper *, const Gspar__Owners *, usec now);
+void site_receive_heartbeat(struct keeper *, const Gspar__Owners *, usec now);
 void site_tick(struct keeper *, usec now);
-void site_take(struct keeper *, const Gspar__SiteTold *);
+void site_receive(struct keeper *, const Gspar__SiteTold *);
 
 /* keeper_hear.c */
-void spread_take(struct keeper *, const Gspar__Owners *, usec now);
+void broadcast_receive(struct keeper *, const Gspar__Owners *, usec now);
 
 #endif
--- a/gspard/keeper_fleet.c
+++ b/gspard/keeper_fleet.c
@@ -1,21 +1,27 @@
-/* The targets, told from the controller to all other hosts. */
+/* Distribution of the list of targets from the controller to all hosts. */
 #include <stdlib.h>
 #include <string.h>
 
 #include "keeper.h"
 
-/* A change reaches hosts by frames, and their reports, each 200 ms, name what
- * they had before it so much longer. */
-#define ON_THE_WAY MS(400)
-/* A host that knows other targets than its controller for so long has missed
- * something, and asks the store anew, not more often than this. */
-#define FLEET_DIFFERS MS(1300)
-#define RELIST_EVERY MS(2500)
+/*
+ * A change reaches hosts in a frame, and hosts report their digest every 200
+ * ms, so reports may name the previous list for this long.
+ */
+#define REPORT_LAG_MAX MS(400)
+/*
+ * A host whose targets differ from its controller's for this long has missed an
+ * update.  It lists them from the store, at most once per interval.
+ */
+#define FLEET_STALE_AFTER MS(1300)
+#define RELIST_INTERVAL MS(2500)
 
-/* A target of a list by its id, or NULL.  Lists keep their order but for what
- * has come or gone, so it is likely to be at the same place as in the other. */
+/*
+ * Returns the target with the given id, or NULL.  Lists keep their order except
+ * for additions and removals, so the same index is tried first.
+ */
 static const struct fleet_target *
-find(const struct fleet *f, const char *id, int place)
+find_target(const struct fleet *f, const char *id, int place)
 {
 	int i;
 
@@ -30,7 +36,7 @@
 	return (NULL);
 }
 
-/* True where others need to hear of a target's state. */
+/* True if a target differs in a field that other hosts need. */
 static int
 differs(const struct fleet_target *a, const struct fleet_target *b)
 {
@@ -38,7 +44,7 @@
 	    a->cold_until != b->cold_until || strcmp(a->addr, b->addr) != 0);
 }
 
-/* Fills in one target. */
+/* Encodes one target. */
 void
 fleet_fill_target(Gspar__TargetTold *w, const struct fleet_target *t, usec now)
 {
@@ -54,7 +60,7 @@
 		w->cold_ms = (uint32_t)((t->cold_until - now) / 1000);
 }
 
-/* Fills in what is evacuated; the number of items. */
+/* Encodes the evacuations; returns their number. */
 size_t
 fleet_fill_evacuations(const struct evacuations *e, Gspar__Evacuation *items,
     Gspar__Evacuation **list, usec now)
@@ -73,23 +79,25 @@
 	return ((size_t)e->n);
 }
 
-/* Sends targets that differ from those of an earlier list, or all, to a host
- * or, where that is NULL, to all hosts. */
+/*
+ * Sends the targets that differ from those of an earlier list, or all if that
+ * is NULL, to the named host, or to all hosts if that is NULL.
+ */
 static void
-tell(struct keeper *k, const struct fleet *f, const struct fleet *was,
+send_targets(struct keeper *k, const struct fleet *f, const struct fleet *was,
     const char *host, usec now)
 {
 	const char *self = keeper_self(k);
 	Gspar__Frame fr = GSPAR__FRAME__INIT;
 	Gspar__FleetTold w = GSPAR__FLEET_TOLD__INIT;
-	Gspar__TargetTold *told;
+	Gspar__TargetTold *entries;
 	Gspar__Evacuation items[EVACUATIONS_MAX], *list[EVACUATIONS_MAX];
 	int i;
 
-	told = calloc((size_t)f->ntargets + 1, sizeof(*told));
+	entries = calloc((size_t)f->ntargets + 1, sizeof(*entries));
 	w.targets = calloc((size_t)f->ntargets + 1, sizeof(*w.targets));
-	if (told == NULL || w.targets == NULL) {
-		free(told);
+	if (entries == NULL || w.targets == NULL) {
+		free(entries);
 		free(w.targets);
 		return;
 	}
@@ -97,10 +105,11 @@
 	w.whole = was == NULL;
 	for (i = 0; i < f->ntargets; i++) {
 		if (was != NULL &&
-		    !differs(&f->targets[i], find(was, f->targets[i].id, i)))
+		    !differs(
+			&f->targets[i], find_target(was, f->targets[i].id, i)))
 			continue;
-		fleet_fill_target(&told[w.n_targets], &f->targets[i], now);
-		w.targets[w.n_targets] = &told[w.n_targets];
+		fleet_fill_target(&entries[w.n_targets], &f->targets[i], now);
+		w.targets[w.n_targets] = &entries[w.n_targets];
 		w.n_targets++;
 	}
 	w.evacuations_as_of = f->evacuations.as_of;
@@ -110,56 +119,59 @@
 	fr.body_case = GSPAR__FRAME__BODY_FLEET_TOLD;
 	fr.fleet_told = &w;
 	for (i = 0; i < k->nhosts; i++) {
-		if (host != NULL ? strcmp(k->hosts[i].who.host, host) == 0
-				 : keeper_tells(&k->hosts[i], now) &&
-			    strcmp(k->hosts[i].who.host, self) != 0)
-			send_frame(k->s->kernel, k->hosts[i].who.host, 0, &fr);
+		if (host != NULL ? strcmp(k->hosts[i].process.host, host) == 0
+				 : keeper_host_up(&k->hosts[i], now) &&
+			    strcmp(k->hosts[i].process.host, self) != 0)
+			send_frame(
+			    k->s->kernel, k->hosts[i].process.host, 0, &fr);
 	}
-	free(told);
+	free(entries);
 	free(w.targets);
 }
 
 /*
- * Tells all hosts what changed, as controller.  If each followed the store by
- * itself, each change would cost a call for each host: 3,201 calls on a calm
- * day of 76 hosts.
+ * Broadcasts changed targets, as controller.  If every host followed the store
+ * itself, each change would cost a call per host: 3,201 calls a day for 76
+ * hosts with few changes.
  */
 void
-fleet_spread(struct keeper *k, usec now)
+fleet_broadcast(struct keeper *k, usec now)
 {
 	const struct fleet *f = keeper_fleet(k);
-	const struct fleet *was = k->spread == NULL ? NULL : k->spread->p;
+	const struct fleet *was =
+	    k->fleet_sent == NULL ? NULL : k->fleet_sent->p;
 
 	if (f == NULL || f == was || !k->fresh ||
 	    term_renewal_late(&k->term, now))
 		return;
 	if (was != NULL)
-		tell(k, f, was, NULL, now);
-	shared_unref(k->spread);
-	k->spread = shared_ref(k->fleet);
+		send_targets(k, f, was, NULL, now);
+	shared_unref(k->fleet_sent);
+	k->fleet_sent = shared_ref(k->fleet);
 }
 
-/* Tells a host all targets, where its report shows that it knows others. */
+/* Sends all targets to a host whose report shows a different list. */
 void
-fleet_compare(struct keeper *k, const char *host, uint64_t digest, usec now)
+fleet_check_host(struct keeper *k, const char *host, uint64_t digest, usec now)
 {
 	const struct fleet *f = keeper_fleet(k);
 	struct keeper_host *h = keeper_host(k, host);
 
 	if (f == NULL || digest == f->digest ||
-	    superseded_within(&k->fleet_was, digest, ON_THE_WAY, now) ||
+	    superseded_within(
+		&k->fleet_superseded, digest, REPORT_LAG_MAX, now) ||
 	    !k->fresh || term_renewal_late(&k->term, now))
 		return;
-	if (h == NULL || now - h->fleet_at < TELL_AGAIN)
+	if (h == NULL || now - h->fleet_sent_at < PUSH_RETRY_DELAY)
 		return;
-	h->fleet_at = now;
+	h->fleet_sent_at = now;
 	log_line(LOG_INFO, "control",
-	    "Host %s knows other targets, is told all %d of them.", host,
-	    f->ntargets);
-	tell(k, f, NULL, host, now);
+	    "Target list of host %s is out of date, sending all %d targets.",
+	    host, f->ntargets);
+	send_targets(k, f, NULL, host, now);
 }
 
-/* Reads what is evacuated. */
+/* Decodes the evacuations. */
 static void
 read_evacuations(struct evacuations *e, Gspar__Evacuation *const *list,
     size_t n, uint64_t as_of, usec now)
@@ -176,7 +188,7 @@
 	}
 }
 
-/* Reads targets; NULL without memory. */
+/* Decodes targets; returns NULL if memory runs out. */
 static struct fleet *
 read_targets(Gspar__TargetTold *const *list, size_t n)
 {
@@ -204,16 +216,16 @@
 	return (f);
 }
 
-/* Hands what another host told to who keeps the list. */
+/* Passes another host's targets to the watch service, which owns the list. */
 static void
-hand_on(struct keeper *k, struct fleet *f)
+pass_to_watch(struct keeper *k, struct fleet *f)
 {
 	msg_post(k->s->kernel, "watch", MSG_FLEET_TOLD, f, fleet_free);
 }
 
-/* Takes in what the controller tells. */
+/* Handles targets that the controller sent. */
 void
-fleet_take(struct keeper *k, const Gspar__FleetTold *w, usec now)
+fleet_receive(struct keeper *k, const Gspar__FleetTold *w, usec now)
 {
 	struct fleet *f;
 
@@ -223,12 +235,15 @@
 	f->whole = w->whole;
 	read_evacuations(&f->evacuations, w->evacuations, w->n_evacuations,
 	    w->evacuations_as_of, now);
-	hand_on(k, f);
+	pass_to_watch(k, f);
 }
 
-/* Takes in what a standby read in the store, while the controller does not. */
+/*
+ * Handles targets that a standby relays from the store while the controller
+ * cannot.
+ */
 void
-fleet_news(struct keeper *k, const Gspar__StoreNews *w, usec now)
+fleet_receive_relay(struct keeper *k, const Gspar__StoreNews *w, usec now)
 {
 	struct fleet *f = read_targets(w->targets, w->n_targets);
 
@@ -236,31 +251,34 @@
 		return;
 	read_evacuations(&f->evacuations, w->evacuations, w->n_evacuations,
 	    w->evacuations_as_of, now);
-	hand_on(k, f);
+	pass_to_watch(k, f);
 }
 
 /*
- * Looks whether this host knows the targets that its controller knows.  Hosts
- * are told changes by the controller alone: where frames got lost, and telling
- * all again did not help, a leaving target would stay in use here.
+ * Lists the targets from the store if this host's list differs from the
+ * controller's for too long.  Only the controller sends changes: if frames were
+ * lost and sending all targets again did not help, a leaving target would stay
+ * in use here.
  */
 void
-fleet_missed(struct keeper *k, usec now)
+fleet_relist_if_stale(struct keeper *k, usec now)
 {
 	const struct fleet *f = keeper_fleet(k);
 
-	if (k->acting || f == NULL || k->told_fleet == 0 ||
-	    k->told_fleet == f->digest) {
-		k->differs_since = 0;
+	if (k->acting || f == NULL || k->controller_fleet == 0 ||
+	    k->controller_fleet == f->digest) {
+		k->fleet_differs_since = 0;
 		return;
 	}
-	if (k->differs_since == 0)
-		k->differs_since = now;
-	if (now - k->differs_since < FLEET_DIFFERS || now < k->next_relist)
+	if (k->fleet_differs_since == 0)
+		k->fleet_differs_since = now;
+	if (now - k->fleet_differs_since < FLEET_STALE_AFTER ||
+	    now < k->next_relist)
 		return;
-	k->next_relist = now + RELIST_EVERY;
+	k->next_relist = now + RELIST_INTERVAL;
 	log_line(LOG_NOTICE, "control",
-	    "Controller knows other targets for %lld ms, listing anew.",
-	    (long long)((now - k->differs_since) / 1000));
+	    "Target list has differed from the controller's for %lld ms, "
+	    "listing it from the store.",
+	    (long long)((now - k->fleet_differs_since) / 1000));
 	msg_post(k->s->kernel, "watch", MSG_RELIST, NULL, NULL);
 }
--- a/gspard/keeper_hear.c
+++ b/gspard/keeper_hear.c
@@ -1,15 +1,20 @@
-/* What a host hears of its controller: that it is there, and who owns what. */
+/*
+ * Heartbeats of the controller and the owners that it publishes, as received by
+ * the other hosts.
+ */
 #include <stdlib.h>
 #include <string.h>
 
 #include "keeper.h"
 
-/* Where the controller says that it does not reach the store, a host waits for
- * one more sign of life (300 ms) before it follows the store itself: that
- * leaves 550 of the 900 ms that silence takes. */
-#define FOLLOW_NEXT MS(550)
+/*
+ * If a heartbeat says that the controller cannot reach the store, a host waits
+ * for one more heartbeat (300 ms) before it follows the store itself: 550 ms of
+ * the 900 ms allowed for silence count as elapsed.
+ */
+#define FOLLOW_HEAD_START MS(550)
 
-/* Reads one service's owners. */
+/* Decodes one service's owners. */
 static void
 read_service(struct owner_service *s, const Gspar__KeyOwners *w, usec now)
 {
@@ -28,12 +33,16 @@
 		r->to = w->to[i];
 		r->target = (int)w->owner[i] - 1;
 		r->moving = w->state[i] != 0;
-		if (w->state[i] >= STATE_BACK)
-			r->served_at = now + MS(w->state[i] - STATE_BACK);
+		if (w->state[i] >= RANGE_MOVING_UNTIL)
+			r->served_at =
+			    now + MS(w->state[i] - RANGE_MOVING_UNTIL);
 	}
 }
 
-/* Reads who owns what, or what changed; NULL without memory. */
+/*
+ * Decodes a snapshot of owners or a difference; returns NULL if memory runs
+ * out.
+ */
 static struct owners *
 read_owners(const struct keeper *k, const Gspar__Owners *w, usec now)
 {
@@ -66,10 +75,13 @@
 	return (o);
 }
 
-/* Lays a difference over what is known here; frees it.  NULL where it is
- * since another number: reports show it, and all is told. */
+/*
+ * Applies a difference to this host's snapshot and frees it.  Returns NULL if
+ * its base is another snapshot: the next report shows that, and the controller
+ * sends a whole one.
+ */
 static struct owners *
-lay_over(const struct keeper *k, struct owners *d, uint64_t since)
+apply_difference(const struct keeper *k, struct owners *d, uint64_t since)
 {
 	const struct owners *base = k->owners == NULL ? NULL : k->owners->p;
 	struct owners *o = NULL;
@@ -80,9 +92,9 @@
 	return (o);
 }
 
-/* Takes in a host that the controller names. */
+/* Handles a host that the controller lists. */
 static void
-host_told(struct keeper *k, const Gspar__HostAddr *w, usec now)
+receive_host_addr(struct keeper *k, const Gspar__HostAddr *w, usec now)
 {
 	struct member m;
 
@@ -99,28 +111,28 @@
  * give all hosts the same rank, and with it the same turn at limited targets.
  */
 static void
-hosts_told(struct keeper *k, const Gspar__Owners *w, usec now)
+receive_host_list(struct keeper *k, const Gspar__Owners *w, usec now)
 {
 	struct keeper_host *h;
 	size_t i;
 	int n;
 
 	for (n = 0; n < k->nhosts && w->n_hosts > 0; n++)
-		k->hosts[n].named = 0;
+		k->hosts[n].listed_at = 0;
 	for (i = 0; i < w->n_hosts; i++) {
-		host_told(k, w->hosts[i], now);
+		receive_host_addr(k, w->hosts[i], now);
 		if ((h = keeper_host(k, w->hosts[i]->host)) != NULL)
-			h->named = now;
+			h->listed_at = now;
 	}
 	for (n = 0; n < k->nhosts; n++) {
-		if (k->hosts[n].named != 0)
-			k->hosts[n].named = now;
+		if (k->hosts[n].listed_at != 0)
+			k->hosts[n].listed_at = now;
 	}
 }
 
-/* Takes in what the controller says. */
+/* Handles a heartbeat or owners from the controller. */
 void
-spread_take(struct keeper *k, const Gspar__Owners *w, usec now)
+broadcast_receive(struct keeper *k, const Gspar__Owners *w, usec now)
 {
 	struct owners *o;
 
@@ -130,42 +142,44 @@
 		return;
 	k->controller_term = w->term;
 	/*
-	 * One that lives by its standbys' promises, while this host reaches the
-	 * store, should be replaced, though it is heard: its standbys may be
-	 * cut off from the store with it, and none of them would ever know.
+	 * A controller that renews its lease only by its standbys' promises,
+	 * while this host reaches the store, should be replaced although it is
+	 * heard: its standbys may be cut off from the store together with it
+	 * and would never notice.
 	 */
 	if (w->controller[0] == '\0')
-		k->heard = 0;
+		k->controller_heard = 0;
 	else if (!w->late || !k->fresh)
-		k->heard = now;
+		k->controller_heard = now;
 	name_copy(k->controller, sizeof(k->controller), w->controller);
 	/*
-	 * Its address too: a host that has just started may hear it before it
-	 * has read the record, and could not report to it, so it would be
-	 * forgotten by it, and know no owners, for good.
+	 * The address is needed too: a host that has just started may hear the
+	 * controller before it has read the record.  Without the address it
+	 * could not report, and the controller would forget it and never send
+	 * it owners.
 	 */
 	if (w->self != NULL)
-		host_told(k, w->self, now);
+		receive_host_addr(k, w->self, now);
 	if (!w->whole) {
-		hosts_told(k, w, now);
-		site_heard(k, w, now);
+		receive_host_list(k, w, now);
+		site_receive_heartbeat(k, w, now);
 		term_version_announced(&k->term, now, w->record);
-		k->strained = w->strained;
-		k->told_fleet = w->fleet;
-		k->told_quarantine = w->quarantine;
-		k->follows = w->follows;
+		k->controller_overloaded = w->strained;
+		k->controller_fleet = w->fleet;
+		k->controller_quarantine = w->quarantine;
+		k->controller_follows = w->follows;
 		if (w->follows)
-			k->fleet_heard = now;
-		else if (k->fleet_heard > now - FOLLOW_NEXT)
-			/* Unless its next sign says otherwise. */
-			k->fleet_heard = now - FOLLOW_NEXT;
+			k->follower_heard = now;
+		else if (k->follower_heard > now - FOLLOW_HEAD_START)
+			/* The next heartbeat may say otherwise. */
+			k->follower_heard = now - FOLLOW_HEAD_START;
 	}
 	if (!w->whole || w->number < k->number)
 		return;
 	if ((o = read_owners(k, w, now)) == NULL)
 		return;
 	if (w->since != 0)
-		o = lay_over(k, o, w->since);
+		o = apply_difference(k, o, w->since);
 	if (o != NULL)
 		owners_publish(k, o);
 }
--- a/gspard/keeper_keys.c
+++ b/gspard/keeper_keys.c
@@ -1,4 +1,7 @@
-/* The rules for keys, between the store, the targets and this host. */
+/*
+ * Connects the key rules (decide/keys) with the store, the targets and this
+ * host.
+ */
 #include <stdio.h>
 #include <stdlib.h>
 #include <string.h>
@@ -6,17 +9,19 @@
 #include "decode.h"
 #include "keeper.h"
 
-/* Keys are granted for this long, and again after a third of it.  A lost
- * target's keys are without owner for about as long; control that changes
- * hands in that time leaves no key without one. */
-#define HOLD MS(3000)
-#define RENEW_PART 3
-/* A grant is given up after this at the latest, on a new connection. */
-#define ORDER_WAIT MS(1500)
-/* Targets register one after another when all starts. */
-#define SETTLE MS(1500)
-
-/* A call about the owners of a service's keys. */
+/*
+ * Duration of a grant of keys, which is renewed after a third of it.  The keys
+ * of an unavailable target are without an owner for about as long; a change of
+ * controller within that time leaves no key without an owner.
+ */
+#define HOLD_TIME MS(3000)
+#define RENEW_DIVISOR 3
+/* Time limit of a grant that was sent on a new connection. */
+#define GRANT_TIMEOUT MS(1500)
+/* Time allowed for targets to register when everything starts at once. */
+#define SETTLE_TIME MS(1500)
+
+/* Creates a store call for the owners of a service's keys. */
 static struct store *
 owners_store(enum store_op op, const char *service)
 {
@@ -30,7 +35,7 @@
 	return (st);
 }
 
-/* Reads the owners of a service's keys. */
+/* Reads the owners of a service's keys from the store. */
 static void
 get_owners(void *arg, const char *service)
 {
@@ -41,7 +46,7 @@
 		store_send(k->s->kernel, st);
 }
 
-/* Writes the owners of a service's keys. */
+/* Writes the owners of a service's keys to the store. */
 static void
 put_owners(void *arg, const char *service, uint64_t base, const char *json)
 {
@@ -56,16 +61,16 @@
 	store_send(k->s->kernel, st);
 }
 
-/* Sends an order, if this host still controls at this very moment. */
+/* Sends an order to a target if this host is still the controller. */
 static void
 send_order(void *arg, const char *service, const struct key_order *o)
 {
 	struct keeper *k = arg;
 
 	/*
-	 * The clock is read once more: a host that was paused since the tick
-	 * began would otherwise order under a lease that has run out, while
-	 * another gives the same keys to others.
+	 * The clock is read again: a host that was suspended since the tick
+	 * began would otherwise send an order under an expired lease, while
+	 * another controller grants the same keys to other targets.
 	 */
 	if (!term_may_renew(&k->term, clock_mono())) {
 		keys_order_done(keeper_keys(k, service), clock_mono(), o->id,
@@ -75,7 +80,7 @@
 	order_send(k, service, o);
 }
 
-/* Logs what was decided about keys. */
+/* Logs a decision about keys. */
 static void
 keys_event(void *arg, const char *service, const char *what)
 {
@@ -85,7 +90,7 @@
 static const struct keys_callbacks keys_callbacks = {
     get_owners, put_owners, send_order, keys_event};
 
-/* The rules for the keys of a service, or NULL. */
+/* Returns the key rules of a service, or NULL. */
 struct keys *
 keeper_keys(struct keeper *k, const char *service)
 {
@@ -98,21 +103,21 @@
 	return (NULL);
 }
 
-/* Makes rules for a keyed service that is new. */
+/* Creates the key rules of a new keyed service. */
 static void
 add_keys(struct keeper *k, const struct site_service *v, usec now)
 {
 	const struct bounds *b = &kernel_conf(k->s->kernel)->bounds;
-	struct keys_conf kc = {
-	    HOLD, HOLD, ORDER_WAIT, SETTLE, v->cold_start, v->cold_rate > 0};
+	struct keys_conf kc = {HOLD_TIME, HOLD_TIME, GRANT_TIMEOUT, SETTLE_TIME,
+	    v->cold_start, v->cold_rate > 0};
 	struct keys *ks;
 
-	if (k->nkeys == KEEPER_SERVICES ||
+	if (k->nkeys == KEEPER_SERVICES_MAX ||
 	    (ks = calloc(1, sizeof(*ks))) == NULL)
 		return;
 	if (kc.hold > MS(b->hold_max_ms))
 		kc.hold = MS(b->hold_max_ms);
-	kc.renew = kc.hold / RENEW_PART;
+	kc.renew = kc.hold / RENEW_DIVISOR;
 	keys_init(ks, v->name, &kc, &keys_callbacks, k);
 	k->keys[k->nkeys++] = ks;
 	if (k->fleet != NULL)
@@ -121,7 +126,10 @@
 		keys_begin(ks, k->term.rec.term, now);
 }
 
-/* Rules for all keyed services; only a controller needs them. */
+/*
+ * Creates or updates the key rules of all keyed services; only a controller
+ * needs them.
+ */
 void
 keeper_add_services(struct keeper *k, usec now)
 {
@@ -142,7 +150,7 @@
 	}
 }
 
-/* Forgets the rules for all services. */
+/* Frees the key rules of all services. */
 void
 keeper_drop_keys(struct keeper *k)
 {
@@ -155,7 +163,7 @@
 	k->nkeys = 0;
 }
 
-/* What came of a write to the store. */
+/* Returns the outcome of a write to the store. */
 enum put_result
 keeper_put_result(const struct store *st)
 {
@@ -164,9 +172,9 @@
 	return (st->result == STORE_CONFLICT ? PUT_CONFLICT : PUT_UNKNOWN);
 }
 
-/* Takes the outcome of a call about the owners of a service's keys. */
+/* Handles the result of a store call for the owners of a service's keys. */
 void
-keeper_keys_stored(struct keeper *k, const struct store *st, usec now)
+keeper_keys_done(struct keeper *k, const struct store *st, usec now)
 {
 	struct keys *ks = keeper_keys(k, st->tag + 5);
 
--- a/gspard/keeper_order.c
+++ b/gspard/keeper_order.c
@@ -1,4 +1,4 @@
-/* Grants and releases: one HTTP call to a target each. */
+/* Orders (grants and releases), each an HTTP call to a target. */
 #include <stdio.h>
 #include <stdlib.h>
 #include <string.h>
@@ -9,14 +9,18 @@
 #include "keeper.h"
 #include "transfer.h"
 
-/* A release is answered when the work that runs on its keys has ended. */
-#define RELEASE_WAIT_MS 2500
-#define CONNECT_MS 300
-/* A grant on a kept connection is read at once and answered in milliseconds;
- * one without an answer for so long has lost its connection.  On a new one it
- * may wait for a slot of a busy target: cut, it would wait from the end again.
+/*
+ * A release is answered once the requests in progress on its keys are complete.
+ */
+#define RELEASE_TIMEOUT_MS 2500
+#define CONNECT_TIMEOUT_MS 300
+/*
+ * Time limit of a grant on a reused connection: it is normally read at once and
+ * answered within milliseconds, so without a reply its connection is broken.
+ * On a new connection it may wait for a slot of a busy target; aborting it
+ * would put it at the end of the queue again.
  */
-#define KEPT_WAIT MS(500)
+#define REUSED_CONN_TIMEOUT MS(500)
 
 struct order_call {
 	struct order_call *next;
@@ -29,8 +33,9 @@
 };
 
 /*
- * Options of an order's connection.  Closed, it drops what the network still
- * holds up: a grant delivered when a cut heals would count from then on.
+ * Sets the socket options of an order's connection.  SO_LINGER 0 discards
+ * unsent data on close: a grant delivered late, when a network partition ends,
+ * would take effect from that time on.
  */
 static int
 order_sockopt(void *arg, curl_socket_t fd, curlsocktype purpose)
@@ -41,9 +46,9 @@
 	return (transfer_alive(arg, fd, purpose));
 }
 
-/* Frees a call; an open one is cut. */
+/* Frees a call; aborts one in progress. */
 static void
-call_free(struct keeper *k, struct order_call *c)
+order_call_free(struct keeper *k, struct order_call *c)
 {
 	*c->link = c->next;
 	if (c->next != NULL)
@@ -54,9 +59,9 @@
 	free(c);
 }
 
-/* Sets what the transfer sends, and how. */
+/* Sets the URL, headers, body and options of the transfer. */
 static void
-set_call(struct order_call *c, long wait_ms)
+order_call_set(struct order_call *c, long wait_ms)
 {
 	char url[FLEET_ADDR + 32], line[NAME_MAX_GS + 32];
 	const char *path = c->t.ops->order(&c->order, c->body, sizeof(c->body));
@@ -68,7 +73,7 @@
 	c->t.heads = curl_slist_append(c->t.heads, "Accept:");
 	c->t.ops->expect(c->order.target, line, sizeof(line));
 	c->t.heads = curl_slist_append(c->t.heads, line);
-	transfer_set(&c->t, url, CONNECT_MS);
+	transfer_set(&c->t, url, CONNECT_TIMEOUT_MS);
 	curl_easy_setopt(c->t.easy, CURLOPT_PRIVATE, c);
 	curl_easy_setopt(c->t.easy, CURLOPT_TIMEOUT_MS, wait_ms);
 	curl_easy_setopt(c->t.easy, CURLOPT_POSTFIELDS, c->body);
@@ -76,13 +81,13 @@
 	curl_easy_setopt(c->t.easy, CURLOPT_SOCKOPTFUNCTION, order_sockopt);
 }
 
-/* Sends an order. */
+/* Starts the call of an order. */
 void
 order_send(struct keeper *k, const char *service, const struct key_order *o)
 {
 	struct keys *keys = keeper_keys(k, service);
 	struct order_call *c;
-	long wait = o->release ? RELEASE_WAIT_MS
+	long wait = o->release ? RELEASE_TIMEOUT_MS
 			       : (long)(keys->conf.order_timeout / 1000);
 
 	c = calloc(1, sizeof(*c));
@@ -100,21 +105,21 @@
 	if (c->next != NULL)
 		c->next->link = &c->next;
 	k->calls = c;
-	set_call(c, wait);
+	order_call_set(c, wait);
 	count_add(C_GRANTS, 1);
 	curl_multi_add_handle(k->multi, c->t.easy);
 }
 
-/* Takes the outcome of one order. */
+/* Reports the outcome of an order to the key rules and frees its call. */
 static void
-ended(struct keeper *k, struct order_call *c, CURLcode res, usec now)
+order_done(struct keeper *k, struct order_call *c, CURLcode res, usec now)
 {
 	struct keys *keys = keeper_keys(k, c->service);
 	long status = 0;
 
 	curl_easy_getinfo(c->t.easy, CURLINFO_RESPONSE_CODE, &status);
 	if (res == CURLE_COULDNT_CONNECT)
-		quarantine_refused(k, c->order.target, now);
+		quarantine_conn_refused(k, c->order.target, now);
 	if (!c->t.begun)
 		status = ORDER_NOT_SENT;
 	else if (res != CURLE_OK || status == 421 || status >= 500)
@@ -134,24 +139,24 @@
 	if (keys != NULL)
 		keys_order_done(
 		    keys, now, c->order.id, (int)status, c->t.reply.handover);
-	call_free(k, c);
+	order_call_free(k, c);
 }
 
-/* Gives up grants that a kept connection has not answered. */
+/* Aborts grants without a reply on a reused connection. */
 static void
-give_up_silent(struct keeper *k, usec now)
+expire_silent_grants(struct keeper *k, usec now)
 {
 	struct order_call *c, *next;
 
 	for (c = k->calls; c != NULL; c = next) {
 		next = c->next;
 		if (!c->order.release && c->t.begun && !c->t.opened &&
-		    now - c->sent > KEPT_WAIT)
-			ended(k, c, CURLE_OPERATION_TIMEDOUT, now);
+		    now - c->sent > REUSED_CONN_TIMEOUT)
+			order_done(k, c, CURLE_OPERATION_TIMEDOUT, now);
 	}
 }
 
-/* Takes all orders that ended. */
+/* Handles all completed orders and expired grants. */
 void
 orders_reap(struct keeper *k, usec now)
 {
@@ -165,15 +170,15 @@
 			continue;
 		res = m->data.result;
 		curl_easy_getinfo(m->easy_handle, CURLINFO_PRIVATE, &c);
-		ended(k, c, res, now);
+		order_done(k, c, res, now);
 	}
-	give_up_silent(k, now);
+	expire_silent_grants(k, now);
 }
 
-/* Cuts all orders under way. */
+/* Aborts all orders in progress. */
 void
-orders_drop(struct keeper *k)
+orders_cancel(struct keeper *k)
 {
 	while (k->calls != NULL)
-		call_free(k, k->calls);
+		order_call_free(k, k->calls);
 }
--- a/gspard/keeper_quarantine.c
+++ b/gspard/keeper_quarantine.c
@@ -1,7 +1,7 @@
 /*
- * Requests that crash targets, as hosts tell their controller and it tells
- * them.  Each host keeps what it has seen and what it was told; the store has
- * the list for when all of them are lost.
+ * Exchange of crash reports and of the quarantine list between the hosts and
+ * their controller.  Each host keeps what it has seen and received; the store
+ * holds the list for the case that all hosts are lost.
  */
 #include <inttypes.h>
 #include <stdio.h>
@@ -16,12 +16,15 @@
 #include "quarantine_text.h"
 
 #define QUARANTINE_PATH KIND_QUARANTINE "/main"
-/* What was seen is reported for so long: a report may get lost. */
-#define REPORT_FOR MS(500)
-/* Between reads of a host that hears no controller, and after a failure. */
-#define READ_EVERY MS(2000)
+/* Crashes are repeated in reports for this long, as a report may get lost. */
+#define REPORT_DURATION MS(500)
+/*
+ * Interval of reads by a host that hears no controller, and delay after a
+ * failed call.
+ */
+#define READ_INTERVAL MS(2000)
 
-/* Hands the list to the router. */
+/* Sends the list to the router. */
 static void
 publish(struct keeper *k)
 {
@@ -36,7 +39,7 @@
 	msg_post(k->s->kernel, "router", MSG_QUARANTINE, sh, shared_unref);
 }
 
-/* Fills in the list for a frame; the number of items. */
+/* Encodes the list; returns the number of items. */
 static size_t
 fill_list(const struct quarantine_list *l, Gspar__Quarantined *items,
     Gspar__Quarantined **list, usec now)
@@ -54,9 +57,9 @@
 	return ((size_t)l->n);
 }
 
-/* Tells a host the list, or all hosts where that is NULL. */
+/* Sends the list to the named host, or to all hosts if that is NULL. */
 static void
-tell(struct keeper *k, const char *host, usec now)
+send_list(struct keeper *k, const char *host, usec now)
 {
 	Gspar__Frame f = GSPAR__FRAME__INIT;
 	Gspar__QuarantineTold w = GSPAR__QUARANTINE_TOLD__INIT;
@@ -72,18 +75,18 @@
 	f.quarantine_told = &w;
 	for (i = 0; i < k->nhosts; i++) {
 		h = &k->hosts[i];
-		if (host != NULL ? strcmp(h->who.host, host) != 0
-				 : !keeper_tells(h, now))
+		if (host != NULL ? strcmp(h->process.host, host) != 0
+				 : !keeper_host_up(h, now))
 			continue;
-		h->quarantine_at = now;
-		if (strcmp(h->who.host, keeper_self(k)) != 0)
-			send_frame(k->s->kernel, h->who.host, 0, &f);
+		h->quarantine_sent_at = now;
+		if (strcmp(h->process.host, keeper_self(k)) != 0)
+			send_frame(k->s->kernel, h->process.host, 0, &f);
 	}
 }
 
-/* What a list says of a content. */
+/* Returns the state of a content in a list, as text for the log. */
 static const char *
-standing(const struct quarantine_list *l, uint64_t digest, usec now)
+quarantine_state(const struct quarantine_list *l, uint64_t digest, usec now)
 {
 	const struct quarantine_item *item = quarantine_find(l, digest, now);
 
@@ -92,29 +95,37 @@
 	return (item->probation ? "on probation" : "quarantined");
 }
 
-/* Logs what a new list says of contents that an earlier one has too, or not. */
+/*
+ * Logs contents whose state differs between two lists; l is one of them, whose
+ * contents are compared.
+ */
 static void
-log_change(const struct quarantine_list *l, const struct quarantine_list *was,
-    const struct quarantine_list *is, usec now)
+log_changes(const struct quarantine_list *l, const struct quarantine_list *old,
+    const struct quarantine_list *new, usec now)
 {
 	const char *a, *b;
 	int i;
 
 	for (i = 0; i < l->n; i++) {
-		a = standing(was, l->items[i].digest, now);
-		b = standing(is, l->items[i].digest, now);
-		/* What both have is logged once, with the new list. */
-		if (strcmp(a, b) == 0 || (l == was && strcmp(b, "free") != 0))
+		a = quarantine_state(old, l->items[i].digest, now);
+		b = quarantine_state(new, l->items[i].digest, now);
+		/*
+		 * A content that both lists have is logged once, when l is the
+		 * new list.
+		 */
+		if (strcmp(a, b) == 0 || (l == old && strcmp(b, "free") != 0))
 			continue;
 		log_line(LOG_WARNING, "control",
-		    "Content %016" PRIx64 " is %s, it was %s: targets have "
-		    "crashed under it.",
+		    "Content %016" PRIx64 " is now %s, was %s: targets crashed "
+		    "while they ran it.",
 		    l->items[i].digest, b, a);
 	}
 }
 
-/* Makes the list anew, of what was heard since and has not run out; where it
- * has changed, hands it on. */
+/*
+ * Rebuilds the list from the entries that have not expired; if it changed,
+ * publishes it and, as controller, sends it to all hosts.
+ */
 static void
 refresh(struct keeper *k, usec now)
 {
@@ -125,16 +136,16 @@
 	quarantine_list(&k->quarantine, &k->quarantined, now);
 	if (quarantine_checksum(&k->quarantined) == quarantine_checksum(&was))
 		return;
-	log_change(&k->quarantined, &was, &k->quarantined, now);
-	log_change(&was, &was, &k->quarantined, now);
+	log_changes(&k->quarantined, &was, &k->quarantined, now);
+	log_changes(&was, &was, &k->quarantined, now);
 	publish(k);
 	if (k->acting)
-		tell(k, NULL, now);
+		send_list(k, NULL, now);
 }
 
-/* Takes in what this host's router saw. */
+/* Adds what this host's router has seen. */
 void
-quarantine_take_seen(struct keeper *k, const struct crash_report *n, usec now)
+quarantine_add_seen(struct keeper *k, const struct crash_report *n, usec now)
 {
 	int i;
 
@@ -150,43 +161,46 @@
 	}
 }
 
-/* An order's connection was refused: its target has ended. */
+/* Records that a target has ended, as it refused the connection of an order. */
 void
-quarantine_refused(struct keeper *k, const char *target, usec now)
+quarantine_conn_refused(struct keeper *k, const char *target, usec now)
 {
 	quarantine_add_end(&k->quarantine, incarnation_digest(target), now);
 }
 
-/* Adds sends that broke to a report. */
+/* Adds requests whose connection broke to a report. */
 static void
-add_broken(Gspar__HostReport *w, struct quarantine_room *room,
+add_broken(Gspar__HostReport *w, struct quarantine_report_buf *buf,
     const struct quarantine_break *from)
 {
-	Gspar__BrokenSend *b = &room->broken[w->n_broken];
+	Gspar__BrokenSend *b = &buf->broken[w->n_broken];
 
-	if (w->n_broken == QUARANTINE_REPORTED)
+	if (w->n_broken == QUARANTINE_REPORT_MAX)
 		return;
 	gspar__broken_send__init(b);
 	b->content = from->digest;
 	b->target = from->target;
 	b->sends = (uint32_t)from->sends;
 	b->on_probation = from->on_probation;
-	room->broken_list[w->n_broken++] = b;
+	buf->broken_list[w->n_broken++] = b;
 }
 
-/* Adds a target that has ended to a report. */
+/* Adds the end of a target to a report. */
 static void
-add_ended(Gspar__HostReport *w, struct quarantine_room *room, uint64_t target)
+add_end(
+    Gspar__HostReport *w, struct quarantine_report_buf *buf, uint64_t target)
 {
-	if (w->n_ended < QUARANTINE_REPORTED)
-		room->ended[w->n_ended++] = target;
+	if (w->n_ended < QUARANTINE_REPORT_MAX)
+		buf->ended[w->n_ended++] = target;
 }
 
-/* Adds the crashes that this host knows of: a new controller may not have heard
- * of them. */
+/*
+ * Adds all crashes that this host knows of: a new controller may not have
+ * received them.
+ */
 static void
-add_crashes(
-    const struct keeper *k, Gspar__HostReport *w, struct quarantine_room *room)
+add_crashes(const struct keeper *k, Gspar__HostReport *w,
+    struct quarantine_report_buf *buf)
 {
 	struct quarantine_break b = {.sends = 1};
 	const struct quarantine_entry *e;
@@ -197,53 +211,53 @@
 		for (n = 0; n < e->crashes && n < QUARANTINE_TARGETS_MAX; n++) {
 			b.digest = e->digest;
 			b.target = e->targets[n];
-			add_broken(w, room, &b);
-			add_ended(w, room, e->targets[n]);
+			add_broken(w, buf, &b);
+			add_end(w, buf, e->targets[n]);
 		}
 	}
 }
 
-/* Fills in what a report tells. */
+/* Fills in the crash data and the quarantine list of a report. */
 void
-quarantine_fill(struct keeper *k, Gspar__HostReport *w, usec now)
+quarantine_fill_report(struct keeper *k, Gspar__HostReport *w, usec now)
 {
 	const struct quarantine *q = &k->quarantine;
-	struct quarantine_room *room = &k->report_room;
+	struct quarantine_report_buf *buf = &k->report_buf;
 	unsigned i;
 
 	if (k->report_term != k->controller_term) {
 		k->report_term = k->controller_term;
 		k->report_since = now;
 	}
-	if (now - k->report_since < REPORT_FOR)
-		add_crashes(k, w, room);
+	if (now - k->report_since < REPORT_DURATION)
+		add_crashes(k, w, buf);
 	for (i = 0; i < q->nbreaks && i < QUARANTINE_BREAKS_MAX; i++) {
 		if (q->breaks[i].source == 0 &&
-		    now - q->breaks[i].at < REPORT_FOR)
-			add_broken(w, room, &q->breaks[i]);
+		    now - q->breaks[i].at < REPORT_DURATION)
+			add_broken(w, buf, &q->breaks[i]);
 	}
 	for (i = 0; i < q->nends && i < QUARANTINE_ENDS_MAX; i++) {
-		if (now - q->ends[i].at < REPORT_FOR)
-			add_ended(w, room, q->ends[i].target);
+		if (now - q->ends[i].at < REPORT_DURATION)
+			add_end(w, buf, q->ends[i].target);
 	}
-	w->broken = room->broken_list;
-	w->ended = room->ended;
-	memcpy(room->answered, k->answered, sizeof(room->answered));
-	w->answered = room->answered;
+	w->broken = buf->broken_list;
+	w->ended = buf->ended;
+	memcpy(buf->answered, k->answered, sizeof(buf->answered));
+	w->answered = buf->answered;
 	w->n_answered = (size_t)k->nanswered;
 	k->nanswered = 0;
 	w->quarantine = quarantine_checksum(&k->quarantined);
-	if (w->quarantine == k->told_quarantine)
+	if (w->quarantine == k->controller_quarantine)
 		return;
 	w->n_quarantined =
-	    fill_list(&k->quarantined, room->items, room->list, now);
-	w->quarantined = room->list;
+	    fill_list(&k->quarantined, buf->items, buf->list, now);
+	w->quarantined = buf->list;
 }
 
-/* Reads a list that another host told. */
+/* Decodes a list from another host. */
 static void
-read_list(struct quarantine_list *l, Gspar__Quarantined *const *list, size_t n,
-    usec now)
+decode_list(struct quarantine_list *l, Gspar__Quarantined *const *list,
+    size_t n, usec now)
 {
 	size_t i;
 
@@ -255,32 +269,32 @@
 	}
 }
 
-/* True where a host is this one. */
+/* True if a host is this one. */
 static int
 is_self(const struct keeper *k, const struct keeper_host *h)
 {
-	return (strcmp(h->who.host, keeper_self(k)) == 0);
+	return (strcmp(h->process.host, keeper_self(k)) == 0);
 }
 
-/* Takes in what a host's report tells, as controller. */
+/* Handles the crash data of a host's report, as controller. */
 void
-quarantine_report(struct keeper *k, struct keeper_host *h,
+quarantine_receive_report(struct keeper *k, struct keeper_host *h,
     const Gspar__HostReport *w, usec now)
 {
-	uint64_t source =
-	    XXH3_64bits_withSeed(h->who.host, strlen(h->who.host), h->who.boot);
+	uint64_t source = XXH3_64bits_withSeed(
+	    h->process.host, strlen(h->process.host), h->process.boot);
 	const Gspar__BrokenSend *from;
 	struct quarantine_break b;
 	struct quarantine_list l;
 	size_t i;
 	int n;
 
-	read_list(&l, w->quarantined, w->n_quarantined, now);
+	decode_list(&l, w->quarantined, w->n_quarantined, now);
 	for (n = 0; n < l.n; n++)
 		quarantine_add_item(&k->quarantine, &l.items[n], now);
 	for (i = 0; i < w->n_answered; i++)
 		quarantine_clear(&k->quarantine, w->answered[i], now);
-	/* What this host saw itself is counted already. */
+	/* This host's own observations are already counted. */
 	for (i = 0; i < w->n_broken && !is_self(k, h); i++) {
 		from = w->broken[i];
 		b.digest = from->content;
@@ -294,30 +308,30 @@
 		quarantine_add_end(&k->quarantine, w->ended[i], now);
 	if (k->acting &&
 	    w->quarantine != quarantine_checksum(&k->quarantined) &&
-	    now - h->quarantine_at > TELL_AGAIN)
-		tell(k, h->who.host, now);
+	    now - h->quarantine_sent_at > PUSH_RETRY_DELAY)
+		send_list(k, h->process.host, now);
 }
 
-/* Takes in what the controller tells. */
+/* Handles the controller's list. */
 void
-quarantine_take(struct keeper *k, const Gspar__QuarantineTold *w, usec now)
+quarantine_receive(struct keeper *k, const Gspar__QuarantineTold *w, usec now)
 {
 	struct quarantine_list l;
 
 	if (k->acting || w->term < k->controller_term)
 		return;
-	read_list(&l, w->list, w->n_list, now);
+	decode_list(&l, w->list, w->n_list, now);
 	quarantine_adopt(&k->quarantine, &l, now);
 }
 
-/* Asks the store for the list, or writes it. */
+/* Reads the list from the store or writes it. */
 static void
-ask_store(struct keeper *k, enum store_op op, usec now)
+call_store(struct keeper *k, enum store_op op, usec now)
 {
 	struct store *st = store_new(op, "control", QUARANTINE_PATH);
 	struct quarantine_list l;
 
-	k->quarantine_next = now + READ_EVERY;
+	k->quarantine_next = now + READ_INTERVAL;
 	if (st == NULL)
 		return;
 	name_copy(st->tag, sizeof(st->tag), QUARANTINE_TAG);
@@ -328,13 +342,13 @@
 		st->gen = quarantine_checksum(&l);
 		quarantine_write(&l, &st->body, now);
 	}
-	k->quarantine_open = 1;
+	k->quarantine_pending = 1;
 	store_send(k->s->kernel, st);
 }
 
-/* True where the store has another list of what is quarantined. */
+/* True if the stored list differs from the one in force. */
 static int
-is_unwritten(const struct keeper *k)
+needs_write(const struct keeper *k)
 {
 	struct quarantine_list l;
 
@@ -343,8 +357,9 @@
 }
 
 /*
- * Does what is due.  The controller reads the list once and writes it when it
- * has changed; a host that hears no controller reads it now and then.
+ * Runs periodic work.  The controller reads the stored list once and writes it
+ * after each change; a host that hears no controller reads it every
+ * READ_INTERVAL.
  */
 void
 quarantine_tick(struct keeper *k, usec now)
@@ -352,26 +367,26 @@
 	refresh(k, now);
 	if (!k->acting)
 		k->quarantine_known = 0;
-	if (k->quarantine_open || now < k->quarantine_next)
+	if (k->quarantine_pending || now < k->quarantine_next)
 		return;
-	if (!k->acting && k->told_follow)
-		ask_store(k, STORE_GET, now);
+	if (!k->acting && k->following)
+		call_store(k, STORE_GET, now);
 	else if (k->acting && !k->quarantine_known)
-		ask_store(k, STORE_GET, now);
-	else if (k->acting && is_unwritten(k))
-		ask_store(k, STORE_PUT, now);
+		call_store(k, STORE_GET, now);
+	else if (k->acting && needs_write(k))
+		call_store(k, STORE_PUT, now);
 }
 
-/* Takes the outcome of a call about the list. */
+/* Handles the result of a store call for the list. */
 void
-quarantine_stored(struct keeper *k, const struct store *st, usec now)
+quarantine_store_done(struct keeper *k, const struct store *st, usec now)
 {
 	struct quarantine_list l;
 	int i;
 
-	k->quarantine_open = 0;
+	k->quarantine_pending = 0;
 	if (st->op == STORE_PUT) {
-		/* What became of a write that failed is read back. */
+		/* The outcome of a failed write is unknown: read the list. */
 		k->quarantine_known = st->result == STORE_DONE;
 		k->quarantine_version = st->version;
 		k->quarantine_stored = st->gen;
@@ -383,8 +398,8 @@
 	if (st->result == STORE_DONE &&
 	    quarantine_read(&st->body, &l, now) != 0)
 		log_line(LOG_ERR, "control",
-		    "The list of quarantined requests makes no sense, version "
-		    "%llu: empty.",
+		    "Quarantine list version %llu in the store is not valid, "
+		    "taken as empty.",
 		    (unsigned long long)st->version);
 	k->quarantine_known = k->acting;
 	k->quarantine_version = st->result == STORE_DONE ? st->version : 0;
--- a/gspard/keeper_report.c
+++ b/gspard/keeper_report.c
@@ -1,31 +1,35 @@
-/* What hosts tell their controller: requests for keys, targets, and what they
- * have. */
+/*
+ * Reports of the hosts to their controller: load of keys, latency of targets,
+ * and the versions that the host has.
+ */
 #include <math.h>
 #include <stdlib.h>
 #include <string.h>
 
 #include "keeper.h"
 
-/* An answer of the store so long ago says that it answers: a standby that is
- * wanted looks each second. */
-#define STORE_LATELY MS(1600)
-/* A limit beyond this, in requests a second, limits nothing. */
-#define LIMIT_TOLD_MAX 1e6
+/*
+ * The store counts as reachable for this long after it answered: a standby
+ * probes it every second if that is needed.
+ */
+#define STORE_ANSWER_MAX_AGE MS(1600)
+/* A rate limit beyond this, in requests per second, has no effect. */
+#define LIMIT_MAX 1e6
 
-/* A limit on the wire. */
+/* Encodes a rate limit: 0 if there is none, else 1 + thousandths. */
 static uint32_t
-limit_told(double limit)
+limit_to_wire(double limit)
 {
 	if (limit < 0)
 		return (0);
-	return (1 + (uint32_t)(fmin(limit, LIMIT_TOLD_MAX) * 1000));
+	return (1 + (uint32_t)(fmin(limit, LIMIT_MAX) * 1000));
 }
 
-/* Fills in what the router learnt. */
+/* Encodes what the router has measured. */
 static void
 fill_report(Gspar__HostReport *w, const struct heat_report *h,
     Gspar__KeyHeat *keys, Gspar__KeyHeat **klist, Gspar__TargetLearnt *targets,
-    Gspar__TargetLearnt **tlist, uint32_t *room)
+    Gspar__TargetLearnt **tlist, uint32_t *buf)
 {
 	const struct heat *heat;
 	int i, n;
@@ -35,12 +39,12 @@
 		gspar__key_heat__init(&keys[i]);
 		klist[i] = &keys[i];
 		keys[i].service = h->keys[i].service;
-		keys[i].keys = room;
+		keys[i].keys = buf;
 		keys[i].n_keys = (size_t)heat->n;
 		keys[i].each = (uint32_t)((uint64_t)heat->requests * 1000 /
 		    (uint64_t)(heat->n > 0 ? heat->n : 1));
 		for (n = 0; n < heat->n; n++)
-			*room++ = heat->keys[n];
+			*buf++ = heat->keys[n];
 	}
 	for (i = 0; i < h->ntargets; i++) {
 		gspar__target_learnt__init(&targets[i]);
@@ -48,7 +52,7 @@
 		targets[i].target = h->targets[i].id;
 		targets[i].speed = (uint32_t)(h->targets[i].speed * 1000);
 		targets[i].answers = (uint32_t)h->targets[i].answers;
-		targets[i].limit = limit_told(h->targets[i].limit);
+		targets[i].limit = limit_to_wire(h->targets[i].limit);
 	}
 	w->heat = klist;
 	w->n_heat = (size_t)h->nkeys;
@@ -65,39 +69,40 @@
 	Gspar__Frame f = GSPAR__FRAME__INIT;
 	const struct fleet *fleet = keeper_fleet(k);
 	Gspar__HostReport w = GSPAR__HOST_REPORT__INIT;
-	Gspar__KeyHeat keys[KEEPER_SERVICES], *klist[KEEPER_SERVICES];
+	Gspar__KeyHeat keys[KEEPER_SERVICES_MAX], *klist[KEEPER_SERVICES_MAX];
 	Gspar__TargetLearnt *targets, **tlist;
-	uint32_t *room;
+	uint32_t *buf;
 
 	targets = calloc((size_t)h->ntargets + 1, sizeof(*targets));
 	tlist = calloc((size_t)h->ntargets + 1, sizeof(*tlist));
-	room = calloc((size_t)h->nkeys * HEAT_SAMPLE_MAX + 1, sizeof(*room));
+	buf = calloc((size_t)h->nkeys * HEAT_SAMPLE_MAX + 1, sizeof(*buf));
 	w.boot = kernel_boot(k->s->kernel);
 	w.addr = (char *)conf->reached;
 	w.dc = (char *)conf->dc;
 	w.stopping = k->stopping;
-	w.bears = (uint32_t)keeper_bears(k);
-	w.store = k->store_seen != 0 && now - k->store_seen < STORE_LATELY;
+	w.bears = (uint32_t)keeper_capacity(k);
+	w.store = k->store_answered_at != 0 &&
+	    now - k->store_answered_at < STORE_ANSWER_MAX_AGE;
 	w.owners = k->number;
 	if (!k->acting && k->term.role != TERM_HOLDER)
 		w.term = k->controller_term;
 	w.site = t == NULL ? 0 : t->version;
-	w.site_asked = k->site_ask;
-	k->site_ask = 0;
+	w.site_asked = k->site_request;
+	k->site_request = 0;
 	w.fleet = fleet == NULL ? 0 : fleet->digest;
-	if (targets != NULL && tlist != NULL && room != NULL) {
-		fill_report(&w, h, keys, klist, targets, tlist, room);
-		quarantine_fill(k, &w, now);
+	if (targets != NULL && tlist != NULL && buf != NULL) {
+		fill_report(&w, h, keys, klist, targets, tlist, buf);
+		quarantine_fill_report(k, &w, now);
 		f.body_case = GSPAR__FRAME__BODY_HOST_REPORT;
 		f.host_report = &w;
 		send_frame(k->s->kernel, k->controller, 0, &f);
 	}
 	free(targets);
 	free(tlist);
-	free(room);
+	free(buf);
 }
 
-/* Sends what the router reported last. */
+/* Forwards the router's last report to the controller. */
 void
 report_tick(struct keeper *k, usec now)
 {
@@ -109,18 +114,18 @@
 	k->heat = NULL;
 }
 
-/* Takes in what a host learnt of a target. */
+/* Adds a host's measurements of a target. */
 static void
-target_learnt(struct keys *k, const Gspar__TargetLearnt *t, usec now)
+receive_target_report(struct keys *k, const Gspar__TargetLearnt *t, usec now)
 {
 	keys_add_latency(k, t->target, t->speed / 1000.0, (int)t->answers, now);
 	if (t->limit > 0)
 		keys_set_rate_limit(k, t->target, (t->limit - 1) / 1000.0, now);
 }
 
-/* Takes a host's report, as controller. */
+/* Handles a host's report, as controller. */
 void
-report_take(
+report_receive(
     struct keeper *k, const char *host, const Gspar__HostReport *w, usec now)
 {
 	uint16_t keys[HEAT_SAMPLE_MAX];
@@ -138,14 +143,14 @@
 	if (w->term != 0)
 		term_holder_follows(&k->term, now, &m, w->term);
 	if ((h = keeper_host(k, host)) != NULL) {
-		h->owners = w->owners;
-		h->bears = (int)w->bears;
-		h->store = w->store;
-		site_report(k, h, w, now);
-		quarantine_report(k, h, w, now);
+		h->owners_reported = w->owners;
+		h->max_hosts = (int)w->bears;
+		h->store_reachable = w->store;
+		site_receive_report(k, h, w, now);
+		quarantine_receive_report(k, h, w, now);
 	}
 	if (k->acting)
-		fleet_compare(k, host, w->fleet, now);
+		fleet_check_host(k, host, w->fleet, now);
 	for (i = 0; i < w->n_heat; i++) {
 		ks = keeper_keys(k, w->heat[i]->service);
 		for (n = 0; n < w->heat[i]->n_keys && n < HEAT_SAMPLE_MAX; n++)
@@ -156,6 +161,6 @@
 	}
 	for (i = 0; i < w->n_targets; i++) {
 		for (j = 0; j < k->nkeys; j++)
-			target_learnt(k->keys[j], w->targets[i], now);
+			receive_target_report(k->keys[j], w->targets[i], now);
 	}
 }
--- a/gspard/keeper_site.c
+++ b/gspard/keeper_site.c
@@ -1,6 +1,7 @@
 /*
- * How configurations get to hosts: the controller tells what changed, once;
- * whoever is behind then reads the store, or asks who has it.
+ * Distribution of the site configuration: the controller pushes each change
+ * once; a host that is behind then reads the store or requests it from a host
+ * that has it.
  */
 #include <stdlib.h>
 #include <string.h>
@@ -9,17 +10,19 @@
 #include "site_change.h"
 #include "site_frame.h"
 
-/* What can be told of a configuration: all of it, or a change. */
+/*
+ * What is sent of a configuration: all of it, or the difference to a version.
+ */
 struct update {
-	const struct site *site; /* NULL is nothing */
+	const struct site *site; /* NULL if there is nothing to send */
 	struct site_frame frame;
 	size_t size;
-	int fits; /* may be told to all hosts at once */
+	int fits; /* small enough to be sent to all hosts at once */
 };
 
-/* Prepares what is to be told; nothing where there is none, or no memory. */
+/* Encodes a configuration; site is NULL if t is, or if memory runs out. */
 static void
-update_make(const struct keeper *k, struct update *n, const struct site *t)
+update_init(const struct keeper *k, struct update *n, const struct site *t)
 {
 	double link = kernel_conf(k->s->kernel)->link_mbps;
 
@@ -31,49 +34,56 @@
 	n->fits = pace_fits(n->size, k->nhosts, link);
 }
 
-/* Tells a host. */
+/* Sends an update to a host. */
 static void
-tell(struct keeper *k, const char *host, struct update *n)
+send_update(struct keeper *k, const char *host, struct update *n)
 {
 	Gspar__Frame f = GSPAR__FRAME__INIT;
 
 	if (n->site == NULL)
 		return;
 	f.body_case = GSPAR__FRAME__BODY_SITE_TOLD;
-	f.site_told = &n->frame.told;
+	f.site_told = &n->frame.msg;
 	count_add(C_SITE_TOLD, 1);
 	count_add(C_SITE_TOLD_BYTES, n->size);
 	log_line(LOG_INFO, "control",
-	    "Host %s is told configuration %llu, since %llu, %zu bytes.", host,
-	    (unsigned long long)n->site->version,
+	    "Sending host %s configuration %llu, difference to %llu, "
+	    "%zu bytes.",
+	    host, (unsigned long long)n->site->version,
 	    (unsigned long long)n->site->since, n->size);
 	send_frame(k->s->kernel, host, 0, &f);
 }
 
-/* Tells one host all of the configuration in force here; how many bytes. */
+/*
+ * Sends the whole configuration in force to a host; returns its size in bytes.
+ */
 static size_t
-tell_whole(struct keeper *k, const char *host)
+send_whole(struct keeper *k, const char *host)
 {
 	struct update whole;
 
-	update_make(k, &whole, keeper_site(k));
-	tell(k, host, &whole);
+	update_init(k, &whole, keeper_site(k));
+	send_update(k, host, &whole);
 	site_frame_free(&whole.frame);
 	return (whole.size);
 }
 
-/* True where a host has what the change is of, or will when it comes. */
+/*
+ * True if a host has the base version of a difference, or will when it arrives.
+ */
 static int
-has_base(const struct keeper_host *h, const struct site *change)
+has_base(const struct keeper_host *h, const struct site *diff)
 {
-	return (h->site == change->since || h->site_told == change->since);
+	return (h->site_version == diff->since || h->site_sent == diff->since);
 }
 
-/* Tells all hosts that lack a version the smallest that does for them, where
- * that fits. */
+/*
+ * Sends each host that lacks the version the smallest update that it can use
+ * and that fits.
+ */
 static void
-tell_all(
-    struct keeper *k, struct update *change, struct update *whole, usec now)
+send_to_all(
+    struct keeper *k, struct update *diff, struct update *whole, usec now)
 {
 	uint64_t version = keeper_site(k)->version;
 	struct keeper_host *h;
@@ -81,95 +91,101 @@
 
 	for (i = 0; i < k->nhosts; i++) {
 		h = &k->hosts[i];
-		if (!keeper_tells(h, now) || h->site >= version ||
-		    strcmp(h->who.host, keeper_self(k)) == 0)
+		if (!keeper_host_up(h, now) || h->site_version >= version ||
+		    strcmp(h->process.host, keeper_self(k)) == 0)
 			continue;
-		if (change->fits && has_base(h, change->site))
-			tell(k, h->who.host, change);
+		if (diff->fits && has_base(h, diff->site))
+			send_update(k, h->process.host, diff);
 		else if (whole->fits)
-			tell(k, h->who.host, whole);
+			send_update(k, h->process.host, whole);
 		else
 			continue;
-		h->site_told = version;
+		h->site_sent = version;
 	}
 }
 
 /*
- * Tells all hosts, as controller, the configuration that is in force here now,
- * once: what changed where they have the one before, else all of it.  What is
- * too much for this host's link or theirs is not told: signs of life say which
- * version there is, and hosts read it from the store.
+ * Pushes the configuration in force to all hosts once, as controller: the
+ * difference to hosts that have the previous version, else all of it.  An
+ * update that is too large for this host's link or theirs is not pushed:
+ * heartbeats announce its version, and hosts read it from the store.
  */
 void
-site_spread(struct keeper *k, const struct site *was, usec now)
+site_broadcast(struct keeper *k, const struct site *was, usec now)
 {
-	struct site *changed =
+	struct site *difference =
 	    was == NULL ? NULL : site_diff(was, keeper_site(k));
-	struct update change, whole;
-
-	update_make(k, &change, changed);
-	update_make(k, &whole, keeper_site(k));
-	tell_all(k, &change, &whole, now);
-	k->site_fits = change.fits || whole.fits;
-	k->next_spread = now; /* Hosts hear of it with the next sign of life. */
-	site_frame_free(&change.frame);
+	struct update diff, whole;
+
+	update_init(k, &diff, difference);
+	update_init(k, &whole, keeper_site(k));
+	send_to_all(k, &diff, &whole, now);
+	k->site_pushed = diff.fits || whole.fits;
+	k->next_heartbeat = now; /* The next heartbeat announces the version. */
+	site_frame_free(&diff.frame);
 	site_frame_free(&whole.frame);
-	site_free(changed);
+	site_free(difference);
 }
 
-/* Control is new here: hosts know, or learn from signs of life, which version
- * there is. */
+/*
+ * Resets what was pushed when this host becomes the controller: hosts know the
+ * current version already or learn it from heartbeats.
+ */
 void
-site_begin(struct keeper *k)
+site_control_began(struct keeper *k)
 {
 	int i;
 
-	k->site_fits = 0;
+	k->site_pushed = 0;
 	for (i = 0; i < k->nhosts; i++)
-		k->hosts[i].site_told = 0;
+		k->hosts[i].site_sent = 0;
 }
 
-/* Takes in what a host's report says of its configuration. */
+/* Handles the configuration's version in a host's report. */
 void
-site_report(struct keeper *k, struct keeper_host *h, const Gspar__HostReport *w,
-    usec now)
+site_receive_report(struct keeper *k, struct keeper_host *h,
+    const Gspar__HostReport *w, usec now)
 {
 	const struct site *t = keeper_site(k);
 	uint64_t own = t == NULL ? 0 : t->version;
 
-	h->site = w->site;
+	h->site_version = w->site;
 	if (w->site > own) {
 		behind_announced(&k->behind, own, w->site, 0, now);
-		name_copy(k->site_from, sizeof(k->site_from), h->who.host);
+		name_copy(
+		    k->site_source, sizeof(k->site_source), h->process.host);
 	}
 	if (w->site < own && w->site_asked)
-		h->site_asked = 1;
+		h->site_requested = 1;
 }
 
-/* Tells hosts that asked, one after the other, as this host's link bears it. */
+/*
+ * Sends the configuration to hosts that requested it, one at a time, as the
+ * capacity of this host's link allows.
+ */
 static void
-serve_asked(struct keeper *k, usec now)
+serve_requests(struct keeper *k, usec now)
 {
 	double link = kernel_conf(k->s->kernel)->link_mbps;
 	const struct site *t = keeper_site(k);
 	struct keeper_host *h;
 	int i;
 
-	for (i = 0; i < k->nhosts && !k->hosts[i].site_asked; i++)
+	for (i = 0; i < k->nhosts && !k->hosts[i].site_requested; i++)
 		;
 	if (i == k->nhosts || t == NULL || !pace_ready(&k->site_pace, now))
 		return;
 	h = &k->hosts[i];
-	h->site_asked = 0;
-	if (h->site >= t->version)
+	h->site_requested = 0;
+	if (h->site_version >= t->version)
 		return;
-	pace_sent(&k->site_pace, tell_whole(k, h->who.host), link, now);
-	h->site_told = t->version;
+	pace_sent(&k->site_pace, send_whole(k, h->process.host), link, now);
+	h->site_sent = t->version;
 }
 
-/* Takes in what the controller's sign of life says of the configuration. */
+/* Handles the configuration's version in the controller's heartbeat. */
 void
-site_heard(struct keeper *k, const Gspar__Owners *w, usec now)
+site_receive_heartbeat(struct keeper *k, const Gspar__Owners *w, usec now)
 {
 	const struct site *t = keeper_site(k);
 	uint64_t own = t == NULL ? 0 : t->version;
@@ -177,31 +193,34 @@
 	behind_announced(&k->behind, own, w->site, w->site_told, now);
 	if (w->site < own && w->controller[0] != '\0' &&
 	    strcmp(w->site_from, keeper_self(k)) == 0)
-		tell_whole(k, w->controller);
+		send_whole(k, w->controller);
 }
 
-/* Gets a newer configuration that was heard of, and gives it to who asked. */
+/*
+ * Obtains a newer configuration that was announced, and sends it to hosts that
+ * requested it.
+ */
 void
 site_tick(struct keeper *k, usec now)
 {
 	const struct site *t = keeper_site(k);
 
-	serve_asked(k, now);
+	serve_requests(k, now);
 	switch (behind_step(&k->behind, t == NULL ? 0 : t->version, now)) {
 	case BEHIND_READ:
 		msg_post(k->s->kernel, "watch", MSG_READ_SITE, NULL, NULL);
 		break;
 	case BEHIND_ASK:
-		k->site_ask = 1;
+		k->site_request = 1;
 		break;
 	case BEHIND_WAIT:
 		break;
 	}
 }
 
-/* Passes a configuration that a host told on to who keeps it. */
+/* Passes a configuration that a host sent to the watch service. */
 void
-site_take(struct keeper *k, const Gspar__SiteTold *told)
+site_receive(struct keeper *k, const Gspar__SiteTold *told)
 {
 	const struct site *t = keeper_site(k);
 	struct site *read;
@@ -210,7 +229,7 @@
 		return;
 	if ((read = site_frame_read(told)) == NULL) {
 		log_line(LOG_ERR, "control",
-		    "Configuration %llu that was told makes no sense.",
+		    "Received configuration %llu is not valid.",
 		    (unsigned long long)told->version);
 		return;
 	}
--- a/gspard/keeper_spread.c
+++ b/gspard/keeper_spread.c
@@ -1,16 +1,21 @@
-/* What the controller tells all hosts: that it is there, and who owns what. */
+/*
+ * Heartbeats of the controller and the owners that it publishes to all hosts.
+ */
 #include <stdlib.h>
 #include <string.h>
 
 #include "keeper.h"
 #include "standby.h"
 
-/* Between signs of life of the controller. */
-#define ALIVE_EVERY MS(300)
+/* Interval of the controller's heartbeats. */
+#define HEARTBEAT_INTERVAL MS(300)
 
-/* The number of what is published: rises also when control changes hands. */
+/*
+ * Returns the number of the current snapshot.  The term is its upper half, so
+ * it also rises when the controller changes.
+ */
 uint64_t
-spread_number(const struct keeper *k)
+owners_number(const struct keeper *k)
 {
 	uint64_t n = 0;
 	int i;
@@ -20,9 +25,9 @@
 	return (k->term.rec.term << 32 | (n & 0xffffffff));
 }
 
-/* All that is published, as one snapshot. */
+/* Returns a snapshot of the owners of all services; NULL if memory runs out. */
 static struct owners *
-collect(const struct keeper *k)
+collect_owners(const struct keeper *k)
 {
 	struct owner_range *r;
 	struct owners *o;
@@ -31,9 +36,12 @@
 	o = calloc(1, sizeof(*o));
 	if (o == NULL)
 		return (NULL);
-	o->number = spread_number(k);
-	/* Those not heard lately count too: they may go on sending, cut off,
-	 * and the parts of shared limits must not add up to more. */
+	o->number = owners_number(k);
+	/*
+	 * Hosts that were not heard recently count too: they may still send
+	 * although they are cut off, and the shares of a rate limit must not
+	 * add up to more than it.
+	 */
 	o->hosts = k->nhosts;
 	for (i = 0; i < k->nkeys; i++)
 		o->ntargets += k->keys[i]->ntargets;
@@ -61,8 +69,10 @@
 	return (o);
 }
 
-/* This host's rank among all by name, from 0: the same list gives each host
- * another. */
+/*
+ * Returns this host's rank by name, from 0.  With the same list of hosts each
+ * host gets a different rank.
+ */
 static int
 rank(const struct keeper *k)
 {
@@ -70,11 +80,11 @@
 	int i, n = 0;
 
 	for (i = 0; i < k->nhosts; i++)
-		n += strcmp(k->hosts[i].who.host, self) < 0;
+		n += strcmp(k->hosts[i].process.host, self) < 0;
 	return (n);
 }
 
-/* Hands a snapshot to the router. */
+/* Sends a snapshot to the router.  Takes ownership of it. */
 void
 owners_publish(struct keeper *k, struct owners *o)
 {
@@ -92,18 +102,18 @@
 	msg_post(k->s->kernel, "router", MSG_OWNERS, sh, shared_unref);
 }
 
-/* The state of a range on the wire. */
+/* Encodes the state of a range. */
 static uint32_t
 range_state(const struct owner_range *r, usec now)
 {
 	if (!r->moving)
 		return (0);
 	if (r->served_at <= now)
-		return (STATE_MOVING);
-	return (STATE_BACK + (uint32_t)((r->served_at - now) / 1000));
+		return (RANGE_MOVING);
+	return (RANGE_MOVING_UNTIL + (uint32_t)((r->served_at - now) / 1000));
 }
 
-/* Fills in one service's owners; -1 without memory. */
+/* Encodes one service's owners; returns -1 if memory runs out. */
 static int
 fill_service(Gspar__KeyOwners *w, const struct owner_service *s, usec now)
 {
@@ -129,30 +139,35 @@
 	return (0);
 }
 
-/* True where a host has what a difference is laid over. */
+/* True if a host has the base of a difference, or was sent it. */
 static int
-has(const struct keeper_host *h, uint64_t number)
+has_base(const struct keeper_host *h, uint64_t number)
 {
-	return (number != 0 && (h->told == number || h->owners == number));
+	return (number != 0 &&
+	    (h->owners_sent == number || h->owners_reported == number));
 }
 
-/* True where a host is to be told a snapshot now. */
+/* True if a snapshot is to be sent to a host now. */
 static int
-needs(const struct keeper_host *h, uint64_t number, usec now)
+needs_owners(const struct keeper_host *h, uint64_t number, usec now)
 {
-	return (keeper_tells(h, now) && h->owners != number &&
-	    (h->told != number || now - h->told_at >= TELL_AGAIN));
+	return (keeper_host_up(h, now) && h->owners_reported != number &&
+	    (h->owners_sent != number ||
+		now - h->owners_sent_at >= PUSH_RETRY_DELAY));
 }
 
-/* Sends owners to the hosts that need them and have, or have not, what a
- * difference since a number is laid over; since is 0 for all of them. */
+/*
+ * Sends owners to the hosts that need them: with since != 0, a difference, to
+ * those that have its base; with since 0, the whole snapshot, to the others.
+ */
 static void
 send_owners(struct keeper *k, const struct owners *o, uint64_t since,
     uint64_t base, usec now)
 {
 	Gspar__Frame f = GSPAR__FRAME__INIT;
 	Gspar__Owners w = GSPAR__OWNERS__INIT;
-	Gspar__KeyOwners services[KEEPER_SERVICES], *list[KEEPER_SERVICES];
+	Gspar__KeyOwners services[KEEPER_SERVICES_MAX],
+	    *list[KEEPER_SERVICES_MAX];
 	struct keeper_host *h;
 	char **names;
 	int i, bad = 0;
@@ -178,11 +193,12 @@
 	f.owners = &w;
 	for (i = 0; i < k->nhosts && !bad && names != NULL; i++) {
 		h = &k->hosts[i];
-		if (!needs(h, o->number, now) || has(h, base) != (since != 0))
+		if (!needs_owners(h, o->number, now) ||
+		    has_base(h, base) != (since != 0))
 			continue;
-		h->told = o->number;
-		h->told_at = now;
-		send_frame(k->s->kernel, h->who.host, 0, &f);
+		h->owners_sent = o->number;
+		h->owners_sent_at = now;
+		send_frame(k->s->kernel, h->process.host, 0, &f);
 	}
 	for (i = 0; i < o->nservices; i++) {
 		free(services[i].from);
@@ -194,9 +210,9 @@
 }
 
 /*
- * Tells all hosts that need it who owns what: those that have the last
- * snapshot only what changed since.  What gets lost on its way shows in the
- * host's next reports, and it is told all.
+ * Sends the owners to all hosts that need them; hosts that have the last
+ * snapshot get only the difference.  If one is lost, the host's next reports
+ * show it, and it is sent the whole snapshot.
  */
 static void
 send_changes(struct keeper *k, const struct owners *o, usec now)
@@ -215,14 +231,14 @@
 	send_owners(k, o, 0, base, now);
 }
 
-/* Tells all hosts that the controller is there, and which hosts there are. */
+/* Sends a heartbeat to all hosts, with the list of hosts if it changed. */
 static void
-send_alive(struct keeper *k, usec now)
+send_heartbeat(struct keeper *k, usec now)
 {
 	Gspar__Frame f = GSPAR__FRAME__INIT;
 	Gspar__Owners w = GSPAR__OWNERS__INIT;
 	const struct conf *conf = kernel_conf(k->s->kernel);
-	Gspar__HostAddr hosts[KEEPER_HOSTS], *list[KEEPER_HOSTS];
+	Gspar__HostAddr hosts[KEEPER_HOSTS_MAX], *list[KEEPER_HOSTS_MAX];
 	Gspar__HostAddr self = GSPAR__HOST_ADDR__INIT;
 	const struct site *t = keeper_site(k);
 	const struct fleet *fleet = keeper_fleet(k);
@@ -232,13 +248,13 @@
 	for (i = 0; i < k->nhosts; i++) {
 		h = &k->hosts[i];
 		gspar__host_addr__init(&hosts[i]);
-		hosts[i].host = h->who.host;
-		hosts[i].addr = h->who.addr;
+		hosts[i].host = h->process.host;
+		hosts[i].addr = h->process.addr;
 		hosts[i].dc = h->dc;
-		hosts[i].boot = h->who.boot;
+		hosts[i].boot = h->process.boot;
 		list[w.n_hosts++] = &hosts[i];
 	}
-	/* Who is there changes rarely; the rest is a few bytes. */
+	/* The list of hosts changes rarely; the rest is a few bytes. */
 	if (!k->hosts_changed)
 		w.n_hosts = 0;
 	k->hosts_changed = 0;
@@ -249,23 +265,27 @@
 	self.boot = kernel_boot(k->s->kernel);
 	w.self = &self;
 	w.term = k->term.rec.term;
-	w.number = spread_number(k);
+	w.number = owners_number(k);
 	w.controller = (char *)(k->resigned ? "" : conf->host);
 	w.site = t == NULL ? 0 : t->version;
-	w.site_told = k->site_fits;
-	w.site_from = k->site_ask ? k->site_from : "";
-	k->site_ask = 0;
+	w.site_told = k->site_pushed;
+	w.site_from = k->site_request ? k->site_source : "";
+	k->site_request = 0;
 	w.record = k->term.version;
 	w.quarantine = quarantine_checksum(&k->quarantined);
-	/* Nor while this host does not reach the store: others know better. */
+	/*
+	 * Not while this host cannot reach the store: its list may be out of
+	 * date.
+	 */
 	w.follows = fleet != NULL && k->fresh && !late;
 	w.late = late;
-	w.strained = strained(keeper_bears(k), k->nhosts);
+	w.strained = strained(keeper_capacity(k), k->nhosts);
 	/*
-	 * Also while targets come and go: changes are told before the sign of
-	 * life that has their digest, on the same connection, so whoever goes
-	 * on knowing others has missed one.  Told only once the list stood
-	 * still, it was never told while targets were replaced one by one.
+	 * Also while targets come and go: changes are sent before the heartbeat
+	 * with their digest, on the same connection, so a host whose list still
+	 * differs has missed one.  When the digest was sent only once the list
+	 * had stopped changing, it was never sent while targets were replaced
+	 * one by one.
 	 */
 	if (w.follows)
 		w.fleet = fleet->digest;
@@ -273,22 +293,23 @@
 	f.owners = &w;
 	for (i = 0; i < k->nhosts; i++) {
 		h = &k->hosts[i];
-		if (keeper_tells(h, now) &&
-		    strcmp(h->who.host, conf->host) != 0)
-			send_frame(k->s->kernel, h->who.host, 0, &f);
+		if (keeper_host_up(h, now) &&
+		    strcmp(h->process.host, conf->host) != 0)
+			send_frame(k->s->kernel, h->process.host, 0, &f);
 	}
 }
 
-/* Tells all hosts that this one no longer controls. */
+/* Tells all hosts that this host is no longer the controller. */
 void
-spread_farewell(struct keeper *k, usec now)
+broadcast_resignation(struct keeper *k, usec now)
 {
-	send_alive(k, now);
+	send_heartbeat(k, now);
 }
 
 /*
- * True once this controller knows who owns what.  Until then hosts go on by
- * what the earlier one told: what would be told now names no owner at all.
+ * True once this controller knows the owners of all services.  Until then hosts
+ * keep those of the previous controller: a snapshot sent now would name no
+ * owner at all.
  */
 static int
 knows_owners(const struct keeper *k)
@@ -302,22 +323,22 @@
 	return (1);
 }
 
-/* Tells hosts what is due, as controller. */
+/* Sends owners and heartbeats that are due, as controller. */
 void
-spread_tick(struct keeper *k, usec now)
+broadcast_tick(struct keeper *k, usec now)
 {
-	uint64_t number = spread_number(k);
+	uint64_t number = owners_number(k);
 	struct owners *o;
 	int i, behind = number != k->number;
 
 	for (i = 0; i < k->nhosts && !behind; i++)
-		behind = needs(&k->hosts[i], number, now);
-	if (behind && knows_owners(k) && (o = collect(k)) != NULL) {
+		behind = needs_owners(&k->hosts[i], number, now);
+	if (behind && knows_owners(k) && (o = collect_owners(k)) != NULL) {
 		send_changes(k, o, now);
 		owners_publish(k, o);
 	}
-	if (now < k->next_spread)
+	if (now < k->next_heartbeat)
 		return;
-	k->next_spread = now + ALIVE_EVERY;
-	send_alive(k, now);
+	k->next_heartbeat = now + HEARTBEAT_INTERVAL;
+	send_heartbeat(k, now);
 }
--- a/gspard/keeper_term.c
+++ b/gspard/keeper_term.c
@@ -1,4 +1,7 @@
-/* Who controls: the record in the store, promises, standbys, giving back. */
+/*
+ * Election of the controller: the record in the store, promises, standbys and
+ * the release of control.
+ */
 #include <stdlib.h>
 #include <string.h>
 
@@ -9,31 +12,40 @@
 #include "standby.h"
 
 #define RECORD_PATH KIND_CONTROL "/main"
-/* A host not heard for so long can be no standby. */
-#define STANDBY_HEARD MS(1200)
-/* What control adds to a lease of its own; hosts hold none from it. */
-#define HANDOVER MS(100)
+/* A host that has not been heard for this long cannot be a standby. */
+#define STANDBY_SILENCE_MAX MS(1200)
+/*
+ * Host lease for the term rules: a new controller waits it out after its
+ * predecessor's control lease.  Here hosts hold no leases from the controller.
+ */
+#define HOST_LEASE MS(100)
+/*
+ * How long the promise of a stopping standby lasts after its final message.
+ * Store outages and planned stops may coincide: at this length the
+ * controller survives an outage of 8 s together with a stop of up to 5 s and
+ * the following start.  With a longer time, a fleet whose controller is gone
+ * for good and whose standbys were both killed would wait longer before keys
+ * are granted again.
+ */
+#define FINAL_PROMISE_TIME MS(12000)
+/*
+ * A new controller waits this long before it releases control, as it does not
+ * become known to all hosts at once.
+ */
+#define NEW_CONTROLLER_GRACE MS(2000)
 /*
- * The promise of a standby that stops lasts so long beyond its last words.
- * Outages of the store and planned stops come together: with 8 s of the one
- * and a stop of up to 5 s, and the start that follows, a controller goes on.
- * Longer, and a fleet whose controller is gone for good and both of whose
- * standbys were killed would wait longer before keys are granted again.
+ * A host that released control because it heard too few hosts is no candidate
+ * for this long; a network partition between data centres lasts for seconds.
  */
-#define LEFT_PROMISE MS(12000)
-/* A new controller is not heard of by all at once. */
-#define DEAF_AFTER MS(2000)
-/* One that gave control back because it heard too few leaves it to others for
- * so long; a cut between data centres lasts for seconds. */
-#define YIELD_FOR MS(4000)
-/* How long moves of keys may take to end before control is given back. */
-#define QUIET_WITHIN MS(900)
-/* Between looks who should stand by: hosts report each 200 ms. */
-#define STANDBYS_EVERY MS(100)
-/* Between looks of a standby whether the store answers it. */
-#define WITNESS_EVERY MS(1000)
-
-/* Asks the store for the control record. */
+#define YIELD_TIME MS(4000)
+/* Time allowed for moves of keys to complete before control is released. */
+#define HANDOVER_WAIT_MAX MS(900)
+/* Interval of choosing standbys; hosts report every 200 ms. */
+#define STANDBYS_INTERVAL MS(100)
+/* Interval of a standby's probes of the store. */
+#define STORE_PROBE_INTERVAL MS(1000)
+
+/* Reads the control record from the store. */
 static void
 get_record(void *arg)
 {
@@ -46,7 +58,7 @@
 	store_send(k->s->kernel, st);
 }
 
-/* Writes the control record where its version is still base. */
+/* Writes the control record if its version is still base. */
 static void
 put_record(void *arg, uint64_t base, const struct control_record *r)
 {
@@ -62,9 +74,9 @@
 	store_send(k->s->kernel, st);
 }
 
-/* Asks a standby for its promise. */
+/* Sends a promise request to a standby. */
 static void
-ask_promise(void *arg, const struct member *m, uint64_t term)
+send_promise_request(void *arg, const struct member *m, uint64_t term)
 {
 	struct keeper *k = arg;
 	Gspar__Frame f = GSPAR__FRAME__INIT;
@@ -80,7 +92,7 @@
 	send_frame(k->s->kernel, m->host, 0, &f);
 }
 
-/* Logs what happened to control. */
+/* Logs a change of the term's state and adds it to the events. */
 static void
 term_event(void *arg, const char *what)
 {
@@ -92,11 +104,11 @@
 }
 
 static const struct term_callbacks term_callbacks = {
-    get_record, put_record, ask_promise, term_event};
+    get_record, put_record, send_promise_request, term_event};
 
-/* Prepares the rules of who controls. */
+/* Initialises the term with this host's settings. */
 void
-keeper_term_open(struct keeper *k)
+keeper_term_init(struct keeper *k)
 {
 	const struct conf *conf = kernel_conf(k->s->kernel);
 	struct term_conf tc;
@@ -107,24 +119,24 @@
 	tc.self.boot = kernel_boot(k->s->kernel);
 	tc.lease = MS(conf->control_lease_ms);
 	tc.renew = MS(conf->renew_ms);
-	tc.host_lease = HANDOVER;
+	tc.host_lease = HOST_LEASE;
 	tc.version_announced = 1;
-	tc.final_promise = LEFT_PROMISE;
-	tc.bootstrap_delay = bootstrap_delay(keeper_bears(k));
+	tc.final_promise = FINAL_PROMISE_TIME;
+	tc.bootstrap_delay = bootstrap_delay(keeper_capacity(k));
 	term_init(&k->term, &tc, &term_callbacks, k, tc.self.boot);
 }
 
-/* True where a host can be standby. */
+/* True if a host can be a standby. */
 static int
-can_stand_by(const struct keeper *k, const struct keeper_host *h, usec now)
+can_be_standby(const struct keeper *k, const struct keeper_host *h, usec now)
 {
-	return (!h->stopping && now - h->heard < STANDBY_HEARD &&
-	    strcmp(h->who.host, keeper_self(k)) != 0);
+	return (!h->stopping && now - h->last_heard < STANDBY_SILENCE_MAX &&
+	    strcmp(h->process.host, keeper_self(k)) != 0);
 }
 
-/* True where a process stands by by the record. */
+/* True if the control record lists a process as a standby. */
 static int
-stands_by(const struct keeper *k, const struct member *m)
+is_standby_process(const struct keeper *k, const struct member *m)
 {
 	const struct control_record *r = &k->term.rec;
 	int i;
@@ -137,14 +149,14 @@
 	return (0);
 }
 
-/* True where this host stands by. */
+/* True if this host is a standby. */
 int
-keeper_stands_by(const struct keeper *k)
+keeper_is_standby(const struct keeper *k)
 {
-	return (!k->stopping && stands_by(k, &k->term.conf.self));
+	return (!k->stopping && is_standby_process(k, &k->term.conf.self));
 }
 
-/* The hosts that can be standbys; how many. */
+/* Lists the hosts that can be standbys; returns their number. */
 static int
 candidates(const struct keeper *k, struct candidate *c, usec now)
 {
@@ -153,42 +165,42 @@
 
 	for (i = 0; i < k->nhosts; i++) {
 		h = &k->hosts[i];
-		if (!can_stand_by(k, h, now))
+		if (!can_be_standby(k, h, now))
 			continue;
-		c[n].who = h->who;
+		c[n].who = h->process;
 		name_copy(c[n].dc, sizeof(c[n].dc), h->dc);
-		c[n].bears = h->bears;
-		c[n].is_standby = stands_by(k, &h->who);
-		c[n].store = h->store;
+		c[n].bears = h->max_hosts;
+		c[n].is_standby = is_standby_process(k, &h->process);
+		c[n].store = h->store_reachable;
 		n++;
 	}
 	return (n);
 }
 
-/* Names the standbys, among the hosts that are heard. */
+/* Chooses the standbys among the hosts that are heard. */
 void
-keeper_name_standbys(struct keeper *k, usec now)
+keeper_choose_standbys(struct keeper *k, usec now)
 {
-	struct candidate c[KEEPER_HOSTS];
+	struct candidate c[KEEPER_HOSTS_MAX];
 	struct member want[STANDBYS_MAX];
 	int n;
 
 	if (now < k->next_standbys)
 		return;
-	k->next_standbys = now + STANDBYS_EVERY;
+	k->next_standbys = now + STANDBYS_INTERVAL;
 	n = candidates(k, c, now);
 	n = standbys_pick(c, n, kernel_conf(k->s->kernel)->dc, want);
 	term_set_standbys(&k->term, want, n);
 }
 
 /*
- * Gives control back where most hosts are not heard any more, and leaves it to
- * others for a while.  This host counts as one that is heard.
+ * Releases control if most hosts are no longer heard, and is no candidate for a
+ * while.  This host counts as heard.
  */
 void
-keeper_yield_if_deaf(struct keeper *k, usec now)
+keeper_yield_if_isolated(struct keeper *k, usec now)
 {
-	usec heard[KEEPER_HOSTS + 1];
+	usec heard[KEEPER_HOSTS_MAX + 1];
 	int i, n = 0;
 
 	if (!k->acting) {
@@ -201,23 +213,24 @@
 	}
 	for (i = 0; i < k->nhosts; i++) {
 		if (!k->hosts[i].stopping)
-			heard[n++] = k->hosts[i].heard;
+			heard[n++] = k->hosts[i].last_heard;
 	}
-	if (k->yielded || k->resigned || now - k->acting_since < DEAF_AFTER ||
+	if (k->yielded || k->resigned ||
+	    now - k->acting_since < NEW_CONTROLLER_GRACE ||
 	    hears_enough(heard, n, now))
 		return;
 	log_line(LOG_WARNING, "control",
-	    "Most of %d hosts are not heard, control is given back.", n);
+	    "Most of %d hosts are not heard, releasing control.", n);
 	k->yielded = 1;
-	k->eligible_at = now + YIELD_FOR;
+	k->eligible_at = now + YIELD_TIME;
 	term_resign(&k->term, now);
 }
 
 /*
- * Reads the control record.  One that another has written, and that makes no
- * sense, names no controller: control is free, under a term after the last that
- * was heard.  Refused, it would stand for ever, for nobody may write over what
- * he could not read.
+ * Decodes the control record.  One that is not valid is taken for a record
+ * without a controller, under a term after the last one that was heard.  If it
+ * were refused it would block control forever, as no host may overwrite a
+ * record that it could not read.
  */
 static void
 read_record(struct keeper *k, const struct store *st, struct control_record *r)
@@ -225,25 +238,26 @@
 	if (record_read(&st->body, r) == 0)
 		return;
 	log_line(LOG_ERR, "control",
-	    "The control record makes no sense, version %llu: free.",
+	    "Control record version %llu is not valid, taken as vacant.",
 	    (unsigned long long)st->version);
 	memset(r, 0, sizeof(*r));
 	r->term = k->controller_term;
 }
 
 /*
- * True where a stopping controller goes on with control.  While the store is
- * away nobody can take it: given up, no key is renewed, and all are without
- * owner 3 s later until the store is back.
+ * True if a stopping controller must keep control.  While the store is
+ * unavailable no other host can take control: if it were given up, no grant
+ * would be renewed, and all keys would be without an owner from 3 s later until
+ * the store is back.
  */
 static int
-must_stay(const struct keeper *k, usec now)
+must_keep_control(const struct keeper *k, usec now)
 {
-	return (k->acting && k->stopping && now < k->leave_by &&
+	return (k->acting && k->stopping && now < k->stop_by &&
 	    term_renewal_late(&k->term, now) && term_may_renew(&k->term, now));
 }
 
-/* Resigns, for good where the host stops. */
+/* Resigns; for good if the host is stopping. */
 static void
 resign(struct keeper *k, usec now)
 {
@@ -256,98 +270,104 @@
 }
 
 /*
- * Gives control back in good order, once moves of keys have ended and are
- * written: whoever takes control then need not wait for owners before and after
- * a move.
+ * Releases control once moves of keys are complete and written, so that the
+ * next controller need not wait for the owners before and after a move.
  */
 void
-keeper_give_back(struct keeper *k, usec now)
+keeper_release_control(struct keeper *k, usec now)
 {
-	int i, quiet = 1;
+	int i, ready = 1;
 
 	for (i = 0; i < k->nkeys; i++) {
 		keys_begin_handover(k->keys[i]);
-		quiet &= keys_handover_ready(k->keys[i]);
+		ready &= keys_handover_ready(k->keys[i]);
 	}
-	if (!k->resigned && (quiet || now - k->giving_since > QUIET_WITHIN) &&
-	    !must_stay(k, now))
+	if (!k->resigned &&
+	    (ready || now - k->handover_since > HANDOVER_WAIT_MAX) &&
+	    !must_keep_control(k, now))
 		resign(k, now);
 	/*
-	 * Others need not wait until they miss the signs of life.  Said by a
-	 * host that did not control, it would take their controller from them:
-	 * each planned stop made all others ask the store, 225 calls of a fleet
-	 * of 76 hosts, and report to nobody until the next sign of life.
+	 * Saves the others the wait for missed heartbeats.  If a host that was
+	 * not the controller sent this, the others would lose their controller:
+	 * each planned stop made all of them call the store, 225 calls in a
+	 * fleet of 76 hosts, and send no reports until the next heartbeat.
 	 */
 	if (k->had_control && k->term.role == TERM_FOLLOWER)
-		spread_farewell(k, now);
+		broadcast_resignation(k, now);
 }
 
-/* Hosts that this one could control. */
+/* Returns the number of hosts that this host could control. */
 int
-keeper_bears(const struct keeper *k)
+keeper_capacity(const struct keeper *k)
 {
 	const struct conf *conf = kernel_conf(k->s->kernel);
 
 	return (host_capacity(conf->cores, conf->link_mbps));
 }
 
-/* Gives control to a standby that bears the fleet, where this host does not. */
+/*
+ * Releases control to a standby with the capacity for all hosts, if this host
+ * is overloaded.
+ */
 void
 keeper_yield_to_larger(struct keeper *k, usec now)
 {
-	struct candidate c[KEEPER_HOSTS];
+	struct candidate c[KEEPER_HOSTS_MAX];
 	int n;
 
 	if (k->stopping)
 		return;
-	if (k->giving_since != 0) {
-		keeper_give_back(k, now);
+	if (k->handover_since != 0) {
+		keeper_release_control(k, now);
 		if (k->term.role == TERM_HOLDER)
 			return;
-		k->giving_since = 0;
+		k->handover_since = 0;
 		k->resigned = 0;
 		k->had_control = 0;
 		k->yielded = 1;
-		k->eligible_at = now + YIELD_FOR;
+		k->eligible_at = now + YIELD_TIME;
 		return;
 	}
-	if (!k->acting || k->yielded || now - k->acting_since < DEAF_AFTER ||
-	    !strained(keeper_bears(k), k->nhosts))
+	if (!k->acting || k->yielded ||
+	    now - k->acting_since < NEW_CONTROLLER_GRACE ||
+	    !strained(keeper_capacity(k), k->nhosts))
 		return;
 	n = candidates(k, c, now);
-	if (!larger_standby_ready(c, n, keeper_bears(k), k->nhosts))
+	if (!larger_standby_ready(c, n, keeper_capacity(k), k->nhosts))
 		return;
 	log_line(LOG_NOTICE, "control",
-	    "This host bears %d of %d hosts, control goes to a larger one.",
-	    keeper_bears(k), k->nhosts);
-	k->giving_since = now;
+	    "This host can control %d of %d hosts, "
+	    "releasing control to a larger one.",
+	    keeper_capacity(k), k->nhosts);
+	k->handover_since = now;
 }
 
 /*
- * Looks whether the store answers this host, while it stands by for a
- * controller that should give control to a larger one.  Else hosts that are
- * told by a controller do not ask the store, and could not say.
+ * Probes the store while this host is a standby of an overloaded controller, so
+ * that it can report whether it could take over.  Hosts that get updates from a
+ * controller do not call the store otherwise and could not tell.
  */
 void
-keeper_witness(struct keeper *k, usec now)
+keeper_probe_store(struct keeper *k, usec now)
 {
 	struct member self = k->term.conf.self;
 
-	if (!k->strained || k->acting || now < k->next_witness ||
-	    !stands_by(k, &self) || strained(keeper_bears(k), k->nhosts))
+	if (!k->controller_overloaded || k->acting ||
+	    now < k->next_store_probe || !is_standby_process(k, &self) ||
+	    strained(keeper_capacity(k), k->nhosts))
 		return;
-	k->next_witness = now + WITNESS_EVERY;
+	k->next_store_probe = now + STORE_PROBE_INTERVAL;
 	get_record(k);
 }
 
-/* Takes the outcome of a call about the control record. */
+/* Handles the result of a store call for the control record. */
 void
-keeper_record_stored(struct keeper *k, const struct store *st, usec now)
+keeper_record_done(struct keeper *k, const struct store *st, usec now)
 {
 	struct control_record r;
 
 	if (st->result == STORE_DONE)
-		k->store_seen = now;
+		k->store_answered_at = now;
 	if (st->op == STORE_PUT) {
 		if (st->gen == k->term.put_rec.write_id)
 			term_put_done(
@@ -361,9 +381,9 @@
 		term_get_failed(&k->term, now);
 }
 
-/* Answers a controller that asks for this host's promise. */
+/* Handles a promise request of the controller. */
 void
-keeper_promise_ask(struct keeper *k, const struct msg *m, usec now)
+keeper_promise_request(struct keeper *k, const struct msg *m, usec now)
 {
 	const Gspar__PromiseAsk *ask = m->frame->promise_ask;
 	Gspar__Frame f = GSPAR__FRAME__INIT;
@@ -383,18 +403,18 @@
 	send_frame(k->s->kernel, m->host, m->conn, &f);
 }
 
-/* What a standby's answer promises. */
+/* Returns the kind of promise in a standby's reply. */
 static enum promise_kind
-promise_told(const Gspar__Promise *p)
+promise_kind_of(const Gspar__Promise *p)
 {
 	if (!p->yes)
 		return (PROMISE_NONE);
 	return (p->left ? PROMISE_FINAL : PROMISE_LEASE);
 }
 
-/* Takes a standby's answer. */
+/* Handles a standby's reply to a promise request. */
 void
-keeper_promise(struct keeper *k, const struct msg *m, usec now)
+keeper_promise_reply(struct keeper *k, const struct msg *m, usec now)
 {
 	const Gspar__Promise *p = m->frame->promise;
 	struct member who;
@@ -404,6 +424,6 @@
 	memset(&who, 0, sizeof(who));
 	name_copy(who.host, sizeof(who.host), m->host);
 	who.boot = p->boot;
-	term_promise_reply(&k->term, now, &who, p->term, promise_told(p),
+	term_promise_reply(&k->term, now, &who, p->term, promise_kind_of(p),
 	    k->asked_at[p->seq % ASKED_KEPT]);
 }
--- a/gspard/quarantine_text.c
+++ b/gspard/quarantine_text.c
@@ -7,10 +7,13 @@
 
 #include "quarantine_text.h"
 
-/* A time beyond this nobody has written. */
+/* Longer times are not valid: the list is never written with one. */
 #define LEFT_MAX_MS 86400000
 
-/* Writes the list as text.  Times are what is left: hosts' clocks differ. */
+/*
+ * Writes the list as JSON.  Times are relative (ms left), as the clocks of
+ * hosts differ.
+ */
 void
 quarantine_write(const struct quarantine_list *l, struct str *out, usec now)
 {
@@ -29,7 +32,7 @@
 	str_add(out, "]}", 2);
 }
 
-/* Reads the list; 0, or -1 where it makes no sense, and is then empty. */
+/* Reads the list.  Returns 0, or -1 with an empty list if it is not valid. */
 int
 quarantine_read(const struct str *body, struct quarantine_list *l, usec now)
 {
--- a/gspard/quarantine_text.h
+++ b/gspard/quarantine_text.h
@@ -1,4 +1,4 @@
-/* The list of quarantined contents as the store keeps it. */
+/* Stored form of the list of quarantined contents. */
 #ifndef QUARANTINE_TEXT_H
 #define QUARANTINE_TEXT_H
 
--- a/gspard/site_frame.c
+++ b/gspard/site_frame.c
@@ -4,17 +4,17 @@
 
 #include "site_frame.h"
 
-/* Rates beyond this, in requests a second, limit nothing. */
-#define RATE_MOST 1e6
+/* Rates beyond this, in requests per second, have no effect. */
+#define RATE_MAX 1e6
 
-/* A rate on the wire. */
+/* Encodes a rate in thousandths of a request per second. */
 static uint32_t
-rate_told_as(double rate)
+rate_to_wire(double rate)
 {
-	return ((uint32_t)(fmin(rate, RATE_MOST) * 1000));
+	return ((uint32_t)(fmin(rate, RATE_MAX) * 1000));
 }
 
-/* Fills in the services. */
+/* Encodes the services. */
 static void
 fill_services(struct site_frame *f, const struct site *t)
 {
@@ -29,27 +29,30 @@
 		f->services[i].max_conns = (uint32_t)s->max_conns;
 		f->services[i].warmup = (uint64_t)s->warmup;
 		f->services[i].cold_start = (uint64_t)s->cold_start;
-		f->services[i].cold_rate = rate_told_as(s->cold_rate);
+		f->services[i].cold_rate = rate_to_wire(s->cold_rate);
 		f->service_list[i] = &f->services[i];
 	}
-	f->told.services = f->service_list;
-	f->told.n_services = (size_t)t->nservices;
+	f->msg.services = f->service_list;
+	f->msg.n_services = (size_t)t->nservices;
 }
 
-/* The place of a rule's host among those told; rules come sorted by host. */
+/*
+ * Returns the index of a rule's host name in the message, adding it if needed;
+ * rules are sorted by host name.
+ */
 static uint32_t
-host_place(struct site_frame *f, const struct rule *r)
+host_index(struct site_frame *f, const struct rule *r)
 {
-	size_t n = f->told.n_hosts;
+	size_t n = f->msg.n_hosts;
 
 	if (n == 0 || strcmp(f->hosts[n - 1], r->host.p) != 0) {
 		f->hosts[n] = r->host.p;
-		f->told.n_hosts = ++n;
+		f->msg.n_hosts = ++n;
 	}
 	return ((uint32_t)(n - 1));
 }
 
-/* Fills in one rule, with its parts at the place given. */
+/* Encodes one rule, with its backends in the given array. */
 static void
 fill_rule(struct site_frame *f, Gspar__SiteRule *w, const struct rule *r,
     uint32_t *backends)
@@ -57,7 +60,7 @@
 	int i;
 
 	gspar__site_rule__init(w);
-	w->host = host_place(f, r);
+	w->host = host_index(f, r);
 	w->prefix = r->prefix.p;
 	w->idempotent = r->idempotent;
 	w->timeout = (uint64_t)r->timeout;
@@ -74,9 +77,9 @@
 	}
 }
 
-/* How many parts all rules have. */
+/* Returns the number of backends of all rules. */
 static size_t
-count_parts(const struct site *t)
+count_backends(const struct site *t)
 {
 	size_t n = 0;
 	int i;
@@ -86,8 +89,10 @@
 	return (n);
 }
 
-/* Makes the frame of a configuration or change, which must outlive it; 0, or
- * -1 without memory.  Free it either way. */
+/*
+ * Encodes a configuration or difference, which must outlive the frame.  Returns
+ * 0, or -1 if memory runs out; site_frame_free() is needed either way.
+ */
 int
 site_frame_fill(struct site_frame *f, const struct site *t)
 {
@@ -96,44 +101,44 @@
 	int i;
 
 	memset(f, 0, sizeof(*f));
-	gspar__site_told__init(&f->told);
+	gspar__site_told__init(&f->msg);
 	f->hosts = calloc(nr, sizeof(*f->hosts));
 	f->services = calloc(ns, sizeof(*f->services));
 	f->service_list = calloc(ns, sizeof(*f->service_list));
 	f->rules = calloc(nr, sizeof(*f->rules));
 	f->rule_list = calloc(nr, sizeof(*f->rule_list));
 	f->backends = backends =
-	    calloc(2 * count_parts(t) + 1, sizeof(*f->backends));
+	    calloc(2 * count_backends(t) + 1, sizeof(*f->backends));
 	if (f->hosts == NULL || f->services == NULL ||
 	    f->service_list == NULL || f->rules == NULL ||
 	    f->rule_list == NULL || f->backends == NULL)
 		return (-1);
 	fill_services(f, t);
-	f->told.hosts = f->hosts;
+	f->msg.hosts = f->hosts;
 	for (i = 0; i < t->nrules; i++) {
 		fill_rule(f, &f->rules[i], &t->rules[i], backends);
 		backends += 2 * t->rules[i].nbackends;
 		f->rule_list[i] = &f->rules[i];
 	}
-	f->told.rules = f->rule_list;
-	f->told.n_rules = (size_t)t->nrules;
-	f->told.version = t->version;
-	f->told.since = t->since;
-	f->told.head_max = t->head_max;
-	f->told.body_max = t->body_max;
-	f->told.head_time = (uint64_t)t->head_time;
-	f->told.idle_time = (uint64_t)t->idle_time;
+	f->msg.rules = f->rule_list;
+	f->msg.n_rules = (size_t)t->nrules;
+	f->msg.version = t->version;
+	f->msg.since = t->since;
+	f->msg.head_max = t->head_max;
+	f->msg.body_max = t->body_max;
+	f->msg.head_time = (uint64_t)t->head_time;
+	f->msg.idle_time = (uint64_t)t->idle_time;
 	return (0);
 }
 
-/* Bytes of the frame's body on the wire. */
+/* Returns the size of the encoded message in bytes. */
 size_t
 site_frame_size(const struct site_frame *f)
 {
-	return (gspar__site_told__get_packed_size(&f->told));
+	return (gspar__site_told__get_packed_size(&f->msg));
 }
 
-/* Frees what the frame points into, but for the configuration. */
+/* Frees the frame's arrays; the configuration is not freed. */
 void
 site_frame_free(struct site_frame *f)
 {
@@ -145,7 +150,7 @@
 	free(f->backends);
 }
 
-/* Reads the services; 0, or -1. */
+/* Decodes the services; returns 0, or -1 if they are not valid. */
 static int
 read_services(struct site *t, const Gspar__SiteTold *w)
 {
@@ -168,9 +173,9 @@
 	return (0);
 }
 
-/* Reads the parts of a rule; 0, or -1. */
+/* Decodes the backends of a rule; returns 0, or -1 if they are not valid. */
 static int
-read_parts(struct rule *r, const Gspar__SiteRule *w, int nservices)
+read_backends(struct rule *r, const Gspar__SiteRule *w, int nservices)
 {
 	size_t i;
 
@@ -186,7 +191,7 @@
 	return (0);
 }
 
-/* Reads one rule; 0, or -1. */
+/* Decodes one rule; returns 0, or -1 if it is not valid. */
 static int
 read_rule(struct site *t, const Gspar__SiteTold *w, const Gspar__SiteRule *in)
 {
@@ -203,11 +208,13 @@
 	r->attempts = (int)in->attempts;
 	r->priority = in->priority;
 	r->gone = in->gone;
-	return (read_parts(r, in, t->nservices));
+	return (read_backends(r, in, t->nservices));
 }
 
-/* Reads a configuration or a change that another host told; NULL where it makes
- * no sense. */
+/*
+ * Decodes a configuration or a difference; returns NULL if it is not valid or
+ * memory runs out.  The caller frees it.
+ */
 struct site *
 site_frame_read(const Gspar__SiteTold *w)
 {
--- a/gspard/site_frame.h
+++ b/gspard/site_frame.h
@@ -1,13 +1,16 @@
-/* Configurations, and changes of them, as frames between hosts. */
+/*
+ * Encoding of site configurations, and of differences between them, as messages
+ * between hosts.
+ */
 #ifndef SITE_FRAME_H
 #define SITE_FRAME_H
 
 #include "gspar.pb-c.h"
 #include "site.h"
 
-/* A frame's body and what it points into. */
+/* A message and the arrays that it points to. */
 struct site_frame {
-	Gspar__SiteTold told;
+	Gspar__SiteTold msg;
 	char **hosts;
 	Gspar__SiteService *services, **service_list;
 	Gspar__SiteRule *rules, **rule_list;
--- a/regress/unit/t_site_frame.c
+++ b/regress/unit/t_site_frame.c
@@ -1,4 +1,6 @@
-/* Configurations as frames: what is told is what is read; garbage is refused.
+/*
+ * Tests of encoding and decoding site configurations: a round trip changes
+ * nothing, and invalid messages are refused.
  */
 #include <stdio.h>
 #include <stdlib.h>
@@ -8,9 +10,9 @@
 #include "site_frame.h"
 #include "unit.h"
 
-/* A configuration with all that one can have. */
+/* Returns a configuration that uses every field. */
 static struct site *
-make(void)
+make_site(void)
 {
 	struct site *t = site_new(3);
 	struct rule *r;
@@ -47,9 +49,9 @@
 	return (t);
 }
 
-/* Packs and unpacks as on the wire. */
+/* Encodes and decodes a configuration as on the wire. */
 static struct site *
-over_the_wire(const struct site *t)
+encode_decode(const struct site *t)
 {
 	struct site_frame f;
 	Gspar__SiteTold *w;
@@ -60,7 +62,7 @@
 	CU_ASSERT_EQUAL_FATAL(site_frame_fill(&f, t), 0);
 	n = site_frame_size(&f);
 	buf = malloc(n);
-	CU_ASSERT_EQUAL(gspar__site_told__pack(&f.told, buf), n);
+	CU_ASSERT_EQUAL(gspar__site_told__pack(&f.msg, buf), n);
 	w = gspar__site_told__unpack(NULL, n, buf);
 	CU_ASSERT_PTR_NOT_NULL_FATAL(w);
 	got = site_frame_read(w);
@@ -70,11 +72,11 @@
 	return (got);
 }
 
-/* Everything that a host needs of a configuration arrives. */
+/* A decoded configuration has all fields of the original. */
 static void
-there_and_back(void)
+round_trip(void)
 {
-	struct site *t = make(), *got = over_the_wire(t);
+	struct site *t = make_site(), *got = encode_decode(t);
 	const struct rule *a, *b;
 	int i;
 
@@ -107,18 +109,18 @@
 	site_free(got);
 }
 
-/* A change says that a rule is gone. */
+/* A difference tells that a rule was removed. */
 static void
-change(void)
+difference(void)
 {
-	struct site *was = make(), *now = make(), *c, *got, *made;
+	struct site *was = make_site(), *now = make_site(), *c, *got, *made;
 
 	str_free(&now->rules[2].host);
 	str_free(&now->rules[2].prefix);
 	now->nrules = 2;
 	now->version = 34;
 	c = site_diff(was, now);
-	got = over_the_wire(c);
+	got = encode_decode(c);
 	CU_ASSERT_PTR_NOT_NULL_FATAL(got);
 	CU_ASSERT_EQUAL(got->nrules, 1);
 	made = site_apply(was, got);
@@ -131,38 +133,41 @@
 	site_free(made);
 }
 
-/* Indices beyond what is told, and names too long, are refused. */
+/*
+ * Indices out of range, names that are too long, mismatched counts and version
+ * 0 are refused.
+ */
 static void
-refused(void)
+invalid_messages(void)
 {
-	struct site *t = make();
+	struct site *t = make_site();
 	struct site_frame f;
 	char name[2 * NAME_MAX_GS];
 
 	CU_ASSERT_EQUAL_FATAL(site_frame_fill(&f, t), 0);
 	f.rules[0].host = 9;
-	CU_ASSERT_PTR_NULL(site_frame_read(&f.told));
+	CU_ASSERT_PTR_NULL(site_frame_read(&f.msg));
 	f.rules[0].host = 0;
 	f.rules[0].service[0] = 2;
-	CU_ASSERT_PTR_NULL(site_frame_read(&f.told));
+	CU_ASSERT_PTR_NULL(site_frame_read(&f.msg));
 	f.rules[0].service[0] = 0;
 	f.rules[0].n_weight = 0;
-	CU_ASSERT_PTR_NULL(site_frame_read(&f.told));
+	CU_ASSERT_PTR_NULL(site_frame_read(&f.msg));
 	f.rules[0].n_weight = 1;
 	memset(name, 'a', sizeof(name) - 1);
 	name[sizeof(name) - 1] = '\0';
 	f.services[1].name = name;
-	CU_ASSERT_PTR_NULL(site_frame_read(&f.told));
+	CU_ASSERT_PTR_NULL(site_frame_read(&f.msg));
 	f.services[1].name = t->services[1].name;
-	f.told.version = 0;
-	CU_ASSERT_PTR_NULL(site_frame_read(&f.told));
+	f.msg.version = 0;
+	CU_ASSERT_PTR_NULL(site_frame_read(&f.msg));
 	site_frame_free(&f);
 	site_free(t);
 }
 
 static const struct unit_test tests[] = {
-    {"there and back", there_and_back},
-    {"change", change},
-    {"refused", refused},
+    {"round trip", round_trip},
+    {"difference", difference},
+    {"invalid messages", invalid_messages},
 };
 UNIT_MAIN("site_frame", tests)
