--- a/gspard/keeper.c
+++ b/gspard/keeper.c
@@ -363,11 +363,11 @@
 		k->fresh = 0;
 		break;
 	case MSG_HEAT:
-		if (k->router_report != NULL)
-			heat_report_free(k->router_report);
-		k->router_report = m->data;
+		if (k->pending_report != NULL)
+			heat_report_free(k->pending_report);
+		k->pending_report = m->data;
 		m->data = NULL;
-		quarantine_add_seen(k, &k->router_report->crashes, now);
+		quarantine_add_seen(k, &k->pending_report->crashes, now);
 		break;
 	case MSG_STOP:
 		begin_stop(k, m->data, now);
@@ -438,8 +438,8 @@
 	ring_on_put(s->in, NULL, NULL);
 	orders_cancel(k);
 	keeper_drop_keys(k);
-	if (k->router_report != NULL)
-		heat_report_free(k->router_report);
+	if (k->pending_report != NULL)
+		heat_report_free(k->pending_report);
 	shared_unref(k->site);
 	shared_unref(k->fleet);
 	shared_unref(k->fleet_sent);
--- a/gspard/keeper.h
+++ b/gspard/keeper.h
@@ -130,8 +130,8 @@
 	struct pace site_pace;	   /* of copies that hosts requested */
 	int site_pushed;	   /* was small enough to be pushed */
 	int site_request; /* request it with the next report or heartbeat */
-	char site_source[NAME_MAX_GS];	   /* a host that has a newer one */
-	struct heat_report *router_report; /* last report, not yet sent */
+	char site_source[NAME_MAX_GS];	    /* a host that has a newer one */
+	struct heat_report *pending_report; /* from the router, to be sent */
 
 	/* Requests that crash targets: what was seen, what is quarantined. */
 	struct quarantine quarantine;
--- a/gspard/keeper_report.c
+++ b/gspard/keeper_report.c
@@ -106,12 +106,12 @@
 void
 report_tick(struct keeper *k, usec now)
 {
-	if (k->router_report == NULL)
+	if (k->pending_report == NULL)
 		return;
 	if (k->controller[0] != '\0')
-		send_report(k, k->router_report, now);
-	heat_report_free(k->router_report);
-	k->router_report = NULL;
+		send_report(k, k->pending_report, now);
+	heat_report_free(k->pending_report);
+	k->pending_report = NULL;
 }
 
 /* Adds a host's measurements of a target. */
