--- a/gspard/keeper_site.c
+++ b/gspard/keeper_site.c
@@ -218,7 +218,7 @@
 	}
 }
 
-/* Passes a configuration that a host sent to the watch service. */
+/* Passes a configuration received from a host to the watch service. */
 void
 site_receive(struct keeper *k, const Gspar__SiteTold *told)
 {
--- a/gspard/keeper_spread.c
+++ b/gspard/keeper_spread.c
@@ -274,8 +274,8 @@
 	w.record = k->term.version;
 	w.quarantine = quarantine_checksum(&k->quarantined);
 	/*
-	 * Not while this host cannot reach the store: its list may be out of
-	 * date.
+	 * Not while this host cannot reach the store: other hosts may have
+	 * newer data.
 	 */
 	w.follows = fleet != NULL && k->fresh && !late;
 	w.late = late;
--- a/gspard/keeper_term.c
+++ b/gspard/keeper_term.c
@@ -306,8 +306,8 @@
 }
 
 /*
- * Releases control to a standby with the capacity for all hosts, if this host
- * is overloaded.
+ * Releases control, if this host is overloaded, once a larger standby can take
+ * it.
  */
 void
 keeper_yield_to_larger(struct keeper *k, usec now)
--- a/regress/unit/t_site_frame.c
+++ b/regress/unit/t_site_frame.c
@@ -10,7 +10,7 @@
 #include "site_frame.h"
 #include "unit.h"
 
-/* Returns a configuration that uses every field. */
+/* Returns a configuration with two services and three rules. */
 static struct site *
 make_site(void)
 {
