--- a/gspard/direct.c
+++ b/gspard/direct.c
@@ -1,7 +1,8 @@
 /*
- * The router of hosts that send to targets themselves: takes callers' requests,
- * picks their targets, waits for room, refuses what cannot be served in time,
- * and decides what follows a send that gave no answer.
+ * The router of hosts that send to targets themselves: the service's thread and
+ * its messages.  The router accepts callers' requests, chooses their targets,
+ * queues them while these are full, refuses requests that cannot be served in
+ * time, and decides whether to retry those that got no answer.
  */
 #include <stdlib.h>
 #include <string.h>
@@ -14,21 +15,24 @@
 #include "keeper.h"
 #include "target.h"
 
+/* Longest wait for events, with requests pending and without. */
 #define TICK_MS 20
 #define IDLE_MS 200
-/* Between reports of what was asked for. */
+/* Interval of reports to the control service. */
 #define HEAT_EVERY MS(200)
-/* An answer given by the host itself leaves so long before the deadline. */
+/* The host gives up and answers itself this long before the caller's deadline.
+ */
 #define LAST_MS 4
-/* A caller that another host serves comes back after this long. */
+/* Retry delay for callers refused while this host stops: another host will
+ * serve them. */
 #define ELSEWHERE_MS 40
-/* Connections kept to all targets; by itself the HTTP client keeps about four
- * for each request under way, and more than half of all requests opened one. */
+/* Size of the cache of connections to targets.  With libcurl's default, four
+ * for each transfer, more than half of all requests opened a new one. */
 #define CONNS_KEPT 400
-/* Hosts there are taken to be until they are counted. */
+/* Assumed number of hosts until it is known. */
 #define HOSTS_FIRST 12
 
-/* Puts a request into the list: most urgent first, then by arrival. */
+/* Inserts a request into the list, ordered by priority, then by arrival. */
 static void
 link_pending(struct direct *d, struct pending *p)
 {
@@ -48,8 +52,8 @@
 		d->last = p;
 }
 
-/* Refuses a call that did not become a request, and says when to come back; 0
- * is not known. */
+/* Refuses a call that did not become a request; retry_ms is 0 where the time of
+ * a retry is unknown. */
 static void
 refuse_call(struct call *c, int code, uint32_t retry_ms)
 {
@@ -69,7 +73,7 @@
 	return (digest_parts(parts, sizeof(parts) / sizeof(parts[0])));
 }
 
-/* Takes a call from the door. */
+/* Accepts a call from the door: makes it a request and routes it. */
 static void
 take_call(struct direct *d, struct call *c, usec now)
 {
@@ -114,7 +118,7 @@
 	flow_send(d, p, now);
 }
 
-/* Sets this host's part of each service's repeats by the settings in force and
+/* Sets this host's share of each service's retry budget from the settings and
  * the number of hosts. */
 static void
 set_budgets(struct direct *d)
@@ -128,7 +132,8 @@
 	}
 }
 
-/* Reports what was asked for and what was learnt of targets. */
+/* Reports requested keys, crashes and the state of targets to the control
+ * service. */
 static void
 report(struct direct *d, usec now)
 {
@@ -156,7 +161,7 @@
 	msg_post(d->s->kernel, "control", MSG_HEAT, h, heat_report_free);
 }
 
-/* Tells the door once callers can be served. */
+/* Tells the door, once, that callers can be served. */
 static void
 check_ready(struct direct *d)
 {
@@ -170,11 +175,11 @@
 		return;
 	}
 	d->ready = 1;
-	log_line(LOG_NOTICE, "router", "Ready for callers.");
+	log_line(LOG_NOTICE, "router", "Ready to serve callers.");
 	kernel_done(d->s->kernel, "ready");
 }
 
-/* The host stops: what is under way is to end before it does. */
+/* Begins an orderly stop: all requests must end before the host does. */
 static void
 begin_leave(struct direct *d, struct msg *m)
 {
@@ -188,7 +193,7 @@
 		p->deadline = stop_plan_deadline(d->stop_plan, p->deadline);
 }
 
-/* Takes one message. */
+/* Handles one message. */
 static void
 take(struct direct *d, struct msg *m, usec now)
 {
@@ -230,7 +235,7 @@
 	msg_free(m);
 }
 
-/* The thread. */
+/* Runs the service's thread until MSG_QUIT. */
 static void
 direct_run(struct service *s)
 {
@@ -259,12 +264,12 @@
 			curl_multi_poll(d->multi, NULL, 0,
 			    d->first != NULL ? TICK_MS : IDLE_MS, NULL);
 	}
-	/* Here and not later: the door cannot close with calls under way. */
+	/* Not in direct_close(): the door cannot close while calls are open. */
 	while (d->first != NULL)
 		flow_end(d, d->first, GS_STOPPING, 0, clock_mono());
 }
 
-/* Makes the service ready. */
+/* Opens the service; 0, or -1 on failure. */
 static int
 direct_open(struct service *s)
 {
@@ -287,7 +292,7 @@
 	return (0);
 }
 
-/* Frees all. */
+/* Frees the service's state. */
 static void
 direct_close(struct service *s)
 {
--- a/gspard/direct.h
+++ b/gspard/direct.h
@@ -1,4 +1,7 @@
-/* The router that sends to targets itself: its parts and what they share. */
+/*
+ * The router that sends requests to targets itself: the types and functions
+ * that its files share.
+ */
 #ifndef DIRECT_H
 #define DIRECT_H
 
@@ -18,18 +21,21 @@
 
 #define LEARNT_SIZE 256
 #define EASY_KEPT 32
-/* Between looks whether a caller is still there: targets must not go on for
- * more than half a second after a caller left. */
+/* Interval at which callers are checked for being connected: targets must not
+ * work for more than half a second after a caller has disconnected. */
 #define FLOW_LOOK_EVERY MS(100)
 
-/* Requests that wait for the same thing: how fast they get on. */
+/* Requests that wait for the same target or service, and how fast they start.
+ */
 struct line {
 	int waiting;
 	usec last_start;
-	double gap; /* between starts while some waited; 0 is not known */
+	double gap; /* mean time between starts while some wait, in
+		       microseconds; 0 is unknown */
 };
 
-/* A target, as long as its entry or a request is there. */
+/* The state of a target, kept while the target is listed or a request refers
+ * to it. */
 struct target_state {
 	struct target_state *next;
 	char id[NAME_MAX_GS];
@@ -37,41 +43,42 @@
 	char service[NAME_MAX_GS];
 	struct dest dest;
 	struct line line;
-	int listed;
+	int listed;   /* in the current list of targets */
 	int answers;  /* since the last report */
-	int users;    /* requests that name it */
+	int users;    /* pending requests last sent to it */
 	int replaced; /* another target answers at its address */
 	uint64_t digest;
-	int ended; /* found so, and told; an answer says otherwise */
+	int ended; /* its end was reported; cleared by an answer */
 };
 
-/* What is kept of a service across versions of the configuration. */
+/* The state of a service, kept across versions of the configuration. */
 struct svc {
 	char name[NAME_MAX_GS];
 	int keyed;
 	struct budget again;
-	double work; /* usual time of all its requests, microseconds */
+	double work; /* moving average of its requests' time, microseconds */
 	struct line line;
 	struct heat heat;
 };
 
-/* What was learnt of the requests of one rule. */
+/* Statistics of the requests of one rule. */
 struct learnt {
 	uint64_t hash;
-	uint64_t count;
-	double work; /* usual time at a target, microseconds */
+	uint64_t count; /* of requests, to spread them over its backends */
+	double work; /* moving average of the time at a target, microseconds */
 };
 
 struct pending;
 
-/* One send to a target. */
+/* One attempt of a request: a send to one target. */
 struct attempt {
 	struct transfer t;
 	struct target_state *target;
-	int on_probation; /* the content was, when it was sent */
+	int on_probation; /* its content was on probation when it was sent */
 	usec sent;
 };
 
+/* A request that has not been answered. */
 struct pending {
 	struct pending *next;
 	struct pending *prev;
@@ -79,23 +86,25 @@
 	const struct rule *rule;
 	struct learnt *learnt;
 	struct svc *svc;
-	uint64_t digest; /* of its content */
+	uint64_t digest; /* of the content */
 	usec arrived;
 	usec deadline;
-	usec not_before; /* of the next try */
+	usec not_before; /* earliest time of the next attempt */
 	usec next_look;
-	usec parked; /* since when its key has had no owner; 0 is not */
-	uint64_t
-	    missent;  /* owners' number under which it was sent wrongly ... */
-	int missents; /* ... and how often */
-	int waiting;
-	int ran; /* targets that may have run it */
+	usec
+	    parked; /* since when it waits for its key to have an owner, or 0 */
+	uint64_t missent; /* number of the owners by which it was sent to a
+			     target that does not own the key ... */
+	int missents;	  /* ... and how often */
+	int waiting;	  /* in its queue */
+	int ran;	  /* attempts that may have run */
 	int tries;
-	struct target_state *last;
-	struct line *line; /* where it waits */
-	struct attempt *at;
+	struct target_state *last; /* that it was sent to */
+	struct line *line;	   /* that it waits in, or waited in last */
+	struct attempt *at;	   /* in flight; else NULL */
 };
 
+/* The router service. */
 struct direct {
 	struct service *s;
 	const struct target_ops *ops;
@@ -106,11 +115,10 @@
 	struct shared *site;
 	struct shared *owners;
 	struct shared *quarantine;
-	struct recent recent;	     /* contents that were answered */
+	struct recent recent;	     /* contents that got an answer */
 	struct crash_report crashes; /* since the last report */
-	struct recent tried; /* contents that ran on probation, unanswered */
-	struct stop_plan
-	    *stop_plan; /* this host stops; NULL where it does not */
+	struct recent tried; /* contents sent on probation without an answer */
+	struct stop_plan *stop_plan; /* NULL unless this host is stopping */
 	struct dest_conf conf;
 	struct svc svcs[SITE_SERVICES_MAX];
 	int nsvcs;
@@ -120,8 +128,8 @@
 	CURL *kept[EASY_KEPT];
 	int nkept;
 	int have_fleet;
-	int counted; /* it is known how many hosts there are */
-	int rank;    /* of this host among all */
+	int counted; /* the number of hosts is known */
+	int rank;    /* of this host among all hosts, from 0 */
 	int ready;
 	usec next_heat;
 	usec next_limits;
--- a/gspard/direct_crash.c
+++ b/gspard/direct_crash.c
@@ -1,11 +1,13 @@
-/* What the router sees of targets that crash, for the control service. */
+/* Reports of crashing targets to the control service, and the check whether a
+ * quarantined content may run. */
 #include "direct.h"
 
 /* Retry delay for a content on probation. */
 #define PROBATION_WAIT MS(1000)
 
-/* A target has ended: nobody takes connections at its address, another does, or
- * its entry is gone though it had not said that it leaves. */
+/* Reports the end of a target: its address refuses connections or belongs to
+ * another target, or its entry was removed though it had not announced that it
+ * leaves. */
 void
 crash_ended(struct direct *d, struct target_state *s)
 {
@@ -17,7 +19,7 @@
 	n->ended[n->nended++] = s->digest;
 }
 
-/* The list of the controller, or NULL. */
+/* Returns the controller's quarantine list, or NULL. */
 static const struct quarantine_list *
 listed(const struct direct *d)
 {
@@ -53,14 +55,14 @@
 		tell_answered(d, digest);
 }
 
-/* Records that a request is sent. */
+/* Records whether the content of a request that is sent is on probation. */
 void
 crash_sent(struct direct *d, struct pending *p, usec now)
 {
 	p->at->on_probation = on_probation(d, p->digest, now);
 }
 
-/* Records that a run ended without an answer. */
+/* Records that an attempt on probation ended without an answer. */
 void
 crash_unanswered(struct direct *d, const struct pending *p, usec now)
 {
@@ -82,7 +84,7 @@
 	}
 }
 
-/* True where this host has a run of the content under way. */
+/* True where this host has an attempt with the content in flight. */
 static int
 is_running(const struct direct *d, uint64_t digest)
 {
@@ -121,7 +123,8 @@
 	    !recent_has(&d->tried, p->digest, now));
 }
 
-/* A send to a target ended without an answer: it may have crashed under it. */
+/* Reports an attempt that ended without an answer: the request may have crashed
+ * the target. */
 void
 crash_broke(struct direct *d, const struct pending *p,
     const struct target_state *s, usec now)
--- a/gspard/direct_flow.c
+++ b/gspard/direct_flow.c
@@ -1,6 +1,6 @@
 /*
- * The way of one request: to its target, to a queue or to a refusal.  What
- * follows a send is in direct_outcome.c.
+ * Routes a request: sends it to a target, queues it or refuses it.  What
+ * follows an attempt is in direct_outcome.c.
  */
 #include <stdlib.h>
 #include <string.h>
@@ -9,24 +9,27 @@
 #include "feature.h"
 #include "hist.h"
 
-/* A key on its way to another target is waited for; a planned move takes as
- * long as the requests that run (36 to 220 ms), a little more when they are
- * many. */
+/* How long a request waits for a key without an owner.  A planned move takes as
+ * long as the requests that are running (36 to 220 ms), and a little longer if
+ * there are many. */
 #define PARK_MOST MS(1000)
-/* A target without a connection for so long is not worth waiting for. */
+/* Requests for the keys of a target that stays in backoff for longer are
+ * refused. */
 #define UNREACHED_WAIT MS(200)
-/* Callers are asked to come back after this long at least, and at most after a
- * third of their time: beyond that they do not come. */
+/* Shortest retry delay that callers are given, and the part of their remaining
+ * time beyond which they do not retry: the delay stays below a third of it. */
 #define RETRY_LEAST_MS 40
 #define RETRY_PART 3
-/* Where FEATURE_RETRY is off. */
+/* Retry delay with FEATURE_RETRY off. */
 #define RETRY_FIXED_MS 200
-/* Retry delay for keys that were not moved before their target was closed. */
+/* Retry delay for keys that were not moved before their target was closed for
+ * an evacuation. */
 #define EVACUATED_WAIT MS(500)
-/* How much one gap between starts changes what was learnt. */
+/* Weight of a new sample in the mean time between starts. */
 #define GAP_GAIN 0.2
 
-/* When to come back, in milliseconds, where it is better later than now. */
+/* Returns the retry delay for a caller, in milliseconds, given the expected
+ * wait in microseconds. */
 static uint32_t
 retry_after(const struct pending *p, usec wait, usec now)
 {
@@ -40,7 +43,7 @@
 	return ((uint32_t)(ms < RETRY_LEAST_MS ? RETRY_LEAST_MS : ms));
 }
 
-/* Takes a request out of the list. */
+/* Removes a request from its queue and from the list. */
 static void
 unlink_pending(struct direct *d, struct pending *p)
 {
@@ -57,7 +60,7 @@
 		d->last = p->prev;
 }
 
-/* Ends a request whose answer is filled in. */
+/* Ends a request whose answer is filled in, and frees it. */
 void
 flow_finish(struct direct *d, struct pending *p, usec now)
 {
@@ -72,7 +75,8 @@
 	call_end(c);
 }
 
-/* Ends a request with a code of ours. */
+/* Ends a request with a result code; wait is the time until a retry can
+ * succeed, in microseconds, or 0. */
 void
 flow_end(struct direct *d, struct pending *p, int code, usec wait, usec now)
 {
@@ -80,14 +84,14 @@
 	const char *target = p->last == NULL ? "-" : p->last->id;
 
 	/*
-	 * An earlier send may have run: what became of a later one says nothing
-	 * of it, and "not run" would be believed.
+	 * An earlier attempt may have run.  The outcome of a later one says
+	 * nothing about it, and callers rely on "not run".
 	 */
 	if (p->ran > 0 && result_outcome(code) == OUT_NOT_RUN)
 		code = GS_TARGET_LOST;
 	a->code = code;
 	a->outcome = (int)result_outcome(code);
-	/* A quarantined request is not to come back before its time. */
+	/* A quarantined request must not be retried before its time. */
 	a->retry_ms = code == GS_QUARANTINED ? (uint32_t)(wait / 1000)
 					     : retry_after(p, wait, now);
 	log_request("router", p->call->id,
@@ -103,7 +107,7 @@
 	flow_finish(d, p, now);
 }
 
-/* Lets a request wait in a line until the pump finds a way for it. */
+/* Puts a request into a queue; flow_pump() routes it again. */
 static void
 wait_in(struct pending *p, struct line *l)
 {
@@ -118,7 +122,7 @@
 	l->waiting++;
 }
 
-/* Notes that a request of a line starts. */
+/* Records that a request of a queue is sent. */
 static void
 line_start(struct pending *p, struct line *l, usec now)
 {
@@ -151,7 +155,7 @@
 	p->parked = 0;
 }
 
-/* How many requests wait in a line before one. */
+/* Returns the number of requests in a queue ahead of one. */
 static int
 ahead_in(const struct direct *d, const struct pending *p, const struct line *l)
 {
@@ -163,23 +167,23 @@
 	return (n);
 }
 
-/* How long a request that arrives now would wait in a line. */
+/* Returns the expected wait of a request in a queue, in microseconds. */
 static usec
 line_wait(const struct line *l, int ahead, usec now)
 {
 	double gap = l->gap;
 
-	/* Nothing has started for longer than usual: it goes on so. */
+	/* Nothing has started for longer than usual: assume that rate. */
 	if (l->waiting > 0 && (double)(now - l->last_start) > gap)
 		gap = (double)(now - l->last_start);
 	return ((usec)(ahead * gap));
 }
 
 /*
- * Lets a request wait for room, or refuses it at once where it could not start
- * in time: its caller may still find another host with room, and what is sure
- * to be late must not hold up what is not.  The target is NULL where any of
- * the service will do.
+ * Queues a request until a target can take it, or refuses it at once where it
+ * could not finish in time: its caller may still be served by another host, and
+ * requests that are bound to be late must not delay the others.  The target is
+ * NULL where any of the service will do.
  */
 static void
 wait_for_room(struct direct *d, struct pending *p, struct target_state *s,
@@ -202,7 +206,7 @@
 	wait_in(p, l);
 }
 
-/* A request whose key nobody owns at this moment: waits, or is refused. */
+/* Queues a request whose key has no owner at the moment, or refuses it. */
 static void
 park(struct direct *d, struct pending *p, const struct owner_range *r, usec now)
 {
@@ -227,7 +231,7 @@
 	wait_in(p, &p->svc->line);
 }
 
-/* Sends a request for a key to its owner, or lets it wait. */
+/* Sends a request for a key to the key's owner, queues it or refuses it. */
 static void
 try_owner(struct direct *d, struct pending *p, usec now)
 {
@@ -248,10 +252,11 @@
 		return;
 	}
 	/*
-	 * Sent to the wrong one under this very view: its grant may have been
-	 * on the way, so once more a little later; then only under a newer.
-	 * A host that is cut off from the controller has an old view for
-	 * seconds, and all its requests would be repeated in vain.
+	 * By these same owners it was sent to a target that does not own the
+	 * key.  The target's grant may have been in transit, so it is retried
+	 * once after a delay, and then only by newer owners: a host that is cut
+	 * off from the controller has old ones for seconds, and would retry all
+	 * its requests in vain.
 	 */
 	if (p->missent == o->number &&
 	    (now < p->not_before || p->missents > 1)) {
@@ -269,7 +274,7 @@
 		wait_for_room(d, p, s, &s->line, now);
 }
 
-/* True where a service has a target that may be sent something. */
+/* True where a service has a target that is not closed. */
 static int
 has_targets(const struct direct *d, const struct svc *v, usec now)
 {
@@ -283,7 +288,7 @@
 	return (0);
 }
 
-/* Sends a request to any target of its service, or lets it wait. */
+/* Sends a request to any target of its service, queues it or refuses it. */
 static void
 try_any(struct direct *d, struct pending *p, usec now)
 {
@@ -297,7 +302,7 @@
 		wait_for_room(d, p, NULL, &p->svc->line, now);
 }
 
-/* Finds a way for a request. */
+/* Routes a request: sends it, queues it or refuses it. */
 void
 flow_send(struct direct *d, struct pending *p, usec now)
 {
@@ -314,7 +319,8 @@
 		try_any(d, p, now);
 }
 
-/* Looks after one request; it may be gone afterwards. */
+/* Handles the timers of one request, and routes it again while it waits.  The
+ * request may have been freed on return. */
 static void
 look_after(struct direct *d, struct pending *p, usec now)
 {
@@ -330,13 +336,13 @@
 	else if (p->waiting && p->tries == 0 && p->parked == 0 &&
 	    feature_on(FEATURE_EARLY) &&
 	    now + (usec)(p->learnt->work / 2) > p->deadline)
-		/* Too late to be worth a slot: others can still be in time. */
+		/* Too late to be worth a slot that others can use in time. */
 		flow_end(d, p, GS_TOO_LATE, 0, now);
 	else if (p->waiting)
 		flow_send(d, p, now);
 }
 
-/* Looks after all requests, most urgent first. */
+/* Handles all requests, in the order of their priority. */
 void
 flow_pump(struct direct *d, usec now)
 {
--- a/gspard/direct_outcome.c
+++ b/gspard/direct_outcome.c
@@ -1,6 +1,6 @@
 /*
- * What follows a send: what its end says of the target and of the request, and
- * whether that is answered, sent once more or given up.
+ * Outcomes of attempts: updates the state of the target, and decides whether
+ * the request is answered, retried or failed.
  */
 #include <string.h>
 
@@ -9,15 +9,17 @@
 #include "hist.h"
 #include "incarnation.h"
 
-/* Sends that did not reach a target, or not the right one, are not limited by
- * the rule's attempts, for nothing ran; but they end. */
+/* Bounds the attempts that did not run, because the target was not reached, was
+ * full or did not own the key.  The rule's limit counts only those that may
+ * have run. */
 #define TRIES_MOST 4
-/* Between tries of a request that was sent to the wrong target. */
+/* Retry delay of a request that was sent to a target that does not own its key.
+ */
 #define MISSENT_WAIT MS(250)
-/* How much one answer changes what was learnt of the time requests take. */
+/* Weight of a new sample in the average time of requests. */
 #define WORK_GAIN 0.05
 
-/* Ends a request with the target's answer. */
+/* Ends a request with the target's answer, which moves to the call. */
 static void
 deliver(struct direct *d, struct pending *p, usec now)
 {
@@ -33,7 +35,7 @@
 	flow_finish(d, p, now);
 }
 
-/* What the end of a send says of its target. */
+/* Returns what the end of an attempt says about its target. */
 static enum dest_end
 target_end(const struct attempt *a, CURLcode res, enum reply_kind kind)
 {
@@ -48,7 +50,7 @@
 	return (kind == REPLY_FAILURE ? DEST_FAILED : DEST_ANSWERED);
 }
 
-/* Learns from the end of a send. */
+/* Updates the statistics of the target, the rule and the service. */
 static void
 learn(struct pending *p, enum dest_end e, usec now)
 {
@@ -66,7 +68,7 @@
 	p->svc->work += WORK_GAIN * ((double)(now - a->sent) - p->svc->work);
 }
 
-/* True where a request that may have run may be sent once more. */
+/* True where a request that may have run may be retried. */
 static int
 may_repeat(const struct pending *p, usec now)
 {
@@ -76,7 +78,7 @@
 	    budget_withdraw(&p->svc->again));
 }
 
-/* True where one that is known not to have run may be sent once more. */
+/* True where a request that is known not to have run may be retried. */
 static int
 may_resend(const struct pending *p, int arrived, usec now)
 {
@@ -85,11 +87,11 @@
 		return (0);
 	if (arrived && !feature_on(FEATURE_RESEND))
 		return (0);
-	/* Only what arrived at a target counts against the budget. */
+	/* Only attempts that reached a target use the retry budget. */
 	return (!arrived || budget_withdraw(&p->svc->again));
 }
 
-/* Sends a request once more. */
+/* Retries a request. */
 static void
 again(struct direct *d, struct pending *p, usec now)
 {
@@ -98,7 +100,8 @@
 	flow_send(d, p, now);
 }
 
-/* The target did not run it: sends it on, or says when to come back. */
+/* Handles an attempt that the target did not run: retries it or refuses the
+ * request. */
 static void
 not_run(struct direct *d, struct pending *p, enum reply_kind kind, usec now)
 {
@@ -107,7 +110,7 @@
 
 	if (kind == REPLY_MISSENT) {
 		count_add(C_MISSENT, 1);
-		/* Another target has taken the address over. */
+		/* The address now belongs to another target. */
 		if (p->at->t.reply.instance[0] != '\0' &&
 		    !incarnation_is_of(s->id, p->at->t.reply.instance)) {
 			s->replaced = 1;
@@ -130,7 +133,7 @@
 		flow_end(d, p, GS_SHED, (usec)p->learnt->work, now);
 }
 
-/* Nothing whole came back, and the target may have run it. */
+/* Handles an attempt without a complete answer, which may have run. */
 static void
 maybe_run(struct direct *d, struct pending *p, CURLcode res, usec now)
 {
@@ -142,11 +145,12 @@
 	if (res != CURLE_OK && code == GS_TARGET_LOST)
 		crash_broke(d, p, p->at->target, now);
 	log_request("router", p->call->id,
-	    "no whole answer from target %s at %s after %lld ms: %s, "
+	    "no complete answer from target %s at %s after %lld ms: %s, "
 	    "content %016llx, try %d",
 	    p->at->target->id, p->at->target->addr,
 	    (long long)((now - p->at->sent) / 1000),
-	    res == CURLE_OK ? "not to this request" : curl_easy_strerror(res),
+	    res == CURLE_OK ? "not an answer to this request"
+			    : curl_easy_strerror(res),
 	    (unsigned long long)p->digest, p->tries);
 	if (code == GS_TARGET_LOST && may_repeat(p, now))
 		again(d, p, now);
@@ -154,7 +158,7 @@
 		flow_end(d, p, code, 0, now);
 }
 
-/* The target was not reached. */
+/* Handles an attempt that did not reach its target. */
 static void
 unreached(struct direct *d, struct pending *p, CURLcode res, usec now)
 {
@@ -168,9 +172,9 @@
 }
 
 /*
- * Notes the limit that a target names with an answer.  One without it ends the
- * limit only where it is a success: refusals and failures may leave it out, and
- * a target in need has many of them.
+ * Updates a target's rate limit from an answer.  An answer that names none ends
+ * the limit only if it is a success: refusals and failures may omit it, and an
+ * overloaded target sends many of these.
  */
 static void
 note_limit(struct direct *d, struct target_state *s, double limit,
@@ -186,14 +190,15 @@
 	d->next_limits = now;
 	if (limit >= 0)
 		log_line(LOG_NOTICE, "router",
-		    "Target %s takes %.2f requests a second from all hosts.",
+		    "Target %s limits all hosts to %.2f requests a second.",
 		    s->id, limit);
 	else
 		log_line(LOG_NOTICE, "router",
-		    "Target %s names no limit any more.", s->id);
+		    "Target %s no longer sets a rate limit.", s->id);
 }
 
-/* Notes whether the target is there, and that the content was answered. */
+/* Updates whether the target has ended, its limit, and whether the content got
+ * an answer. */
 static void
 note_target(struct direct *d, struct pending *p, CURLcode res,
     enum reply_kind kind, usec now)
@@ -211,7 +216,7 @@
 		crash_answered(d, p->digest, now);
 }
 
-/* A send ended: takes its outcome. */
+/* Handles the end of an attempt. */
 void
 flow_ended(struct direct *d, struct pending *p, CURLcode res, usec now)
 {
@@ -239,7 +244,7 @@
 	}
 }
 
-/* The time of a request is up. */
+/* Ends a request whose deadline has passed. */
 void
 flow_expire(struct direct *d, struct pending *p, usec now)
 {
@@ -252,7 +257,7 @@
 	flow_end(d, p, p->at->t.begun ? GS_DEADLINE : GS_TOO_LATE, 0, now);
 }
 
-/* The caller of a request has left: what runs for it is cut. */
+/* Ends a request whose caller has disconnected, and cuts its attempt. */
 void
 flow_left(struct direct *d, struct pending *p, usec now)
 {
--- a/gspard/direct_pick.c
+++ b/gspard/direct_pick.c
@@ -1,4 +1,5 @@
-/* The targets that are known here, and which of them a request goes to. */
+/* The router's targets, services and rule statistics, and the choice of a
+ * target for a request. */
 #include <stdlib.h>
 #include <string.h>
 
@@ -8,22 +9,22 @@
 #include "feature.h"
 #include "incarnation.h"
 
-/* Usual time of a request of which nothing was learnt, in microseconds. */
+/* Initial average time of requests, in microseconds. */
 #define WORK_FIRST 100000.0
 
 /* Interval at which limits of targets are updated. */
 #define LIMITS_EVERY MS(20)
-/* Assumed number of hosts until the controller has counted them. */
+/* Assumed number of hosts in a shared rate limit until it is known. */
 #define HOSTS_UNCOUNTED 512
 
-/* A target by id, or NULL. */
+/* Returns a target's state by id, or NULL. */
 struct target_state *
 target_state_find(struct direct *d, const char *id)
 {
 	return (apr_hash_get(d->by_id, id, APR_HASH_KEY_STRING));
 }
 
-/* The service of a target in the configuration in force, or NULL. */
+/* Returns a service of the current configuration by name, or NULL. */
 static const struct site_service *
 service_of(const struct direct *d, const char *name)
 {
@@ -34,9 +35,9 @@
 }
 
 /*
- * When a target stops getting requests because its data centre is evacuated:
- * at once, or after half of the bound where it owns keys, which are moved
- * first.
+ * Returns when a target stops getting requests because its data centre is
+ * evacuated: at once, or after half of the evacuation bound where it owns keys,
+ * which are moved first.
  */
 static usec
 closed_from(
@@ -49,7 +50,7 @@
 	    &f->evacuations, t->dc, v != NULL && v->keyed ? bound / 2 : 0));
 }
 
-/* Sets until when a target is cold, and its rate limit meanwhile. */
+/* Sets until when a target is cold, and its rate limit until then. */
 static void
 take_cold(struct dest *d, const struct site_service *v, const struct fleet *f,
     const struct fleet_target *t)
@@ -61,7 +62,7 @@
 	d->cold_rate = v == NULL ? 0 : v->cold_rate;
 }
 
-/* This host's turns at targets whose limit is shared by all hosts. */
+/* Returns this host's turns at targets whose limit is shared by all hosts. */
 static struct rate_turns
 turns(const struct direct *d, usec now)
 {
@@ -70,7 +71,8 @@
 
 	if (d->counted)
 		return (t);
-	/* Too small a share only delays requests; too large breaks limits. */
+	/* Too small a share only delays requests; too large a one exceeds the
+	 * limits. */
 	t.hosts = HOSTS_UNCOUNTED;
 	t.rank = (int)(XXH3_64bits(host, strlen(host)) % HOSTS_UNCOUNTED);
 	return (t);
@@ -88,7 +90,7 @@
 		dest_apply_limit(&p->dest, &t, now);
 }
 
-/* Takes in a target's entry. */
+/* Adds or updates a target from its entry. */
 static void
 take_entry(struct direct *d, const struct fleet *f,
     const struct fleet_target *t, usec now)
@@ -119,7 +121,7 @@
 	p->listed = 1;
 }
 
-/* Takes in the list of targets. */
+/* Updates all targets from a new list; those not on it are leaving. */
 void
 targets_take(struct direct *d, const struct fleet *f, usec now)
 {
@@ -138,7 +140,7 @@
 	targets_limits(d, now);
 }
 
-/* Frees targets that are on no list and have no requests of ours. */
+/* Frees targets that are not listed and that no request refers to. */
 void
 targets_sweep(struct direct *d)
 {
@@ -155,7 +157,8 @@
 	}
 }
 
-/* What is kept of a service; made where there is none yet. */
+/* Returns the state of a service, which is created if missing; NULL where the
+ * table is full. */
 struct svc *
 svc_of(struct direct *d, const char *name)
 {
@@ -177,7 +180,8 @@
 	return (v);
 }
 
-/* What was learnt of a rule; the place of another where the table is full. */
+/* Returns the statistics of a rule, which are created if missing and replace
+ * another rule's where all of its slots are taken. */
 struct learnt *
 learnt_of(struct direct *d, const struct rule *r)
 {
@@ -199,8 +203,9 @@
 	return (l);
 }
 
-/* The target of a service that would answer soonest; NULL where none has
- * room.  The one that failed this request is the last choice. */
+/* Returns the target of a service that is expected to answer soonest, or NULL
+ * where all are full.  The cost of the one that this request was sent to before
+ * is multiplied, so that a retry prefers another. */
 struct target_state *
 pick_any(struct direct *d, const struct pending *p, usec now)
 {
@@ -215,7 +220,8 @@
 		    &s->dest, now, (usec)p->learnt->work, (usec)p->svc->work);
 		if (s == p->last)
 			cost *= 8;
-		/* Hosts that know the same would all choose the same. */
+		/* Random, or hosts in the same state would all choose the same
+		 * target. */
 		d->seed = d->seed * 6364136223846793005u + 1442695040888963407u;
 		if (feature_on(FEATURE_SPREAD))
 			cost *= 1 + (double)(d->seed >> 40) / (1 << 24) * 0.15;
--- a/gspard/direct_send.c
+++ b/gspard/direct_send.c
@@ -1,23 +1,25 @@
-/* One send of a request to a target: the HTTP transfer and what it tells. */
+/* Attempts: the HTTP transfers that carry requests to targets. */
 #include <stdio.h>
 #include <stdlib.h>
 #include <string.h>
 
 #include "direct.h"
 
-/* An answer's body beyond this is not held in memory. */
+/* Largest body of an answer; larger ones are refused. */
 #define ANSWER_MAX (48u * 1024 * 1024)
-/* A target that does not take a connection in this time is not there: a new
- * one takes about 1 ms and the way to and fro. */
+/* A target that does not accept a connection within this time is unreachable:
+ * a connection takes one round trip and about 1 ms. */
 #define CONNECT_MS 300
-/* Kept connections idle for longer are not used: targets close them after
- * some seconds, and what is sent just then is lost. */
+/* Connections that were idle for longer are not reused: targets close them
+ * after some seconds, and a request sent at that moment is lost.  The lower
+ * limit is for requests that are not idempotent. */
 #define IDLE_S 4L
 #define IDLE_ONCE_S 2L
-/* What the way back takes, so that a target gives up before the caller. */
+/* Time allowed for the answer's way back, so that a target gives up before its
+ * caller does. */
 #define WAY_MS 3
 
-/* A transfer handle, used again where one is free. */
+/* Returns a transfer handle, a cached one if there is any. */
 static CURL *
 easy_get(struct direct *d)
 {
@@ -26,7 +28,8 @@
 	return (curl_easy_init());
 }
 
-/* Frees an attempt; an open one is cut, which tells the target to stop. */
+/* Frees an attempt.  One in flight loses its connection, which tells the target
+ * to stop. */
 static void
 attempt_free(struct direct *d, struct attempt *a)
 {
@@ -40,7 +43,7 @@
 	free(a);
 }
 
-/* Sets what the transfer sends. */
+/* Sets the method, target and body of the HTTP request. */
 static void
 set_request(struct attempt *a, const struct call *c)
 {
@@ -61,7 +64,8 @@
 		curl_easy_setopt(a->t.easy, CURLOPT_CUSTOMREQUEST, c->method);
 }
 
-/* Sets how the transfer goes. */
+/* Sets the address, timeouts and connection reuse of the transfer; left is the
+ * time until the deadline. */
 static void
 set_transfer(struct attempt *a, const struct pending *p, usec left)
 {
@@ -74,18 +78,16 @@
 	curl_easy_setopt(a->t.easy, CURLOPT_MAXAGE_CONN,
 	    p->rule->idempotent ? IDLE_S : IDLE_ONCE_S);
 	/*
-	 * What broke once is sent on a new connection: the kept ones may have
-	 * died together.  Not what was refused: a target with a long queue
-	 * resets new connections, and the refusal would become "may have run".
-	 * Failed credit falls from 3.23 to 3.05 of 100, worth rises by 0.005
-	 * (20 heavy days of 8 hosts and 29 targets, paired; 11 of 12 hosts and
-	 * 35 targets: no difference).
+	 * A retry after a broken connection uses a new one, as the cached ones
+	 * may have died together.  A retry after a refusal does not: a target
+	 * with a long queue resets new connections, and the outcome would
+	 * change from "not run" to "may have run".
 	 */
 	if (p->ran > 0)
 		curl_easy_setopt(a->t.easy, CURLOPT_FRESH_CONNECT, 1L);
 }
 
-/* Sends a request to a target; 0, or -1 without memory. */
+/* Starts an attempt of a request; 0, or -1 where memory is exhausted. */
 int
 attempt_start(
     struct direct *d, struct pending *p, struct target_state *target, usec now)
@@ -113,7 +115,7 @@
 	return (0);
 }
 
-/* Takes an attempt off its request; one under way is cut. */
+/* Frees a request's attempt, if any; one in flight is cut. */
 void
 attempt_drop(struct direct *d, struct pending *p)
 {
@@ -125,7 +127,7 @@
 	attempt_free(d, a);
 }
 
-/* Takes all transfers that ended. */
+/* Handles all transfers that have ended. */
 void
 attempts_reap(struct direct *d, usec now)
 {
