--- a/gspard/callers.c
+++ b/gspard/callers.c
@@ -1,19 +1,21 @@
 /*
- * The connections of callers.  The HTTP library closes them all at once when it
- * ends, those too on which a request has just come; here a stop ends those that
- * are idle one by one, and leaves the others their answer.
+ * The connections of callers.  When the HTTP library stops, it closes all of
+ * them at once, also those on which a request has just arrived.  So an orderly
+ * stop ends the idle ones here, and leaves the others open until their requests
+ * are answered.
  */
 #include <stdlib.h>
 #include <sys/socket.h>
 
 #include "callers.h"
 
+/* A connection of a caller. */
 struct caller {
 	struct caller *next;
 	struct caller **link;
 	int fd;
 	int busy;  /* a request is being read or answered */
-	int ended; /* closed for reading, as one that was idle */
+	int ended; /* shut down for reading while it was idle */
 };
 
 struct callers {
@@ -21,7 +23,8 @@
 	struct caller *first;
 };
 
-/* The list, empty, under the lock of its door; NULL without memory. */
+/* Returns an empty list that uses the door's lock; NULL where memory is
+ * exhausted. */
 struct callers *
 callers_new(apr_thread_mutex_t *lock)
 {
@@ -33,14 +36,14 @@
 	return (l);
 }
 
-/* Frees the list, once the library has closed all connections. */
+/* Frees the list, after the library has closed all connections. */
 void
 callers_free(struct callers *l)
 {
 	free(l);
 }
 
-/* Takes in a connection that was let in. */
+/* Adds a connection that was accepted. */
 static void
 add(struct callers *l, struct MHD_Connection *conn, void **state)
 {
@@ -64,7 +67,7 @@
 	*state = c;
 }
 
-/* Takes out a connection before its descriptor is closed. */
+/* Removes a connection before its descriptor is closed. */
 static void
 drop(struct callers *l, void **state)
 {
@@ -81,7 +84,7 @@
 	free(c);
 }
 
-/* Called by the library for each connection that comes or goes. */
+/* Called by the library for each connection that is opened or closed. */
 void
 callers_changed(void *arg, struct MHD_Connection *conn, void **state,
     enum MHD_ConnectionNotificationCode what)
@@ -93,9 +96,9 @@
 }
 
 /*
- * Notes that a request on a connection begins, or has had its answer.  True
- * where the connection was ended just before the request came: its end then
- * says nothing of whether its caller is still there.
+ * Records that a request on a connection begins or has been answered.  True
+ * where callers_end_idle() has ended the connection just before the request
+ * arrived: an end of file on it then doesn't mean that the caller has left.
  */
 int
 callers_busy(struct callers *l, struct MHD_Connection *conn, int busy)
@@ -116,7 +119,7 @@
 	return (ended);
 }
 
-/* True where bytes of a request wait to be read. */
+/* True where bytes of a request are waiting to be read. */
 static int
 has_bytes(const struct caller *c)
 {
@@ -126,11 +129,12 @@
 }
 
 /*
- * Ends the connections that are idle.  A caller that kept one since before the
- * stop was never told to close it; what it sends now would be refused, or cut
- * when the process ends.  Closed for reading, the connection still gives the
- * library what came before, and then its end: the library closes it without
- * having read part of a request, after which any request may be sent elsewhere.
+ * Ends the idle connections.  A caller that has kept one open since before the
+ * stop was never asked to close it, and its next request would be refused, or
+ * cut off when the process exits.  After a shutdown for reading, the library
+ * still reads what has arrived and then the end of file, and closes the
+ * connection without having read part of a request.  So the caller may safely
+ * send any request to another host.
  */
 void
 callers_end_idle(struct callers *l)
--- a/gspard/callers.h
+++ b/gspard/callers.h
@@ -1,4 +1,4 @@
-/* The connections of callers: which are idle, so that a stop can end them. */
+/* The connections of callers, of which an orderly stop ends the idle ones. */
 #ifndef CALLERS_H
 #define CALLERS_H
 
--- a/gspard/heat_report.c
+++ b/gspard/heat_report.c
@@ -1,4 +1,4 @@
-/* What the router tells the control service of requests and targets. */
+/* The router's reports to the control service on requested keys and targets. */
 #include <stdlib.h>
 #include <string.h>
 
@@ -6,7 +6,8 @@
 
 #define TARGETS_TOLD 1024
 
-/* An empty report with room for so many services; NULL without memory. */
+/* Returns an empty report with capacity for a number of services; NULL where
+ * memory is exhausted. */
 struct heat_report *
 heat_report_new(int services)
 {
@@ -22,7 +23,7 @@
 	return (NULL);
 }
 
-/* Adds the keys of a service that were asked for. */
+/* Adds a service's sample of requested keys. */
 void
 heat_report_keys(
     struct heat_report *h, const char *service, const struct heat *heat)
@@ -33,7 +34,7 @@
 	k->heat = *heat;
 }
 
-/* Adds what was learnt of a target that answered. */
+/* Adds the state of a target that has answered since the last report. */
 void
 heat_report_target(struct heat_report *h, const char *id, double speed,
     double limit, int answers)
@@ -53,7 +54,7 @@
 	t->answers = answers;
 }
 
-/* Frees a report; void * so that messages can carry it. */
+/* Frees a report; has the type of a message's drop function. */
 void
 heat_report_free(void *arg)
 {
--- a/gspard/platform.c
+++ b/gspard/platform.c
@@ -1,4 +1,4 @@
-/* The service that calls the platform's object API. */
+/* The service that sends calls to the platform's store. */
 #include <stdio.h>
 #include <stdlib.h>
 #include <string.h>
@@ -10,26 +10,30 @@
 #include "store.h"
 #include "transfer.h"
 
-/* An answer after this long is worth nothing to any lease. */
+/* Timeout of a call; a later answer is of no use to any lease. */
 #define CALL_MS 1500
 /*
- * Lists and changes may be large: they have so long while bytes come, and
- * CALL_MS between these.  With CALL_MS for the whole, a link that needs longer
- * than that for 750 KB never gets it: each read is given up most of the way.
+ * Lists and changes may be large: their timeout is longer while bytes arrive,
+ * and CALL_MS applies to gaps between these.  With CALL_MS for the whole
+ * answer, a link that needs longer than that for 750 KB never gets it, as each
+ * read is given up most of the way.
  */
 #define LARGE_MS 10000
+/* Longest wait for events, without large calls in flight and with. */
 #define IDLE_MS 1000
-/* Between looks for calls that stand still. */
 #define LOOK_MS 100
 
 struct store_call;
+
+/* The platform service. */
 struct platform {
 	CURLM *multi;
 	struct store_call *open;
-	int at; /* the address in use */
+	int at; /* index of the address in use */
 	int stop;
 };
 
+/* A call in flight. */
 struct store_call {
 	struct store_call *next;
 	struct store_call **link;
@@ -38,12 +42,12 @@
 	CURL *easy;
 	struct curl_slist *heads;
 	struct str body;
-	int at;
+	int at; /* index of the address that it was sent to */
 	usec sent;
-	usec moved; /* when bytes came last */
+	usec moved; /* when bytes last arrived */
 };
 
-/* Collects the answer's body. */
+/* Appends received bytes to the answer's body. */
 static size_t
 on_body(char *p, size_t size, size_t n, void *arg)
 {
@@ -53,7 +57,7 @@
 	return (str_add(&c->body, p, size * n) == 0 ? size * n : 0);
 }
 
-/* Passes each line of the answer's head on to the store's form. */
+/* Passes a header line of the answer to the kind of store. */
 static size_t
 on_head(char *p, size_t size, size_t n, void *arg)
 {
@@ -64,7 +68,7 @@
 	return (size * n);
 }
 
-/* Frees a call and takes it off the list of open ones. */
+/* Removes a call from the list and frees it. */
 static void
 call_free(struct store_call *c)
 {
@@ -80,7 +84,7 @@
 	free(c);
 }
 
-/* The kind of store that the settings name. */
+/* Returns the kind of store that the settings name. */
 static const struct store_form *
 form_of(const struct conf *conf)
 {
@@ -94,7 +98,7 @@
 	return (st->op == STORE_LIST || st->op == STORE_WATCH);
 }
 
-/* Starts a call; the service owns the store from here on. */
+/* Starts a call; the service owns st from here on. */
 static void
 begin(struct service *s, struct store *st)
 {
@@ -142,7 +146,8 @@
 		curl_easy_setopt(
 		    c->easy, CURLOPT_POSTFIELDSIZE, (long)h.body.n);
 		curl_easy_setopt(c->easy, CURLOPT_COPYPOSTFIELDS, h.body.p);
-		/* A write that may have been done is never sent twice. */
+		/* On a cached connection that has died libcurl would send a
+		 * write again, which may have been done. */
 		curl_easy_setopt(c->easy, CURLOPT_FRESH_CONNECT, 1L);
 	}
 	curl_easy_setopt(c->easy, CURLOPT_HTTPHEADER, c->heads);
@@ -152,9 +157,9 @@
 }
 
 /*
- * Turns to the platform's next address after a call without answer.  Calls
- * begun before an earlier turn do not turn it again, or several lost together
- * would skip an address that works.
+ * Switches to the platform's next address after a call without an answer.  A
+ * call that was sent before an earlier switch does not cause another, or
+ * several calls that fail together would skip an address that works.
  */
 static void
 turn(struct service *s, const struct store_call *c)
@@ -165,11 +170,11 @@
 	if (conf->nplatforms < 2 || c->at != p->at)
 		return;
 	p->at = (p->at + 1) % conf->nplatforms;
-	log_line(LOG_NOTICE, "platform", "No answer from %s, turning to %s.",
+	log_line(LOG_NOTICE, "platform", "No answer from %s, switching to %s.",
 	    conf->platform[c->at], conf->platform[p->at]);
 }
 
-/* Sends a call's outcome back to who asked. */
+/* Sends a call's outcome to the service that made it. */
 static void
 finish(struct service *s, struct store_call *c, CURLcode res)
 {
@@ -184,7 +189,7 @@
 		turn(s, c);
 	}
 	st->took = clock_mono() - c->sent;
-	/* A watch ends when its time is over, not when the store is done. */
+	/* The time of a watch says nothing: the store waits for changes. */
 	if (st->wait_ms == 0)
 		hist_add(H_STORE, st->took);
 	st->status = (int)status;
@@ -205,7 +210,7 @@
 		msg_free(m);
 }
 
-/* Takes all messages waiting. */
+/* Handles all messages in the ring. */
 static void
 take(struct service *s)
 {
@@ -222,7 +227,7 @@
 	}
 }
 
-/* Takes all calls that ended. */
+/* Handles all calls that have ended. */
 static void
 reap(struct service *s)
 {
@@ -241,8 +246,8 @@
 	}
 }
 
-/* True where no byte came for too long; the answer to a watch may begin late.
- */
+/* True where no byte has arrived for too long; the answer to a watch may begin
+ * late. */
 static int
 stands_still(const struct store_call *c, usec now)
 {
@@ -251,7 +256,7 @@
 	return (is_large(c->store) && now - c->moved > MS(ms));
 }
 
-/* Ends calls that stand still; how long to wait for the next look, in ms. */
+/* Ends stalled calls; returns the time until the next check, in ms. */
 static int
 end_still(struct service *s, usec now)
 {
@@ -272,7 +277,7 @@
 	return (wait);
 }
 
-/* The thread. */
+/* Runs the service's thread until MSG_QUIT. */
 static void
 platform_run(struct service *s)
 {
@@ -289,7 +294,7 @@
 	}
 }
 
-/* Makes the service ready. */
+/* Opens the service; 0, or -1 on failure. */
 static int
 platform_open(struct service *s)
 {
@@ -305,7 +310,7 @@
 	return (0);
 }
 
-/* Ends calls still open; their outcome stays unknown. */
+/* Frees the service's state; calls in flight end with an unknown outcome. */
 static void
 platform_close(struct service *s)
 {
--- a/gspard/probe.c
+++ b/gspard/probe.c
@@ -1,6 +1,6 @@
 /*
- * The service that the balancer's probes and the collectors of metrics read,
- * on hosts that send to targets themselves.
+ * The service that answers the load balancer's health checks and serves the
+ * metrics, on hosts that send to targets themselves.
  */
 #include <stdlib.h>
 #include <string.h>
@@ -14,7 +14,7 @@
 #define BACKLOG 32
 #define IDLE_SECONDS 10u
 #define CONNECTIONS_MAX 32u
-/* A connection's buffer; probes are small, and memory is counted. */
+/* Buffer of a connection; health checks are small, and memory is limited. */
 #define CONNECTION_BYTES ((size_t)4096)
 
 struct probe {
@@ -24,7 +24,7 @@
 	int stopping;
 };
 
-/* Answers with a text. */
+/* Queues a text as the answer. */
 static enum MHD_Result
 answer(struct MHD_Connection *conn, unsigned status, char *text,
     enum MHD_ResponseMemoryMode mode)
@@ -38,7 +38,8 @@
 	return (res);
 }
 
-/* Answers a balancer: it sends callers here as long as this is 200. */
+/* Answers a health check; the load balancer sends callers here while the status
+ * is 200. */
 static enum MHD_Result
 on_ready(void *cls, struct MHD_Connection *conn, const char *url,
     const char *method, const char *version, const char *data, size_t *size,
@@ -55,7 +56,7 @@
 	    conn, ok ? 200 : 503, ok ? yes : no, MHD_RESPMEM_PERSISTENT));
 }
 
-/* Answers a collector. */
+/* Serves the metrics. */
 static enum MHD_Result
 on_metrics(void *cls, struct MHD_Connection *conn, const char *url,
     const char *method, const char *version, const char *data, size_t *size,
@@ -71,7 +72,7 @@
 	return (answer(conn, 200, text, MHD_RESPMEM_MUST_FREE));
 }
 
-/* Serves one address; NULL where it cannot. */
+/* Starts a server on one address; NULL on failure. */
 static struct MHD_Daemon *
 serve(struct service *s, const char *at, MHD_AccessHandlerCallback handler)
 {
@@ -90,7 +91,7 @@
 	return (d);
 }
 
-/* The thread: waits for the orders to stop. */
+/* Runs the service's thread, which waits for the messages of a stop. */
 static void
 probe_run(struct service *s)
 {
@@ -107,7 +108,7 @@
 	}
 }
 
-/* Makes the service ready. */
+/* Opens the service; 0, or -1 on failure. */
 static int
 probe_open(struct service *s)
 {
@@ -130,7 +131,7 @@
 	return (-1);
 }
 
-/* Stops serving. */
+/* Stops both servers and frees the service's state. */
 static void
 probe_close(struct service *s)
 {
--- a/gspard/slow.c
+++ b/gspard/slow.c
@@ -1,8 +1,8 @@
 /*
- * Requests that are being read.  The HTTP library closes a silent connection
- * without a word and waits for ever on one that sends a byte now and then.
- * Here each request has READ_MAX from its first line to its end; then its
- * caller is told so and the connection ends.
+ * The read timeout of requests.  The HTTP library closes a silent connection
+ * without an answer, and waits without limit for one that sends a byte now and
+ * then.  Here each request must be read whole within READ_MAX of its first
+ * line; else its caller gets an error and the connection is closed.
  */
 #include <stdio.h>
 #include <stdlib.h>
@@ -13,15 +13,17 @@
 
 #define READ_MAX MS(6000)
 
-/* Who has the say over a call's answer. */
+/* Who answers a call: nobody yet, the door, or the timeout. */
 enum { READING, CLAIMED, TOLD };
 
+/* The calls whose requests are being read or answered. */
 struct slow {
 	apr_thread_mutex_t *lock;
 	struct call *first;
 };
 
-/* The list, empty, under the lock of its door; NULL without memory. */
+/* Returns an empty list that uses the door's lock; NULL where memory is
+ * exhausted. */
 struct slow *
 slow_new(apr_thread_mutex_t *lock)
 {
@@ -33,14 +35,14 @@
 	return (l);
 }
 
-/* Frees the list; the calls are the library's. */
+/* Frees the list, but not its calls. */
 void
 slow_free(struct slow *l)
 {
 	free(l);
 }
 
-/* Takes in a call whose first line has come. */
+/* Adds a call whose request line has been read. */
 void
 slow_add(struct slow *l, struct call *c, usec now)
 {
@@ -54,7 +56,7 @@
 	apr_thread_mutex_unlock(l->lock);
 }
 
-/* Takes out a call that the library is done with. */
+/* Removes a call that the library has completed. */
 void
 slow_remove(struct slow *l, struct call *c)
 {
@@ -66,9 +68,9 @@
 }
 
 /*
- * Claims a call for its usual answer; 0 where its caller was already told that
- * it is too slow.  Without this both could be written to one connection, the
- * one amid the other.
+ * Claims a call for its regular answer; 0 where the timeout has been answered
+ * already.  Without this, both answers could be written to the connection,
+ * mixed with each other.
  */
 int
 slow_claim(struct call *c)
@@ -80,7 +82,7 @@
 	    was == CLAIMED);
 }
 
-/* True where nobody has answered the call yet. */
+/* True where the call is neither claimed nor timed out. */
 int
 slow_is_reading(const struct call *c)
 {
@@ -88,9 +90,9 @@
 }
 
 /*
- * Tells a caller and ends its connection.  The library takes no answer while a
- * request is being read, so it is written past it; the end of the connection
- * then makes the library let go.
+ * Answers a call that has timed out and closes its connection.  The library
+ * accepts no answer while it reads a request, so the answer is written to the
+ * socket directly; the shutdown makes the library end the connection.
  */
 static void
 tell(const struct call *c)
@@ -110,7 +112,7 @@
 	count_add(C_CALLER_BAD, 1);
 }
 
-/* Ends the calls that take too long. */
+/* Times out the calls that are read for too long. */
 void
 slow_tick(struct slow *l, usec now)
 {
--- a/gspard/slow.h
+++ b/gspard/slow.h
@@ -1,4 +1,4 @@
-/* Requests that are being read, and those that take too long. */
+/* The read timeout of requests. */
 #ifndef SLOW_H
 #define SLOW_H
 
--- a/gspard/target.c
+++ b/gspard/target.c
@@ -1,4 +1,5 @@
-/* One target of the dispatcher: its grants and the shards it is to hold. */
+/* The dispatcher's targets: their grants, their shards and the short calls to
+ * them. */
 #include <stdio.h>
 #include <stdlib.h>
 #include <string.h>
@@ -10,13 +11,14 @@
 #include "dispatch.h"
 #include "view.h"
 
-/* A short call that takes longer is taken for failed. */
+/* Timeout of a short call. */
 #define NOTE_MS 300
-/* Requests sent again after a silence: a share of all, and in a burst. */
+/* Budget of requests retried after a target was silent: their share of all
+ * requests, and the largest burst. */
 #define AGAIN_SHARE 0.1
 #define AGAIN_BURST 64
 
-/* A target by name, or NULL. */
+/* Returns a target by name, or NULL. */
 struct target *
 target_find(struct dispatch *d, const char *name)
 {
@@ -29,7 +31,7 @@
 	return (NULL);
 }
 
-/* Frees what a ticket table remembers: a packed answer. */
+/* Frees a packed answer, the value of a ticket table's slots. */
 static void
 drop_answer(void *arg)
 {
@@ -39,8 +41,8 @@
 	free(b);
 }
 
-/* Copies what the catalogue says of the target; 0, or -1 where it is not
- * there. */
+/* Copies the target's settings from the catalogue; 0, or -1 where the catalogue
+ * does not have it. */
 int
 target_configure(struct dispatch *d, struct target *t)
 {
@@ -74,7 +76,8 @@
 	return (-1);
 }
 
-/* Takes a duty on; NULL where the catalogue here does not know the target. */
+/* Starts to dispatch for a target; NULL where memory is exhausted or this
+ * host's catalogue does not have the target. */
 struct target *
 target_new(struct service *s, const char *name, const struct dcell *c,
     const struct duty *duty, usec now)
@@ -117,7 +120,7 @@
 	return (t);
 }
 
-/* Ends a call and frees it. */
+/* Frees a short call; one in flight is cut. */
 static void
 note_free(struct service *s, struct note *n)
 {
@@ -133,7 +136,7 @@
 	free(n);
 }
 
-/* Frees a target that nothing waits for any more. */
+/* Frees a target with its short calls and runs. */
 void
 target_free(struct service *s, struct target *t)
 {
@@ -160,8 +163,8 @@
 }
 
 /*
- * Leaves moving shards out of the wanted set once nothing of theirs runs, and
- * takes back those whose move was called off.
+ * Removes moving shards from the wanted set once none of their requests runs,
+ * and adds those whose move was cancelled.
  */
 void
 target_sets(struct target *t)
@@ -180,7 +183,7 @@
 	}
 }
 
-/* Takes the shards that a view gives this target. */
+/* Sets the target's shards from a newer view. */
 void
 target_view(struct target *t, const Gspar__View *v, uint64_t number)
 {
@@ -217,7 +220,7 @@
 	target_sets(t);
 }
 
-/* Collects an answer's body. */
+/* Appends received bytes to the answer's body. */
 static size_t
 on_body(char *p, size_t size, size_t n, void *arg)
 {
@@ -226,7 +229,7 @@
 	return (str_add(&note->in, p, size * n) == 0 ? size * n : 0);
 }
 
-/* Starts a short call; the body, if any, is taken over. */
+/* Starts a short call; it owns the body, if any. */
 static void
 note_send(struct service *s, struct target *t, enum grant_step step,
     const char *path, char *body)
@@ -259,7 +262,7 @@
 	conn_age(t, n->easy, n->sent);
 	curl_easy_setopt(n->easy, CURLOPT_WRITEFUNCTION, on_body);
 	curl_easy_setopt(n->easy, CURLOPT_WRITEDATA, n);
-	/* The low bit tells notes from runs in reap(). */
+	/* The low bit distinguishes short calls from runs in reap(). */
 	curl_easy_setopt(n->easy, CURLOPT_PRIVATE, (void *)((uintptr_t)n | 1));
 	if (body != NULL) {
 		n->out.p = body;
@@ -271,7 +274,7 @@
 	curl_multi_add_handle(d->multi, n->easy);
 }
 
-/* Asks a target to stop a run; the answer changes nothing here. */
+/* Asks a target to stop a run; the answer is ignored. */
 void
 note_cancel(struct service *s, struct target *t, uint64_t id)
 {
@@ -282,7 +285,8 @@
 	note_send(s, t, STEP_NONE, path, NULL);
 }
 
-/* The text of a grant, whole or as a renewal. */
+/* Returns the JSON text of a grant, full or as a renewal; the caller frees it.
+ */
 static char *
 grant_text(struct service *s, const struct target *t, int whole, int64_t until)
 {
@@ -311,7 +315,7 @@
 	return (text);
 }
 
-/* Sends what the grant rules say is due. */
+/* Sends the short call that the grant's rules say is due. */
 void
 target_tick(struct service *s, struct target *t, usec now)
 {
@@ -321,7 +325,8 @@
 	enum grant_step step;
 	int64_t until = 0;
 
-	/* No view of this duty's epoch yet: its shards may be elsewhere. */
+	/* Without a view of this duty's epoch, the shards may be granted to
+	 * another target. */
 	step = grant_next(&t->grant, now,
 	    t->view >= t->min_view && t->view != 0 ? c->lease_until : 0,
 	    &until);
@@ -346,7 +351,7 @@
 	}
 }
 
-/* Takes the outcome of a short call. */
+/* Handles the outcome of a short call. */
 void
 note_done(struct service *s, struct note *n, CURLcode res, usec now)
 {
--- a/gspard/transfer.c
+++ b/gspard/transfer.c
@@ -1,3 +1,4 @@
+/* HTTP transfers to targets. */
 #include <netinet/in.h>
 #include <netinet/tcp.h>
 #include <string.h>
@@ -5,14 +6,15 @@
 
 #include "transfer.h"
 
-/* A silent connection is probed after this many seconds, this often ... */
+/* Keepalive probes of a silent connection: when they start, their interval in
+ * seconds, and how many may go unanswered ... */
 #define PROBE_IDLE_S 1
 #define PROBE_EVERY_S 1
 #define PROBES 2
-/* ... and lost after this, also where what was sent is not acknowledged. */
+/* ... and the time without an acknowledgement after which it is closed. */
 #define USER_TIMEOUT_MS 2500
 
-/* Wakes a service's thread that waits for its transfers. */
+/* Wakes a service's thread that waits for its transfers; multi is its CURLM. */
 void
 transfers_wake(void *multi)
 {
@@ -20,9 +22,8 @@
 }
 
 /*
- * Makes the kernel notice a connection that went silent for good.  Nothing
- * else tells: a watch on it hears no change, a request no answer, until their
- * time is up.
+ * Makes the operating system detect a dead connection.  Nothing else does: a
+ * watch on it gets no change and a request no answer until they time out.
  */
 int
 transfer_alive(void *arg, curl_socket_t fd, curlsocktype purpose)
@@ -39,7 +40,8 @@
 	return (CURL_SOCKOPT_OK);
 }
 
-/* Collects the answer's body, or forgets it where it is not wanted. */
+/* Appends received bytes to the answer's body, or discards them where the body
+ * is not wanted. */
 static size_t
 on_body(char *p, size_t size, size_t n, void *arg)
 {
@@ -54,7 +56,7 @@
 	return (str_add(&t->reply.body, p, size * n) == 0 ? size * n : 0);
 }
 
-/* Passes a header line on to the target's form. */
+/* Passes a header line of the answer to the kind of target. */
 static size_t
 on_head(char *p, size_t size, size_t n, void *arg)
 {
@@ -65,11 +67,11 @@
 }
 
 /*
- * Called just before the request goes out, and once more if the HTTP client
- * wants to send it again because a kept connection died unanswered.  The
- * target may have run the first: a reservation would be made twice, and a
- * grant would count from a later arrival than its sender reckons with.  So the
- * second is refused, and whether to send again is decided elsewhere.
+ * Called by libcurl just before it sends the request, and again before it
+ * resends it because a reused connection died without an answer.  The target
+ * may have run the first: a reservation would be made twice, and a grant would
+ * count from a later arrival than its sender assumes.  So the resend is
+ * aborted, and the owner of the transfer decides whether to retry.
  */
 static int
 on_send(void *arg, char *ip, char *local, int port, int local_port)
@@ -85,7 +87,7 @@
 	return (CURL_PREREQFUNC_OK);
 }
 
-/* Sets what all transfers to targets have in common. */
+/* Sets the options that all transfers to targets share. */
 void
 transfer_set(struct transfer *t, const char *url, long connect_ms)
 {
@@ -106,7 +108,7 @@
 	curl_easy_setopt(t->easy, CURLOPT_PREREQDATA, t);
 }
 
-/* Frees what a transfer holds beside its handle. */
+/* Frees a transfer's headers and answer, but not its handle. */
 void
 transfer_end(struct transfer *t)
 {
--- a/gspard/transfer.h
+++ b/gspard/transfer.h
@@ -9,9 +9,9 @@
 	CURL *easy;
 	struct curl_slist *heads;
 	struct reply reply;
-	size_t body_max; /* of the answer; 0 is not wanted */
-	int begun;	 /* bytes may have left */
-	int opened;	 /* ... on a connection that was opened for them */
+	size_t body_max; /* of the answer; 0 discards the body */
+	int begun;	 /* bytes may have been sent */
+	int opened;	 /* ... on a connection opened for this transfer */
 };
 
 void transfers_wake(void *multi);
--- a/gspard/watch.c
+++ b/gspard/watch.c
@@ -1,7 +1,7 @@
 /*
- * The service that follows the platform's store: the configuration, the list
- * of targets and which data centres are evacuated.  It publishes each change as
- * a snapshot to who needs it.
+ * The service that follows the platform's store: the configuration, the list of
+ * targets and the evacuations of data centres.  It publishes each change as a
+ * snapshot to the services that use it.
  */
 #include <stdlib.h>
 #include <string.h>
@@ -14,18 +14,19 @@
 #include "watch.h"
 
 #define TICK_US MS(100)
-/* A watch is asked anew after this long without a change.  One that waits may
- * miss changes when the store drops its history, and hears so only then.  Only
- * the controller, and hosts that hear none, follow the store. */
+/* A watch without a change is renewed after this time.  A waiting watch may
+ * miss changes when the store drops its history, and learns that only when it
+ * is renewed.  Only the controller, and hosts without one, follow the store. */
 #define WATCH_MS 1000
 #define WATCH_EVACUATIONS_MS 2000
-/* Changes that come close together are read with one call: each call counts,
- * and the bound on leaving targets (2 s) leaves room for it. */
+/* Pause after a change, so that changes in quick succession are read with one
+ * call: the number of calls matters, and the bound on leaving targets (2 s)
+ * permits the delay. */
 #define WATCH_PAUSE MS(250)
-/* Between tries while the store does not answer; the first follows sooner.
- * Each call counts, refused ones too; but what left while this host was cut
- * off must be known 3 s after its return, of which the doubt about lapsed
- * entries takes two. */
+/* Retry delay while the store does not answer, doubled from the first to the
+ * longest.  Each call counts, also a refused one; but targets that left while
+ * this host was cut off must be known 3 s after its return, of which the doubt
+ * window for lapsed entries takes two. */
 #define RETRY_FIRST MS(100)
 #define RETRY_MOST MS(400)
 
@@ -37,8 +38,8 @@
 	msg_post(s->kernel, to, kind, shared_ref(sh), shared_unref);
 }
 
-/* Notes an entry that makes no sense, once for each version: lists are read
- * again, and a line each time would say nothing new. */
+/* Logs an invalid entry, once for each version: lists are read repeatedly, and
+ * would repeat the line. */
 static void
 note_foreign(struct watch *w, const struct found *f)
 {
@@ -52,12 +53,11 @@
 	w->foreign[w->nforeign++ % FOREIGN_KEPT] = h;
 	count_add(C_ENTRY_FOREIGN, 1);
 	log_line(LOG_WARNING, "watch",
-	    "Entry of target %s, version %llu, makes no sense: no target is "
-	    "used by it.",
+	    "Entry of target %s, version %llu, is invalid: it counts as gone.",
 	    f->name, (unsigned long long)f->version);
 }
 
-/* Reads an entry of a target. */
+/* Handles a target's entry. */
 static void
 take_target(struct service *s, const struct found *f, usec now)
 {
@@ -88,18 +88,19 @@
 		evacuations_end(e, f->name, now);
 	else if (evacuations_begin(e, f->name, since) != 0)
 		log_line(LOG_ERR, "watch",
-		    "More than %d data centres are evacuated: not %s.",
+		    "More than %d data centres are evacuated: %s is not.",
 		    EVACUATIONS_MAX, f->name);
 }
 
-/* Handles changes of evacuations. */
+/* Handles changes of evacuations; since is when they began, or 0 where it is
+ * unknown. */
 static void
 take_evacuations(struct watch *w, const struct store *st, usec since, usec now)
 {
 	struct evacuations *e = &w->membership.evacuations;
 	int i;
 
-	/* Another host has sent a later revision meanwhile. */
+	/* Another host has already sent a later revision. */
 	if (st->nfound == 0 || st->version < e->as_of)
 		return;
 	for (i = 0; i < st->nfound; i++)
@@ -108,7 +109,7 @@
 	w->membership.changed = 1;
 }
 
-/* Reads all objects that a call found. */
+/* Handles all objects that a call returned. */
 static void
 take_found(
     struct service *s, enum feed_kind kind, const struct store *st, usec now)
@@ -130,7 +131,7 @@
 	}
 }
 
-/* A page of a list came; goes on with the next, or begins to watch. */
+/* Handles the end of a page: continues with the next, or begins to watch. */
 static void
 took_page(
     struct watch *w, enum feed_kind kind, const struct store *st, usec now)
@@ -138,8 +139,8 @@
 	struct feed *f = &w->feeds[kind];
 
 	/*
-	 * Watching goes on from the first page's revision: what changed while
-	 * the other pages were read is then told once more, and none is missed.
+	 * The watch starts at the first page's revision: it repeats changes
+	 * that were made while the other pages were read, and misses none.
 	 */
 	if (f->after[0] == '\0')
 		f->list_base = st->version;
@@ -162,7 +163,7 @@
 	}
 }
 
-/* True where a kind of object is asked for at all. */
+/* True where a kind of object is followed at all. */
 static int
 is_followed(const struct service *s, int kind)
 {
@@ -170,7 +171,7 @@
 	    kernel_conf(s->kernel)->bounds.evacuate_ms > 0);
 }
 
-/* True once the targets are known, and which of them are evacuated. */
+/* True once the targets and the evacuations are known. */
 static int
 knows_fleet(const struct service *s)
 {
@@ -200,7 +201,7 @@
 		    (unsigned long long)e->as_of);
 }
 
-/* Publishes the targets where they changed. */
+/* Publishes the targets if they have changed. */
 static void
 publish_fleet(struct service *s, usec now)
 {
@@ -224,10 +225,10 @@
 }
 
 /*
- * Tells the control service whether what is known here of targets is the
- * store's own word.  A controller that was cut off would otherwise tell all
- * hosts, once it is back, what it knew before, and a target that left
- * meanwhile would get work again.
+ * Tells the control service whether this host's list of targets was read from
+ * the store just now.  Otherwise a controller that was cut off would push its
+ * old list to all hosts once it is back, and a target that had left would get
+ * requests again.
  */
 static void
 set_fresh(struct service *s, int fresh)
@@ -241,7 +242,8 @@
 	    s->kernel, "control", fresh ? MSG_FRESH : MSG_STALE, NULL, NULL);
 }
 
-/* Changes came, or none in the time given; goes on from there. */
+/* Handles the end of a watch, with changes or without, and schedules the next.
+ */
 static void
 took_changes(struct feed *f, const struct store *st, usec now)
 {
@@ -250,7 +252,7 @@
 	f->next = now + (st->nfound > 0 ? WATCH_PAUSE : 0);
 }
 
-/* A call failed; the next try comes later each time. */
+/* Handles a failed call: schedules a retry, with a longer delay each time. */
 static void
 failed(struct service *s, struct feed *f, const struct store *st, usec now)
 {
@@ -266,7 +268,7 @@
 	if (f->backoff > RETRY_MOST)
 		f->backoff = RETRY_MOST;
 	f->next = now + f->backoff;
-	/* A call from before it was told may end now. */
+	/* A call from before MSG_BE_TOLD may end now. */
 	if (!w->told)
 		membership_store_failed(&w->membership, now);
 	set_fresh(s, 0);
@@ -275,9 +277,10 @@
 }
 
 /*
- * Begins to read all of a kind.  A list that is under way goes on, for what
- * changes meanwhile is told after it: given up at each new reason to list, a
- * list that takes longer than the reasons are apart never ends.
+ * Begins to list all objects of a kind.  A list in progress is continued, as
+ * the watch after it reports what changes meanwhile.  If each new reason to
+ * list restarted it, a list that takes longer than the time between these would
+ * never end.
  */
 static void
 list_feed(struct feed *f, usec now)
@@ -291,7 +294,7 @@
 	f->call++;
 }
 
-/* Ends a list that is not needed; its outcome, where one comes, is dropped. */
+/* Cancels a list that is not needed; the outcome of its call is ignored. */
 void
 watch_stop_list(struct feed *f)
 {
@@ -302,8 +305,8 @@
 }
 
 /*
- * The store has dropped its history: reads all kinds anew.  A watch of another
- * kind may still wait, deaf to what changed meanwhile.
+ * Lists all kinds, after the store has dropped its history: a watch of another
+ * kind that is still waiting may have missed changes.
  */
 static void
 list_all(struct service *s, usec now)
@@ -317,7 +320,7 @@
 	}
 }
 
-/* The kind of object that a call was for. */
+/* Returns the kind of object that a call was for. */
 static enum feed_kind
 kind_of(const struct watch *w, const char *tag)
 {
@@ -330,7 +333,7 @@
 	return ((enum feed_kind)i);
 }
 
-/* Takes the outcome of a call. */
+/* Handles the outcome of a call. */
 static void
 take_stored(struct service *s, const struct store *st, usec now)
 {
@@ -343,7 +346,8 @@
 		return;
 	f->open = 0;
 	if (st->result == STORE_FORGOTTEN) {
-		log_line(LOG_NOTICE, "watch", "History of %s gone, listing.",
+		log_line(LOG_NOTICE, "watch",
+		    "Store has dropped the history of %s, listing all.",
 		    f->kind);
 		list_all(s, now);
 		return;
@@ -365,16 +369,16 @@
 		took_page(w, kind, st, now);
 	else
 		took_changes(f, st, now);
-	/* After the configuration itself, which was published on its way. */
+	/* After the configuration itself, which was published above. */
 	if (kind == FEED_SITE && st->op == STORE_LIST && !f->listing)
 		msg_post(s->kernel, "control", MSG_SITE_READ, NULL, NULL);
-	/* First what it told, then that this is the store's own word. */
+	/* First the targets, then the message that they are from the store. */
 	publish_fleet(s, now);
 	if (kind == FEED_TARGETS && !f->listing && !w->told)
 		set_fresh(s, 1);
 }
 
-/* Starts the call that a feed is due for. */
+/* Starts a feed's next call, a page of a list or a watch. */
 static void
 ask(struct service *s, struct feed *f)
 {
@@ -402,7 +406,7 @@
 	store_send(s->kernel, st);
 }
 
-/* Does what is due. */
+/* Starts the calls that are due, and publishes changes. */
 static void
 tick(struct service *s, usec now)
 {
@@ -412,7 +416,7 @@
 	for (i = 0; i < FEEDS; i++) {
 		if (!is_followed(s, i) || (w->told && !w->feeds[i].listing))
 			continue;
-		/* One kind tells whether the store is back; others wait. */
+		/* While the store fails, only the first kind probes it. */
 		if (i > 0 && w->feeds[0].backoff != 0 &&
 		    w->feeds[i].backoff != 0)
 			continue;
@@ -423,10 +427,11 @@
 }
 
 /*
- * Another follows the store for this host, so it answers him now, though it may
- * not have answered here.  Left at that, a host that takes control minutes
- * later would take the store for just back, doubt each entry that is removed,
- * and let all hosts use a target for two seconds more than it may be used.
+ * Resets the record of store failures when the controller begins to follow the
+ * store for this host: the store answers the controller, even if it did not
+ * answer this host.  Otherwise this host, if it takes control minutes later,
+ * would assume that the store has just come back, doubt each removed entry, and
+ * let all hosts use a target for two seconds longer than allowed.
  */
 static void
 be_told(struct watch *w, usec now)
@@ -438,7 +443,7 @@
 		w->feeds[i].backoff = 0;
 }
 
-/* Takes one message. */
+/* Handles one message. */
 static void
 take(struct service *s, struct msg *m, usec now)
 {
@@ -479,7 +484,7 @@
 	}
 }
 
-/* The thread. */
+/* Runs the service's thread until MSG_QUIT. */
 static void
 watch_run(struct service *s)
 {
@@ -498,7 +503,7 @@
 	}
 }
 
-/* Makes the service ready. */
+/* Opens the service; 0, or -1 on failure. */
 static int
 watch_open(struct service *s)
 {
@@ -519,7 +524,7 @@
 	return (0);
 }
 
-/* Frees all. */
+/* Frees the service's state. */
 static void
 watch_close(struct service *s)
 {
--- a/gspard/watch.h
+++ b/gspard/watch.h
@@ -1,39 +1,42 @@
-/* The service that follows the store: what its parts share. */
+/* The service that follows the store: the types and functions that its files
+ * share. */
 #ifndef WATCH_H
 #define WATCH_H
 
 #include "gspard.h"
 #include "membership.h"
 
-/* Entries that make no sense, of which it is known that they were logged. */
+/* Number of invalid entries that are remembered as logged. */
 #define FOREIGN_KEPT 64
 
 enum feed_kind { FEED_SITE, FEED_TARGETS, FEED_EVACUATIONS, FEEDS };
 
-/* One kind of object that is followed. */
+/* One kind of object that is followed: a list of all, then watches. */
 struct feed {
 	const char *kind;
-	int listing; /* else watching */
-	int listed;  /* once, at least */
-	int open;
-	uint64_t call; /* the one that counts; others were given up */
-	uint64_t base;
-	uint64_t list_base;
-	char after[NAME_MAX_GS];
-	usec next;
-	usec backoff;
+	int listing;   /* else it watches */
+	int listed;    /* a list has been completed */
+	int open;      /* a call is in flight */
+	uint64_t call; /* id of the current call; the outcomes of others are
+			  ignored */
+	uint64_t base; /* revision after which the next watch starts */
+	uint64_t list_base;	 /* revision of the list's first page */
+	char after[NAME_MAX_GS]; /* last name of the page before, or "" */
+	usec next;		 /* earliest time of the next call */
+	usec backoff;		 /* retry delay; 0 while the store answers */
 };
 
+/* The watch service. */
 struct watch {
 	struct feed feeds[FEEDS];
 	struct membership membership;
-	struct evacuations listed; /* while a list of them is read */
+	struct evacuations listed; /* in the list that is being read */
 	struct shared *site;
-	uint64_t logged_evacuations; /* digest */
-	int fresh;	  /* the store answered last time for targets */
-	int told;	  /* the controller follows the store for this host */
-	uint64_t version; /* of the site in force */
-	uint64_t foreign[FOREIGN_KEPT]; /* entries that made no sense */
+	uint64_t logged_evacuations; /* digest of those last logged */
+	int fresh;	  /* the targets are as read from the store */
+	int told;	  /* this host gets changes from the controller */
+	uint64_t version; /* of the current site configuration */
+	uint64_t foreign[FOREIGN_KEPT]; /* digests of invalid entries */
 	unsigned nforeign;
 	int stop;
 };
--- a/gspard/watch_site.c
+++ b/gspard/watch_site.c
@@ -1,25 +1,25 @@
-/* The configuration, as the store has it or another host tells it. */
+/* The site configuration, from the store or from another host. */
 #include <string.h>
 
 #include "decode.h"
 #include "site_change.h"
 #include "watch.h"
 
-/* Puts a configuration in force where it is newer; takes it over. */
+/* Puts a configuration in force if it is newer; owns t. */
 static void
 put_site(struct service *s, struct site *t, const char *from)
 {
 	struct watch *w = s->state;
 	struct shared *sh;
 
-	/* Versions only rise: one that is told late must not come back. */
+	/* Versions only rise: an old one that arrives late is ignored. */
 	if (t->version <= w->version ||
 	    (sh = shared_new(t, site_free)) == NULL) {
 		site_free(t);
 		return;
 	}
 	log_line(LOG_NOTICE, "watch",
-	    "Configuration %llu in force, from %s, before it %llu, %d rules.",
+	    "Configuration %llu in force, from %s, replaces %llu, %d rules.",
 	    (unsigned long long)t->version, from,
 	    (unsigned long long)w->version, t->nrules);
 	w->version = t->version;
@@ -30,7 +30,7 @@
 	watch_publish(s, "control", MSG_SITE, sh);
 }
 
-/* Reads an object of the configuration's kind. */
+/* Handles an object of the configuration's kind. */
 void
 watch_site_found(struct service *s, const struct found *f)
 {
@@ -44,10 +44,11 @@
 		put_site(s, t, "store");
 	else
 		log_line(LOG_ERR, "watch",
-		    "Configuration refused, the earlier stays: %s.", why);
+		    "Configuration refused, the current one stays: %s.", why);
 }
 
-/* Takes over a configuration that another host told, or a change of one. */
+/* Puts in force a configuration from another host, or a difference to the
+ * current one; owns it. */
 void
 watch_site_told(struct service *s, struct site *told)
 {
@@ -58,8 +59,8 @@
 		t = w->site == NULL ? NULL : site_apply(w->site->p, told);
 		if (t == NULL)
 			log_line(LOG_NOTICE, "watch",
-			    "Configuration %llu was told since %llu, which is "
-			    "not in force here.",
+			    "Received configuration %llu as a difference to "
+			    "%llu, which is not in force here.",
 			    (unsigned long long)told->version,
 			    (unsigned long long)told->since);
 		site_free(told);
@@ -67,7 +68,7 @@
 	if (t == NULL)
 		return;
 	put_site(s, t, "host");
-	/* What the store is still asked for here is not needed any more. */
+	/* A list of the configuration in progress is no longer needed. */
 	if (w->told)
 		watch_stop_list(&w->feeds[FEED_SITE]);
 }
--- a/regress/unit/t_callers.c
+++ b/regress/unit/t_callers.c
@@ -1,4 +1,4 @@
-/* Which connections of callers a stop ends, and what it knows of them. */
+/* Tests of the connections that an orderly stop ends. */
 #include <sys/socket.h>
 #include <unistd.h>
 
@@ -11,7 +11,7 @@
 static int fd_now;
 static void *state_now;
 
-/* In the place of the HTTP library's: about the connection of this test. */
+/* Replaces the HTTP library's function for the connection of this test. */
 const union MHD_ConnectionInfo *
 MHD_get_connection_info(
     struct MHD_Connection *conn, enum MHD_ConnectionInfoType what, ...)
@@ -23,7 +23,7 @@
 	return (&info);
 }
 
-/* True where a read would find the connection's end. */
+/* True where a read would return the end of file. */
 static int
 at_end(int fd)
 {
@@ -33,10 +33,10 @@
 }
 
 /*
- * A stop ends a connection that is idle, and at that moment a request comes on
- * it: the library reads what came before it looks for the end.  The router,
- * which asks whether the caller is still there, found that end, cut the target
- * at work and told the caller that it had left.
+ * A request arrives on an idle connection just as a stop ends it: the library
+ * reads the request before the end of file.  Guards against the router taking
+ * that end of file for a caller that has left, which cut off the target that
+ * was working and answered the caller that its request was cancelled.
  */
 static void
 request_as_it_ends(void)
@@ -53,7 +53,7 @@
 	CU_ASSERT_EQUAL_FATAL(socketpair(AF_UNIX, SOCK_STREAM, 0, sv), 0);
 	fd_now = sv[0];
 	callers_changed(l, NULL, &state_now, MHD_CONNECTION_NOTIFY_STARTED);
-	/* With a request under way, or one that has come, it is left alone. */
+	/* A connection with a request running or arrived is not ended. */
 	CU_ASSERT(!callers_busy(l, NULL, 1));
 	callers_end_idle(l);
 	CU_ASSERT(!at_end(sv[0]));
@@ -63,7 +63,7 @@
 	CU_ASSERT(!callers_busy(l, NULL, 1));
 	CU_ASSERT_EQUAL(read(sv[0], &fd_now, 1), 1);
 	CU_ASSERT(!callers_busy(l, NULL, 0));
-	/* Idle, it ends, and a request that comes then is known to be so. */
+	/* An idle one is ended, and a request that arrives then learns it. */
 	callers_end_idle(l);
 	CU_ASSERT(at_end(sv[0]));
 	CU_ASSERT(callers_busy(l, NULL, 1));
