--- a/gspard/direct.c
+++ b/gspard/direct.c
@@ -19,18 +19,18 @@
 #define TICK_MS 20
 #define IDLE_MS 200
 /* Interval of reports to the control service. */
-#define HEAT_EVERY MS(200)
+#define REPORT_INTERVAL MS(200)
 /* The host gives up and answers itself this long before the caller's deadline.
  */
-#define LAST_MS 4
+#define REPLY_MARGIN_MS 4
 /* Retry delay for callers refused while this host stops: another host will
  * serve them. */
-#define ELSEWHERE_MS 40
+#define STOPPING_RETRY_MS 40
 /* Size of the cache of connections to targets.  With libcurl's default, four
  * for each transfer, more than half of all requests opened a new one. */
-#define CONNS_KEPT 400
+#define CONN_CACHE_SIZE 400
 /* Assumed number of hosts until it is known. */
-#define HOSTS_FIRST 12
+#define HOSTS_ASSUMED 12
 
 /* Inserts a request into the list, ordered by priority, then by arrival. */
 static void
@@ -75,7 +75,7 @@
 
 /* Accepts a call from the door: makes it a request and routes it. */
 static void
-take_call(struct direct *d, struct call *c, usec now)
+accept_call(struct direct *d, struct call *c, usec now)
 {
 	const struct site *t = c->site == NULL ? NULL : c->site->p;
 	struct pending *p;
@@ -90,45 +90,47 @@
 	p->call = c;
 	p->rule = c->rule;
 	p->digest = call_digest(c);
-	p->learnt = learnt_of(d, p->rule);
-	n = rule_backend(p->rule, p->learnt->count++);
-	if (n < 0 || (p->svc = svc_of(d, t->services[n].name)) == NULL) {
+	p->stats = rule_stats_get(d, p->rule);
+	n = rule_backend(p->rule, p->stats->count++);
+	if (n < 0 ||
+	    (p->svc = service_state_get(d, t->services[n].name)) == NULL) {
 		free(p);
 		refuse_call(c, GS_NO_SERVICE, 0);
 		return;
 	}
 	p->svc->keyed = t->services[n].keyed;
 	p->arrived = now;
-	p->deadline = now + MS(c->left_ms > LAST_MS ? c->left_ms - LAST_MS : 0);
+	p->deadline = now +
+	    MS(c->left_ms > REPLY_MARGIN_MS ? c->left_ms - REPLY_MARGIN_MS : 0);
 	if (p->rule->timeout > 0 && p->deadline > now + p->rule->timeout)
 		p->deadline = now + p->rule->timeout;
 	if (d->stop_plan != NULL &&
 	    !stop_plan_accepts(d->stop_plan, now, p->deadline)) {
 		free(p);
-		refuse_call(c, GS_STOPPING, ELSEWHERE_MS);
+		refuse_call(c, GS_STOPPING, STOPPING_RETRY_MS);
 		return;
 	}
 	if (d->stop_plan != NULL)
 		p->deadline = stop_plan_deadline(d->stop_plan, p->deadline);
-	p->next_look = now + FLOW_LOOK_EVERY;
-	budget_deposit(&p->svc->again);
+	p->next_caller_check = now + CALLER_CHECK_INTERVAL;
+	budget_deposit(&p->svc->retry_budget);
 	if (p->svc->keyed && c->key_number >= 0)
 		heat_add(&p->svc->heat, (uint16_t)c->key_number);
 	link_pending(d, p);
-	flow_send(d, p, now);
+	flow_route(d, p, now);
 }
 
 /* Sets this host's share of each service's retry budget from the settings and
  * the number of hosts. */
 static void
-set_budgets(struct direct *d)
+set_retry_budgets(struct direct *d)
 {
 	const struct bounds *b = &kernel_conf(d->s->kernel)->bounds;
 	int i;
 
 	for (i = 0; i < d->nsvcs; i++) {
-		d->svcs[i].again.max = b->retry_slack / d->conf.hosts;
-		d->svcs[i].again.share = b->retry_share;
+		d->svcs[i].retry_budget.max = b->retry_slack / d->conf.hosts;
+		d->svcs[i].retry_budget.share = b->retry_share;
 	}
 }
 
@@ -141,7 +143,7 @@
 	struct target_state *s;
 	int i;
 
-	d->next_heat = now + HEAT_EVERY;
+	d->next_report = now + REPORT_INTERVAL;
 	h = heat_report_new(d->nsvcs);
 	if (h == NULL)
 		return;
@@ -181,7 +183,7 @@
 
 /* Begins an orderly stop: all requests must end before the host does. */
 static void
-begin_leave(struct direct *d, struct msg *m)
+begin_stop(struct direct *d, struct msg *m)
 {
 	struct pending *p;
 
@@ -195,19 +197,19 @@
 
 /* Handles one message. */
 static void
-take(struct direct *d, struct msg *m, usec now)
+handle_message(struct direct *d, struct msg *m, usec now)
 {
 	int hosts;
 
 	switch (m->kind) {
 	case MSG_CALL:
-		take_call(d, m->data, now);
+		accept_call(d, m->data, now);
 		break;
 	case MSG_SITE:
 		msg_keep(m, &d->site);
 		break;
 	case MSG_FLEET:
-		targets_take(d, ((struct shared *)m->data)->p, now);
+		targets_update(d, ((struct shared *)m->data)->p, now);
 		break;
 	case MSG_OWNERS:
 		msg_keep(m, &d->owners);
@@ -215,15 +217,15 @@
 		d->rank = ((struct owners *)d->owners->p)->rank;
 		if (hosts > 0) {
 			d->conf.hosts = hosts;
-			d->counted = 1;
+			d->hosts_known = 1;
 		}
 		break;
 	case MSG_QUARANTINE:
 		msg_keep(m, &d->quarantine);
-		crash_listed(d, now);
+		crash_list_changed(d, now);
 		break;
 	case MSG_STOP:
-		begin_leave(d, m);
+		begin_stop(d, m);
 		break;
 	case MSG_QUIT:
 		d->stop = 1;
@@ -247,16 +249,16 @@
 	while (!d->stop) {
 		now = clock_mono();
 		while ((m = ring_get(s->in)) != NULL)
-			take(d, m, now);
+			handle_message(d, m, now);
 		curl_multi_perform(d->multi, &running);
 		now = clock_mono();
 		attempts_reap(d, now);
 		if (now >= d->next_limits)
-			targets_limits(d, now);
+			targets_update_limits(d, now);
 		flow_pump(d, now);
 		targets_sweep(d);
-		if (now >= d->next_heat) {
-			set_budgets(d);
+		if (now >= d->next_report) {
+			set_retry_budgets(d);
 			report(d, now);
 		}
 		curl_multi_perform(d->multi, &running);
@@ -266,7 +268,7 @@
 	}
 	/* Not in direct_close(): the door cannot close while calls are open. */
 	while (d->first != NULL)
-		flow_end(d, d->first, GS_STOPPING, 0, clock_mono());
+		flow_fail(d, d->first, GS_STOPPING, 0, clock_mono());
 }
 
 /* Opens the service; 0, or -1 on failure. */
@@ -282,11 +284,12 @@
 		return (-1);
 	}
 	s->state = d;
-	curl_multi_setopt(d->multi, CURLMOPT_MAXCONNECTS, (long)CONNS_KEPT);
+	curl_multi_setopt(
+	    d->multi, CURLMOPT_MAXCONNECTS, (long)CONN_CACHE_SIZE);
 	d->s = s;
 	d->ops = &objects_target;
 	d->by_id = apr_hash_make(d->pool);
-	d->conf.hosts = HOSTS_FIRST;
+	d->conf.hosts = HOSTS_ASSUMED;
 	d->seed = kernel_boot(s->kernel);
 	ring_on_put(s->in, transfers_wake, d->multi);
 	return (0);
@@ -301,8 +304,8 @@
 
 	ring_on_put(s->in, NULL, NULL);
 	free(d->stop_plan);
-	while (d->nkept > 0)
-		curl_easy_cleanup(d->kept[--d->nkept]);
+	while (d->nidle_easy > 0)
+		curl_easy_cleanup(d->idle_easy[--d->nidle_easy]);
 	curl_multi_cleanup(d->multi);
 	while ((p = d->targets) != NULL) {
 		d->targets = p->next;
--- a/gspard/direct.h
+++ b/gspard/direct.h
@@ -19,18 +19,18 @@
 #include "target_ops.h"
 #include "transfer.h"
 
-#define LEARNT_SIZE 256
-#define EASY_KEPT 32
+#define RULE_STATS_SIZE 256
+#define IDLE_EASY_MAX 32
 /* Interval at which callers are checked for being connected: targets must not
  * work for more than half a second after a caller has disconnected. */
-#define FLOW_LOOK_EVERY MS(100)
+#define CALLER_CHECK_INTERVAL MS(100)
 
 /* Requests that wait for the same target or service, and how fast they start.
  */
-struct line {
+struct wait_queue {
 	int waiting;
 	usec last_start;
-	double gap; /* mean time between starts while some wait, in
+	double start_interval; /* mean time between starts while some wait, in
 		       microseconds; 0 is unknown */
 };
 
@@ -42,7 +42,7 @@
 	char addr[FLEET_ADDR];
 	char service[NAME_MAX_GS];
 	struct dest dest;
-	struct line line;
+	struct wait_queue queue;
 	int listed;   /* in the current list of targets */
 	int answers;  /* since the last report */
 	int users;    /* pending requests last sent to it */
@@ -52,20 +52,22 @@
 };
 
 /* The state of a service, kept across versions of the configuration. */
-struct svc {
+struct service_state {
 	char name[NAME_MAX_GS];
 	int keyed;
-	struct budget again;
-	double work; /* moving average of its requests' time, microseconds */
-	struct line line;
+	struct budget retry_budget;
+	double
+	    avg_time; /* moving average of its requests' time, microseconds */
+	struct wait_queue queue;
 	struct heat heat;
 };
 
 /* Statistics of the requests of one rule. */
-struct learnt {
+struct rule_stats {
 	uint64_t hash;
 	uint64_t count; /* of requests, to spread them over its backends */
-	double work; /* moving average of the time at a target, microseconds */
+	double
+	    avg_time; /* moving average of the time at a target, microseconds */
 };
 
 struct pending;
@@ -84,24 +86,24 @@
 	struct pending *prev;
 	struct call *call;
 	const struct rule *rule;
-	struct learnt *learnt;
-	struct svc *svc;
+	struct rule_stats *stats;
+	struct service_state *svc;
 	uint64_t digest; /* of the content */
 	usec arrived;
 	usec deadline;
 	usec not_before; /* earliest time of the next attempt */
-	usec next_look;
-	usec
-	    parked; /* since when it waits for its key to have an owner, or 0 */
-	uint64_t missent; /* number of the owners by which it was sent to a
-			     target that does not own the key ... */
-	int missents;	  /* ... and how often */
-	int waiting;	  /* in its queue */
-	int ran;	  /* attempts that may have run */
+	usec next_caller_check;
+	usec parked_since; /* since when it waits for its key to have an owner,
+			      or 0 */
+	uint64_t not_owner_number; /* number of the owners by which it was sent
+			     to a target that does not own the key ... */
+	int not_owner_count;	   /* ... and how often */
+	int waiting;		   /* in its queue */
+	int ran;		   /* attempts that may have run */
 	int tries;
-	struct target_state *last; /* that it was sent to */
-	struct line *line;	   /* that it waits in, or waited in last */
-	struct attempt *at;	   /* in flight; else NULL */
+	struct target_state *last_target; /* that it was sent to */
+	struct wait_queue *queue; /* that it waits in, or waited in last */
+	struct attempt *attempt;  /* in flight; else NULL */
 };
 
 /* The router service. */
@@ -115,47 +117,49 @@
 	struct shared *site;
 	struct shared *owners;
 	struct shared *quarantine;
-	struct recent recent;	     /* contents that got an answer */
-	struct crash_report crashes; /* since the last report */
-	struct recent tried; /* contents sent on probation without an answer */
+	struct recent recent_answers;	    /* contents that got an answer */
+	struct crash_report crashes;	    /* since the last report */
+	struct recent probation_unanswered; /* contents sent on probation
+					       without an answer */
 	struct stop_plan *stop_plan; /* NULL unless this host is stopping */
 	struct dest_conf conf;
-	struct svc svcs[SITE_SERVICES_MAX];
+	struct service_state svcs[SITE_SERVICES_MAX];
 	int nsvcs;
-	struct learnt learnt[LEARNT_SIZE];
+	struct rule_stats rule_stats[RULE_STATS_SIZE];
 	struct pending *first;
 	struct pending *last;
-	CURL *kept[EASY_KEPT];
-	int nkept;
+	CURL *idle_easy[IDLE_EASY_MAX];
+	int nidle_easy;
 	int have_fleet;
-	int counted; /* the number of hosts is known */
-	int rank;    /* of this host among all hosts, from 0 */
+	int hosts_known; /* the number of hosts is known */
+	int rank;	 /* of this host among all hosts, from 0 */
 	int ready;
-	usec next_heat;
+	usec next_report;
 	usec next_limits;
 	uint64_t seed;
 	int stop;
 };
 
 /* direct_flow.c */
-void flow_send(struct direct *, struct pending *, usec now);
+void flow_route(struct direct *, struct pending *, usec now);
 void flow_pump(struct direct *, usec now);
-void flow_end(struct direct *, struct pending *, int code, usec wait, usec now);
+void flow_fail(
+    struct direct *, struct pending *, int code, usec wait, usec now);
 void flow_finish(struct direct *, struct pending *, usec now);
 
 /* direct_outcome.c */
-void flow_ended(struct direct *, struct pending *, CURLcode, usec now);
+void flow_attempt_done(struct direct *, struct pending *, CURLcode, usec now);
 void flow_expire(struct direct *, struct pending *, usec now);
-void flow_left(struct direct *, struct pending *, usec now);
+void flow_caller_gone(struct direct *, struct pending *, usec now);
 
 /* direct_crash.c */
-void crash_broke(struct direct *, const struct pending *,
+void crash_add_break(struct direct *, const struct pending *,
     const struct target_state *, usec now);
-void crash_ended(struct direct *, struct target_state *);
-void crash_sent(struct direct *, struct pending *, usec now);
-void crash_unanswered(struct direct *, const struct pending *, usec now);
-void crash_answered(struct direct *, uint64_t digest, usec now);
-void crash_listed(struct direct *, usec now);
+void crash_add_end(struct direct *, struct target_state *);
+void crash_mark_sent(struct direct *, struct pending *, usec now);
+void crash_add_unanswered(struct direct *, const struct pending *, usec now);
+void crash_add_answer(struct direct *, uint64_t digest, usec now);
+void crash_list_changed(struct direct *, usec now);
 int crash_may_run(
     struct direct *, const struct pending *, usec *wait, usec now);
 
@@ -166,13 +170,13 @@
 void attempts_reap(struct direct *, usec now);
 
 /* direct_pick.c */
-void targets_take(struct direct *, const struct fleet *, usec now);
+void targets_update(struct direct *, const struct fleet *, usec now);
 void targets_sweep(struct direct *);
-void targets_limits(struct direct *, usec now);
+void targets_update_limits(struct direct *, usec now);
 struct target_state *target_state_find(struct direct *, const char *id);
-struct svc *svc_of(struct direct *, const char *name);
-struct learnt *learnt_of(struct direct *, const struct rule *);
-struct target_state *pick_any(
+struct service_state *service_state_get(struct direct *, const char *name);
+struct rule_stats *rule_stats_get(struct direct *, const struct rule *);
+struct target_state *pick_target(
     struct direct *, const struct pending *, usec now);
 
 #endif
--- a/gspard/direct_crash.c
+++ b/gspard/direct_crash.c
@@ -3,13 +3,13 @@
 #include "direct.h"
 
 /* Retry delay for a content on probation. */
-#define PROBATION_WAIT MS(1000)
+#define PROBATION_RETRY_DELAY MS(1000)
 
 /* Reports the end of a target: its address refuses connections or belongs to
  * another target, or its entry was removed though it had not announced that it
  * leaves. */
 void
-crash_ended(struct direct *d, struct target_state *s)
+crash_add_end(struct direct *d, struct target_state *s)
 {
 	struct crash_report *n = &d->crashes;
 
@@ -21,7 +21,7 @@
 
 /* Returns the controller's quarantine list, or NULL. */
 static const struct quarantine_list *
-listed(const struct direct *d)
+current_list(const struct direct *d)
 {
 	return (d->quarantine == NULL ? NULL : d->quarantine->p);
 }
@@ -31,14 +31,14 @@
 on_probation(const struct direct *d, uint64_t digest, usec now)
 {
 	const struct quarantine_item *item =
-	    quarantine_find(listed(d), digest, now);
+	    quarantine_find(current_list(d), digest, now);
 
 	return (item != NULL && item->probation);
 }
 
 /* Reports an answer to a content on probation to the controller. */
 static void
-tell_answered(struct direct *d, uint64_t digest)
+report_answer(struct direct *d, uint64_t digest)
 {
 	struct crash_report *n = &d->crashes;
 
@@ -48,39 +48,39 @@
 
 /* Records an answer. */
 void
-crash_answered(struct direct *d, uint64_t digest, usec now)
+crash_add_answer(struct direct *d, uint64_t digest, usec now)
 {
-	recent_add(&d->recent, digest, now);
+	recent_add(&d->recent_answers, digest, now);
 	if (on_probation(d, digest, now))
-		tell_answered(d, digest);
+		report_answer(d, digest);
 }
 
 /* Records whether the content of a request that is sent is on probation. */
 void
-crash_sent(struct direct *d, struct pending *p, usec now)
+crash_mark_sent(struct direct *d, struct pending *p, usec now)
 {
-	p->at->on_probation = on_probation(d, p->digest, now);
+	p->attempt->on_probation = on_probation(d, p->digest, now);
 }
 
 /* Records that an attempt on probation ended without an answer. */
 void
-crash_unanswered(struct direct *d, const struct pending *p, usec now)
+crash_add_unanswered(struct direct *d, const struct pending *p, usec now)
 {
-	if (p->at != NULL && p->at->on_probation)
-		recent_add(&d->tried, p->digest, now);
+	if (p->attempt != NULL && p->attempt->on_probation)
+		recent_add(&d->probation_unanswered, p->digest, now);
 }
 
 /* Reports recent answers to contents that a new list has on probation. */
 void
-crash_listed(struct direct *d, usec now)
+crash_list_changed(struct direct *d, usec now)
 {
-	const struct quarantine_list *l = listed(d);
+	const struct quarantine_list *l = current_list(d);
 	int i;
 
 	for (i = 0; i < l->n; i++) {
 		if (l->items[i].probation &&
-		    recent_has(&d->recent, l->items[i].digest, now))
-			tell_answered(d, l->items[i].digest);
+		    recent_has(&d->recent_answers, l->items[i].digest, now))
+			report_answer(d, l->items[i].digest);
 	}
 }
 
@@ -91,7 +91,7 @@
 	const struct pending *p;
 
 	for (p = d->first; p != NULL; p = p->next) {
-		if (p->digest == digest && p->at != NULL)
+		if (p->digest == digest && p->attempt != NULL)
 			return (1);
 	}
 	return (0);
@@ -106,7 +106,7 @@
 crash_may_run(struct direct *d, const struct pending *p, usec *wait, usec now)
 {
 	const struct quarantine_item *item =
-	    quarantine_find(listed(d), p->digest, now);
+	    quarantine_find(current_list(d), p->digest, now);
 
 	if (item == NULL)
 		return (1);
@@ -114,27 +114,27 @@
 		*wait = quarantine_item_left(item, now);
 		return (0);
 	}
-	*wait = PROBATION_WAIT;
-	if (recent_has(&d->recent, p->digest, now))
+	*wait = PROBATION_RETRY_DELAY;
+	if (recent_has(&d->recent_answers, p->digest, now))
 		return (1);
-	return (d->counted &&
+	return (d->hosts_known &&
 	    quarantine_runs_here(p->digest, d->rank, d->conf.hosts) &&
 	    !is_running(d, p->digest) &&
-	    !recent_has(&d->tried, p->digest, now));
+	    !recent_has(&d->probation_unanswered, p->digest, now));
 }
 
 /* Reports an attempt that ended without an answer: the request may have crashed
  * the target. */
 void
-crash_broke(struct direct *d, const struct pending *p,
+crash_add_break(struct direct *d, const struct pending *p,
     const struct target_state *s, usec now)
 {
 	struct crash_report *n = &d->crashes;
 
 	if (n->nbroken == CRASH_REPORT_MAX ||
-	    recent_has(&d->recent, p->digest, now))
+	    recent_has(&d->recent_answers, p->digest, now))
 		return;
 	n->broken[n->nbroken].digest = p->digest;
-	n->broken[n->nbroken].on_probation = p->at->on_probation;
+	n->broken[n->nbroken].on_probation = p->attempt->on_probation;
 	n->broken[n->nbroken++].target = s->digest;
 }
--- a/gspard/direct_flow.c
+++ b/gspard/direct_flow.c
@@ -12,43 +12,43 @@
 /* How long a request waits for a key without an owner.  A planned move takes as
  * long as the requests that are running (36 to 220 ms), and a little longer if
  * there are many. */
-#define PARK_MOST MS(1000)
+#define PARK_MAX MS(1000)
 /* Requests for the keys of a target that stays in backoff for longer are
  * refused. */
-#define UNREACHED_WAIT MS(200)
+#define BACKOFF_WAIT_MAX MS(200)
 /* Shortest retry delay that callers are given, and the part of their remaining
  * time beyond which they do not retry: the delay stays below a third of it. */
-#define RETRY_LEAST_MS 40
-#define RETRY_PART 3
+#define RETRY_MIN_MS 40
+#define RETRY_TIME_DIVISOR 3
 /* Retry delay with FEATURE_RETRY off. */
 #define RETRY_FIXED_MS 200
 /* Retry delay for keys that were not moved before their target was closed for
  * an evacuation. */
-#define EVACUATED_WAIT MS(500)
+#define EVACUATED_RETRY_DELAY MS(500)
 /* Weight of a new sample in the mean time between starts. */
-#define GAP_GAIN 0.2
+#define START_INTERVAL_GAIN 0.2
 
 /* Returns the retry delay for a caller, in milliseconds, given the expected
  * wait in microseconds. */
 static uint32_t
 retry_after(const struct pending *p, usec wait, usec now)
 {
-	usec most = (p->deadline - now) / RETRY_PART / 1000 * 2 / 3;
+	usec max = (p->deadline - now) / RETRY_TIME_DIVISOR / 1000 * 2 / 3;
 	usec ms = wait / 1000;
 
 	if (!feature_on(FEATURE_RETRY))
 		return (RETRY_FIXED_MS);
-	if (ms > most)
-		ms = most;
-	return ((uint32_t)(ms < RETRY_LEAST_MS ? RETRY_LEAST_MS : ms));
+	if (ms > max)
+		ms = max;
+	return ((uint32_t)(ms < RETRY_MIN_MS ? RETRY_MIN_MS : ms));
 }
 
 /* Removes a request from its queue and from the list. */
 static void
 unlink_pending(struct direct *d, struct pending *p)
 {
-	if (p->waiting && p->line != NULL)
-		p->line->waiting--;
+	if (p->waiting && p->queue != NULL)
+		p->queue->waiting--;
 	p->waiting = 0;
 	if (p->prev != NULL)
 		p->prev->next = p->next;
@@ -69,8 +69,8 @@
 	hist_add(H_REQUEST, now - p->arrived);
 	attempt_drop(d, p);
 	unlink_pending(d, p);
-	if (p->last != NULL)
-		p->last->users--;
+	if (p->last_target != NULL)
+		p->last_target->users--;
 	free(p);
 	call_end(c);
 }
@@ -78,10 +78,10 @@
 /* Ends a request with a result code; wait is the time until a retry can
  * succeed, in microseconds, or 0. */
 void
-flow_end(struct direct *d, struct pending *p, int code, usec wait, usec now)
+flow_fail(struct direct *d, struct pending *p, int code, usec wait, usec now)
 {
 	struct answer *a = &p->call->answer;
-	const char *target = p->last == NULL ? "-" : p->last->id;
+	const char *target = p->last_target == NULL ? "-" : p->last_target->id;
 
 	/*
 	 * An earlier attempt may have run.  The outcome of a later one says
@@ -102,80 +102,83 @@
 	    (unsigned long long)p->digest, p->tries,
 	    (long long)((now - p->arrived) / 1000),
 	    (long long)((p->deadline - p->arrived) / 1000),
-	    p->last == NULL ? 0.0 : dest_load(&p->last->dest, now),
-	    p->line == NULL ? 0 : p->line->waiting, a->retry_ms);
+	    p->last_target == NULL ? 0.0
+				   : dest_load(&p->last_target->dest, now),
+	    p->queue == NULL ? 0 : p->queue->waiting, a->retry_ms);
 	flow_finish(d, p, now);
 }
 
 /* Puts a request into a queue; flow_pump() routes it again. */
 static void
-wait_in(struct pending *p, struct line *l)
+wait_queue_enter(struct pending *p, struct wait_queue *wq)
 {
-	if (p->waiting && p->line == l)
+	if (p->waiting && p->queue == wq)
 		return;
 	if (p->waiting)
-		p->line->waiting--;
+		p->queue->waiting--;
 	else
 		count_add(C_WAITED, 1);
 	p->waiting = 1;
-	p->line = l;
-	l->waiting++;
+	p->queue = wq;
+	wq->waiting++;
 }
 
 /* Records that a request of a queue is sent. */
 static void
-line_start(struct pending *p, struct line *l, usec now)
+wait_queue_sent(struct pending *p, struct wait_queue *wq, usec now)
 {
-	if (l->waiting > 0 && l->last_start != 0)
-		l->gap += GAP_GAIN * ((double)(now - l->last_start) - l->gap);
-	l->last_start = now;
+	if (wq->waiting > 0 && wq->last_start != 0)
+		wq->start_interval += START_INTERVAL_GAIN *
+		    ((double)(now - wq->last_start) - wq->start_interval);
+	wq->last_start = now;
 	if (p->waiting)
-		p->line->waiting--;
+		p->queue->waiting--;
 	p->waiting = 0;
 }
 
 /* Sends a request to a target. */
 static void
 send_to(struct direct *d, struct pending *p, struct target_state *s,
-    struct line *l, usec now)
+    struct wait_queue *wq, usec now)
 {
-	line_start(p, l, now);
-	p->line = l;
+	wait_queue_sent(p, wq, now);
+	p->queue = wq;
 	hist_add(H_QUEUE, now - p->arrived);
 	if (attempt_start(d, p, s, now) != 0) {
-		flow_end(d, p, GS_NOMEM, 0, now);
+		flow_fail(d, p, GS_NOMEM, 0, now);
 		return;
 	}
-	if (p->last != NULL)
-		p->last->users--;
-	p->last = s;
-	crash_sent(d, p, now);
+	if (p->last_target != NULL)
+		p->last_target->users--;
+	p->last_target = s;
+	crash_mark_sent(d, p, now);
 	s->users++;
 	p->tries++;
-	p->parked = 0;
+	p->parked_since = 0;
 }
 
 /* Returns the number of requests in a queue ahead of one. */
 static int
-ahead_in(const struct direct *d, const struct pending *p, const struct line *l)
+wait_queue_ahead(const struct direct *d, const struct pending *p,
+    const struct wait_queue *wq)
 {
 	const struct pending *q;
 	int n = 0;
 
 	for (q = d->first; q != NULL && q != p; q = q->next)
-		n += q->waiting && q->line == l;
+		n += q->waiting && q->queue == wq;
 	return (n);
 }
 
 /* Returns the expected wait of a request in a queue, in microseconds. */
 static usec
-line_wait(const struct line *l, int ahead, usec now)
+wait_queue_delay(const struct wait_queue *wq, int ahead, usec now)
 {
-	double gap = l->gap;
+	double gap = wq->start_interval;
 
 	/* Nothing has started for longer than usual: assume that rate. */
-	if (l->waiting > 0 && (double)(now - l->last_start) > gap)
-		gap = (double)(now - l->last_start);
+	if (wq->waiting > 0 && (double)(now - wq->last_start) > gap)
+		gap = (double)(now - wq->last_start);
 	return ((usec)(ahead * gap));
 }
 
@@ -186,49 +189,51 @@
  * NULL where any of the service will do.
  */
 static void
-wait_for_room(struct direct *d, struct pending *p, struct target_state *s,
-    struct line *l, usec now)
+queue_or_refuse(struct direct *d, struct pending *p, struct target_state *s,
+    struct wait_queue *wq, usec now)
 {
-	int ahead = ahead_in(d, p, l);
-	usec wait = line_wait(l, ahead, now);
+	int ahead = wait_queue_ahead(d, p, wq);
+	usec wait = wait_queue_delay(wq, ahead, now);
 	usec turn = s == NULL ? 0 : rate_wait(&s->dest.rate, ahead, now);
 	int code = turn > wait ? GS_TARGET_LIMIT : GS_TOO_LATE;
 
 	if (turn > wait)
 		wait = turn;
-	if (now + wait + (usec)p->learnt->work > p->deadline &&
+	if (now + wait + (usec)p->stats->avg_time > p->deadline &&
 	    feature_on(FEATURE_EARLY)) {
 		if (!p->waiting)
-			p->line = l;
-		flow_end(d, p, code, wait, now);
+			p->queue = wq;
+		flow_fail(d, p, code, wait, now);
 		return;
 	}
-	wait_in(p, l);
+	wait_queue_enter(p, wq);
 }
 
 /* Queues a request whose key has no owner at the moment, or refuses it. */
 static void
 park(struct direct *d, struct pending *p, const struct owner_range *r, usec now)
 {
-	usec back = r == NULL ? 0 : r->served_at;
+	usec served_at = r == NULL ? 0 : r->served_at;
 
 	if (!feature_on(FEATURE_PARK)) {
-		flow_end(d, p, GS_NO_OWNER, back > now ? back - now : 0, now);
+		flow_fail(d, p, GS_NO_OWNER,
+		    served_at > now ? served_at - now : 0, now);
 		return;
 	}
-	if (p->parked == 0) {
-		p->parked = now;
+	if (p->parked_since == 0) {
+		p->parked_since = now;
 		count_add(C_PARKED, 1);
 	}
-	if (back > 0 && back + (usec)p->learnt->work > p->deadline) {
-		flow_end(d, p, GS_NO_OWNER, back - now, now);
+	if (served_at > 0 &&
+	    served_at + (usec)p->stats->avg_time > p->deadline) {
+		flow_fail(d, p, GS_NO_OWNER, served_at - now, now);
 		return;
 	}
-	if (now - p->parked > PARK_MOST && back < now) {
-		flow_end(d, p, GS_NO_OWNER, MS(500), now);
+	if (now - p->parked_since > PARK_MAX && served_at < now) {
+		flow_fail(d, p, GS_NO_OWNER, MS(500), now);
 		return;
 	}
-	wait_in(p, &p->svc->line);
+	wait_queue_enter(p, &p->svc->queue);
 }
 
 /* Sends a request for a key to the key's owner, queues it or refuses it. */
@@ -248,7 +253,7 @@
 		return;
 	}
 	if (dest_closed(&s->dest, now)) {
-		flow_end(d, p, GS_NO_OWNER, EVACUATED_WAIT, now);
+		flow_fail(d, p, GS_NO_OWNER, EVACUATED_RETRY_DELAY, now);
 		return;
 	}
 	/*
@@ -258,25 +263,25 @@
 	 * off from the controller has old ones for seconds, and would retry all
 	 * its requests in vain.
 	 */
-	if (p->missent == o->number &&
-	    (now < p->not_before || p->missents > 1)) {
+	if (p->not_owner_number == o->number &&
+	    (now < p->not_before || p->not_owner_count > 1)) {
 		park(d, p, NULL, now);
 		return;
 	}
 	if (now < s->dest.backoff_until &&
-	    s->dest.backoff_until - now > UNREACHED_WAIT) {
-		flow_end(d, p, GS_NO_OWNER, s->dest.backoff_until - now, now);
+	    s->dest.backoff_until - now > BACKOFF_WAIT_MAX) {
+		flow_fail(d, p, GS_NO_OWNER, s->dest.backoff_until - now, now);
 		return;
 	}
 	if (dest_can_send(&s->dest, now, &d->conf))
-		send_to(d, p, s, &s->line, now);
+		send_to(d, p, s, &s->queue, now);
 	else
-		wait_for_room(d, p, s, &s->line, now);
+		queue_or_refuse(d, p, s, &s->queue, now);
 }
 
 /* True where a service has a target that is not closed. */
 static int
-has_targets(const struct direct *d, const struct svc *v, usec now)
+has_targets(const struct direct *d, const struct service_state *v, usec now)
 {
 	const struct target_state *s;
 
@@ -292,25 +297,25 @@
 static void
 try_any(struct direct *d, struct pending *p, usec now)
 {
-	struct target_state *s = pick_any(d, p, now);
+	struct target_state *s = pick_target(d, p, now);
 
 	if (s != NULL)
-		send_to(d, p, s, &p->svc->line, now);
+		send_to(d, p, s, &p->svc->queue, now);
 	else if (!has_targets(d, p->svc, now) && d->have_fleet)
-		flow_end(d, p, GS_NO_OWNER, MS(300), now);
+		flow_fail(d, p, GS_NO_OWNER, MS(300), now);
 	else
-		wait_for_room(d, p, NULL, &p->svc->line, now);
+		queue_or_refuse(d, p, NULL, &p->svc->queue, now);
 }
 
 /* Routes a request: sends it, queues it or refuses it. */
 void
-flow_send(struct direct *d, struct pending *p, usec now)
+flow_route(struct direct *d, struct pending *p, usec now)
 {
 	usec wait;
 
 	if (!crash_may_run(d, p, &wait, now)) {
 		count_add(C_QUARANTINED, 1);
-		flow_end(d, p, GS_QUARANTINED, wait, now);
+		flow_fail(d, p, GS_QUARANTINED, wait, now);
 		return;
 	}
 	if (p->svc->keyed && p->call->key_number >= 0)
@@ -322,24 +327,24 @@
 /* Handles the timers of one request, and routes it again while it waits.  The
  * request may have been freed on return. */
 static void
-look_after(struct direct *d, struct pending *p, usec now)
+check_request(struct direct *d, struct pending *p, usec now)
 {
-	if (now >= p->next_look) {
-		p->next_look = now + FLOW_LOOK_EVERY;
+	if (now >= p->next_caller_check) {
+		p->next_caller_check = now + CALLER_CHECK_INTERVAL;
 		if (call_gone(p->call)) {
-			flow_left(d, p, now);
+			flow_caller_gone(d, p, now);
 			return;
 		}
 	}
 	if (now >= p->deadline)
 		flow_expire(d, p, now);
-	else if (p->waiting && p->tries == 0 && p->parked == 0 &&
+	else if (p->waiting && p->tries == 0 && p->parked_since == 0 &&
 	    feature_on(FEATURE_EARLY) &&
-	    now + (usec)(p->learnt->work / 2) > p->deadline)
+	    now + (usec)(p->stats->avg_time / 2) > p->deadline)
 		/* Too late to be worth a slot that others can use in time. */
-		flow_end(d, p, GS_TOO_LATE, 0, now);
+		flow_fail(d, p, GS_TOO_LATE, 0, now);
 	else if (p->waiting)
-		flow_send(d, p, now);
+		flow_route(d, p, now);
 }
 
 /* Handles all requests, in the order of their priority. */
@@ -350,6 +355,6 @@
 
 	for (p = d->first; p != NULL; p = next) {
 		next = p->next;
-		look_after(d, p, now);
+		check_request(d, p, now);
 	}
 }
--- a/gspard/direct_outcome.c
+++ b/gspard/direct_outcome.c
@@ -12,19 +12,19 @@
 /* Bounds the attempts that did not run, because the target was not reached, was
  * full or did not own the key.  The rule's limit counts only those that may
  * have run. */
-#define TRIES_MOST 4
+#define TRIES_MAX 4
 /* Retry delay of a request that was sent to a target that does not own its key.
  */
-#define MISSENT_WAIT MS(250)
+#define NOT_OWNER_RETRY_DELAY MS(250)
 /* Weight of a new sample in the average time of requests. */
-#define WORK_GAIN 0.05
+#define AVG_TIME_GAIN 0.05
 
 /* Ends a request with the target's answer, which moves to the call. */
 static void
 deliver(struct direct *d, struct pending *p, usec now)
 {
 	struct answer *a = &p->call->answer;
-	struct reply *r = &p->at->t.reply;
+	struct reply *r = &p->attempt->t.reply;
 
 	a->code = GS_OK;
 	a->status = r->status;
@@ -52,52 +52,53 @@
 
 /* Updates the statistics of the target, the rule and the service. */
 static void
-learn(struct pending *p, enum dest_end e, usec now)
+update_stats(struct pending *p, enum dest_end e, usec now)
 {
-	struct attempt *a = p->at;
+	struct attempt *a = p->attempt;
 	struct dest_answer ans = {
-	    e, now - a->sent, (usec)p->learnt->work, a->t.reply.load};
+	    e, now - a->sent, (usec)p->stats->avg_time, a->t.reply.load};
 
 	dest_ended(&a->target->dest, now, &ans);
 	a->target->answers += e <= DEST_NOT_OWNER;
 	if (e != DEST_ANSWERED)
 		return;
 	hist_add(H_TARGET, now - a->sent);
-	p->learnt->work +=
-	    WORK_GAIN * ((double)(now - a->sent) - p->learnt->work);
-	p->svc->work += WORK_GAIN * ((double)(now - a->sent) - p->svc->work);
+	p->stats->avg_time +=
+	    AVG_TIME_GAIN * ((double)(now - a->sent) - p->stats->avg_time);
+	p->svc->avg_time +=
+	    AVG_TIME_GAIN * ((double)(now - a->sent) - p->svc->avg_time);
 }
 
 /* True where a request that may have run may be retried. */
 static int
-may_repeat(const struct pending *p, usec now)
+may_retry(const struct pending *p, usec now)
 {
 	return (p->rule->idempotent && p->ran < p->rule->attempts &&
-	    p->tries < TRIES_MOST &&
-	    now + (usec)p->learnt->work < p->deadline &&
-	    budget_withdraw(&p->svc->again));
+	    p->tries < TRIES_MAX &&
+	    now + (usec)p->stats->avg_time < p->deadline &&
+	    budget_withdraw(&p->svc->retry_budget));
 }
 
 /* True where a request that is known not to have run may be retried. */
 static int
 may_resend(const struct pending *p, int arrived, usec now)
 {
-	if (p->tries >= TRIES_MOST ||
-	    now + (usec)p->learnt->work >= p->deadline)
+	if (p->tries >= TRIES_MAX ||
+	    now + (usec)p->stats->avg_time >= p->deadline)
 		return (0);
 	if (arrived && !feature_on(FEATURE_RESEND))
 		return (0);
 	/* Only attempts that reached a target use the retry budget. */
-	return (!arrived || budget_withdraw(&p->svc->again));
+	return (!arrived || budget_withdraw(&p->svc->retry_budget));
 }
 
 /* Retries a request. */
 static void
-again(struct direct *d, struct pending *p, usec now)
+retry(struct direct *d, struct pending *p, usec now)
 {
 	attempt_drop(d, p);
 	count_add(C_RETRIES, 1);
-	flow_send(d, p, now);
+	flow_route(d, p, now);
 }
 
 /* Handles an attempt that the target did not run: retries it or refuses the
@@ -106,20 +107,22 @@
 not_run(struct direct *d, struct pending *p, enum reply_kind kind, usec now)
 {
 	const struct owners *o = d->owners == NULL ? NULL : d->owners->p;
-	struct target_state *s = p->at->target;
+	struct target_state *s = p->attempt->target;
 
 	if (kind == REPLY_MISSENT) {
 		count_add(C_MISSENT, 1);
 		/* The address now belongs to another target. */
-		if (p->at->t.reply.instance[0] != '\0' &&
-		    !incarnation_is_of(s->id, p->at->t.reply.instance)) {
+		if (p->attempt->t.reply.instance[0] != '\0' &&
+		    !incarnation_is_of(s->id, p->attempt->t.reply.instance)) {
 			s->replaced = 1;
-			crash_ended(d, s);
+			crash_add_end(d, s);
 		}
-		p->missents =
-		    o != NULL && p->missent == o->number ? p->missents + 1 : 1;
-		p->missent = o == NULL ? 0 : o->number;
-		p->not_before = now + MISSENT_WAIT;
+		p->not_owner_count =
+		    o != NULL && p->not_owner_number == o->number
+		    ? p->not_owner_count + 1
+		    : 1;
+		p->not_owner_number = o == NULL ? 0 : o->number;
+		p->not_before = now + NOT_OWNER_RETRY_DELAY;
 	} else
 		count_add(C_TARGET_FULL, 1);
 	log_request("router", p->call->id,
@@ -128,34 +131,35 @@
 	    p->call->key_number,
 	    o == NULL ? 0ull : (unsigned long long)o->number, p->tries);
 	if (may_resend(p, 1, now))
-		again(d, p, now);
+		retry(d, p, now);
 	else
-		flow_end(d, p, GS_SHED, (usec)p->learnt->work, now);
+		flow_fail(d, p, GS_SHED, (usec)p->stats->avg_time, now);
 }
 
 /* Handles an attempt without a complete answer, which may have run. */
 static void
 maybe_run(struct direct *d, struct pending *p, CURLcode res, usec now)
 {
-	int code = p->at->t.reply.too_large ? GS_ANSWER_LARGE : GS_TARGET_LOST;
+	int code =
+	    p->attempt->t.reply.too_large ? GS_ANSWER_LARGE : GS_TARGET_LOST;
 
 	count_add(res == CURLE_OK ? C_FOREIGN : C_BROKE, 1);
 	p->ran++;
-	crash_unanswered(d, p, now);
+	crash_add_unanswered(d, p, now);
 	if (res != CURLE_OK && code == GS_TARGET_LOST)
-		crash_broke(d, p, p->at->target, now);
+		crash_add_break(d, p, p->attempt->target, now);
 	log_request("router", p->call->id,
 	    "no complete answer from target %s at %s after %lld ms: %s, "
 	    "content %016llx, try %d",
-	    p->at->target->id, p->at->target->addr,
-	    (long long)((now - p->at->sent) / 1000),
+	    p->attempt->target->id, p->attempt->target->addr,
+	    (long long)((now - p->attempt->sent) / 1000),
 	    res == CURLE_OK ? "not an answer to this request"
 			    : curl_easy_strerror(res),
 	    (unsigned long long)p->digest, p->tries);
-	if (code == GS_TARGET_LOST && may_repeat(p, now))
-		again(d, p, now);
+	if (code == GS_TARGET_LOST && may_retry(p, now))
+		retry(d, p, now);
 	else
-		flow_end(d, p, code, 0, now);
+		flow_fail(d, p, code, 0, now);
 }
 
 /* Handles an attempt that did not reach its target. */
@@ -164,11 +168,12 @@
 {
 	count_add(C_UNREACHED, 1);
 	log_request("router", p->call->id, "target %s at %s not reached: %s",
-	    p->at->target->id, p->at->target->addr, curl_easy_strerror(res));
+	    p->attempt->target->id, p->attempt->target->addr,
+	    curl_easy_strerror(res));
 	if (may_resend(p, 0, now))
-		again(d, p, now);
+		retry(d, p, now);
 	else
-		flow_end(d, p, GS_NO_OWNER, MS(200), now);
+		flow_fail(d, p, GS_NO_OWNER, MS(200), now);
 }
 
 /*
@@ -177,7 +182,7 @@
  * overloaded target sends many of these.
  */
 static void
-note_limit(struct direct *d, struct target_state *s, double limit,
+update_limit(struct direct *d, struct target_state *s, double limit,
     enum reply_kind kind, usec now)
 {
 	double was = s->dest.limit;
@@ -200,33 +205,33 @@
 /* Updates whether the target has ended, its limit, and whether the content got
  * an answer. */
 static void
-note_target(struct direct *d, struct pending *p, CURLcode res,
+update_target(struct direct *d, struct pending *p, CURLcode res,
     enum reply_kind kind, usec now)
 {
-	struct target_state *s = p->at->target;
+	struct target_state *s = p->attempt->target;
 
 	if (res == CURLE_COULDNT_CONNECT)
-		crash_ended(d, s);
+		crash_add_end(d, s);
 	if (res != CURLE_OK)
 		return;
 	s->ended = 0;
 	if (kind != REPLY_FOREIGN)
-		note_limit(d, s, p->at->t.reply.limit, kind, now);
+		update_limit(d, s, p->attempt->t.reply.limit, kind, now);
 	if (kind == REPLY_ANSWER || kind == REPLY_FAILURE)
-		crash_answered(d, p->digest, now);
+		crash_add_answer(d, p->digest, now);
 }
 
 /* Handles the end of an attempt. */
 void
-flow_ended(struct direct *d, struct pending *p, CURLcode res, usec now)
+flow_attempt_done(struct direct *d, struct pending *p, CURLcode res, usec now)
 {
-	struct attempt *a = p->at;
+	struct attempt *a = p->attempt;
 	enum reply_kind kind = REPLY_FOREIGN;
 
 	if (res == CURLE_OK)
 		kind = d->ops->kind(&a->t.reply, p->call);
-	learn(p, target_end(a, res, kind), now);
-	note_target(d, p, res, kind, now);
+	update_stats(p, target_end(a, res, kind), now);
+	update_target(d, p, res, kind, now);
 	if (!a->t.begun)
 		unreached(d, p, res, now);
 	else if (res != CURLE_OK)
@@ -237,8 +242,8 @@
 		maybe_run(d, p, res, now);
 	else {
 		p->ran++;
-		if (kind == REPLY_FAILURE && may_repeat(p, now))
-			again(d, p, now);
+		if (kind == REPLY_FAILURE && may_retry(p, now))
+			retry(d, p, now);
 		else
 			deliver(d, p, now);
 	}
@@ -248,26 +253,27 @@
 void
 flow_expire(struct direct *d, struct pending *p, usec now)
 {
-	if (p->at == NULL) {
-		flow_end(d, p, p->ran > 0 ? GS_DEADLINE : GS_TOO_LATE, 0, now);
+	if (p->attempt == NULL) {
+		flow_fail(d, p, p->ran > 0 ? GS_DEADLINE : GS_TOO_LATE, 0, now);
 		return;
 	}
-	learn(p, DEST_TIMED_OUT, now);
-	crash_unanswered(d, p, now);
-	flow_end(d, p, p->at->t.begun ? GS_DEADLINE : GS_TOO_LATE, 0, now);
+	update_stats(p, DEST_TIMED_OUT, now);
+	crash_add_unanswered(d, p, now);
+	flow_fail(
+	    d, p, p->attempt->t.begun ? GS_DEADLINE : GS_TOO_LATE, 0, now);
 }
 
 /* Ends a request whose caller has disconnected, and cuts its attempt. */
 void
-flow_left(struct direct *d, struct pending *p, usec now)
+flow_caller_gone(struct direct *d, struct pending *p, usec now)
 {
 	struct dest_answer ans = {.end = DEST_ANSWERED};
 
-	crash_unanswered(d, p, now);
-	if (p->at != NULL)
-		dest_ended(&p->at->target->dest, now, &ans);
+	crash_add_unanswered(d, p, now);
+	if (p->attempt != NULL)
+		dest_ended(&p->attempt->target->dest, now, &ans);
 	p->call->answer.code = GS_CANCELLED;
 	p->call->answer.outcome =
-	    p->ran > 0 || p->at != NULL ? OUT_UNKNOWN : OUT_NOT_RUN;
+	    p->ran > 0 || p->attempt != NULL ? OUT_UNKNOWN : OUT_NOT_RUN;
 	flow_finish(d, p, now);
 }
--- a/gspard/direct_pick.c
+++ b/gspard/direct_pick.c
@@ -10,12 +10,12 @@
 #include "incarnation.h"
 
 /* Initial average time of requests, in microseconds. */
-#define WORK_FIRST 100000.0
+#define AVG_TIME_INITIAL 100000.0
 
 /* Interval at which limits of targets are updated. */
-#define LIMITS_EVERY MS(20)
+#define LIMITS_INTERVAL MS(20)
 /* Assumed number of hosts in a shared rate limit until it is known. */
-#define HOSTS_UNCOUNTED 512
+#define RATE_HOSTS_ASSUMED 512
 
 /* Returns a target's state by id, or NULL. */
 struct target_state *
@@ -52,47 +52,49 @@
 
 /* Sets until when a target is cold, and its rate limit until then. */
 static void
-take_cold(struct dest *d, const struct site_service *v, const struct fleet *f,
+set_cold(struct dest *d, const struct site_service *v, const struct fleet *f,
     const struct fleet_target *t)
 {
-	usec back = evacuations_cold_until(
+	usec evacuation_cold_until = evacuations_cold_until(
 	    &f->evacuations, t->dc, v == NULL ? 0 : v->cold_start);
 
-	d->cold_until = t->cold_until > back ? t->cold_until : back;
+	d->cold_until = t->cold_until > evacuation_cold_until
+	    ? t->cold_until
+	    : evacuation_cold_until;
 	d->cold_rate = v == NULL ? 0 : v->cold_rate;
 }
 
 /* Returns this host's turns at targets whose limit is shared by all hosts. */
 static struct rate_turns
-turns(const struct direct *d, usec now)
+own_turns(const struct direct *d, usec now)
 {
 	struct rate_turns t = {d->conf.hosts, d->rank, now - clock_wall()};
 	const char *host = kernel_conf(d->s->kernel)->host;
 
-	if (d->counted)
+	if (d->hosts_known)
 		return (t);
 	/* Too small a share only delays requests; too large a one exceeds the
 	 * limits. */
-	t.hosts = HOSTS_UNCOUNTED;
-	t.rank = (int)(XXH3_64bits(host, strlen(host)) % HOSTS_UNCOUNTED);
+	t.hosts = RATE_HOSTS_ASSUMED;
+	t.rank = (int)(XXH3_64bits(host, strlen(host)) % RATE_HOSTS_ASSUMED);
 	return (t);
 }
 
 /* Updates the limits of all targets. */
 void
-targets_limits(struct direct *d, usec now)
+targets_update_limits(struct direct *d, usec now)
 {
-	struct rate_turns t = turns(d, now);
+	struct rate_turns t = own_turns(d, now);
 	struct target_state *p;
 
-	d->next_limits = now + LIMITS_EVERY;
+	d->next_limits = now + LIMITS_INTERVAL;
 	for (p = d->targets; p != NULL; p = p->next)
 		dest_apply_limit(&p->dest, &t, now);
 }
 
 /* Adds or updates a target from its entry. */
 static void
-take_entry(struct direct *d, const struct fleet *f,
+update_entry(struct direct *d, const struct fleet *f,
     const struct fleet_target *t, usec now)
 {
 	const struct conf *conf = kernel_conf(d->s->kernel);
@@ -113,17 +115,17 @@
 	name_copy(p->service, sizeof(p->service), t->service);
 	p->dest.slots = t->slots;
 	p->dest.same_dc = strcmp(t->dc, conf->dc) == 0;
-	take_cold(&p->dest, service_of(d, t->service), f, t);
+	set_cold(&p->dest, service_of(d, t->service), f, t);
 	p->dest.closed_from = closed_from(d, f, t);
 	if (t->gone && !p->dest.leaving)
-		crash_ended(d, p);
+		crash_add_end(d, p);
 	p->dest.leaving = t->leaving;
 	p->listed = 1;
 }
 
 /* Updates all targets from a new list; those not on it are leaving. */
 void
-targets_take(struct direct *d, const struct fleet *f, usec now)
+targets_update(struct direct *d, const struct fleet *f, usec now)
 {
 	struct target_state *p;
 	int i;
@@ -131,13 +133,13 @@
 	for (p = d->targets; p != NULL; p = p->next)
 		p->listed = 0;
 	for (i = 0; i < f->ntargets; i++)
-		take_entry(d, f, &f->targets[i], now);
+		update_entry(d, f, &f->targets[i], now);
 	for (p = d->targets; p != NULL; p = p->next) {
 		if (!p->listed)
 			p->dest.leaving = 1;
 	}
 	d->have_fleet = 1;
-	targets_limits(d, now);
+	targets_update_limits(d, now);
 }
 
 /* Frees targets that are not listed and that no request refers to. */
@@ -147,7 +149,7 @@
 	struct target_state **at = &d->targets, *p;
 
 	while ((p = *at) != NULL) {
-		if (p->listed || p->users > 0 || p->line.waiting > 0) {
+		if (p->listed || p->users > 0 || p->queue.waiting > 0) {
 			at = &p->next;
 			continue;
 		}
@@ -159,11 +161,11 @@
 
 /* Returns the state of a service, which is created if missing; NULL where the
  * table is full. */
-struct svc *
-svc_of(struct direct *d, const char *name)
+struct service_state *
+service_state_get(struct direct *d, const char *name)
 {
 	const struct bounds *b = &kernel_conf(d->s->kernel)->bounds;
-	struct svc *v;
+	struct service_state *v;
 	int i;
 
 	for (i = 0; i < d->nsvcs; i++) {
@@ -175,30 +177,31 @@
 	v = &d->svcs[d->nsvcs++];
 	memset(v, 0, sizeof(*v));
 	name_copy(v->name, sizeof(v->name), name);
-	v->work = WORK_FIRST;
-	budget_init(&v->again, b->retry_share, b->retry_slack / d->conf.hosts);
+	v->avg_time = AVG_TIME_INITIAL;
+	budget_init(
+	    &v->retry_budget, b->retry_share, b->retry_slack / d->conf.hosts);
 	return (v);
 }
 
 /* Returns the statistics of a rule, which are created if missing and replace
  * another rule's where all of its slots are taken. */
-struct learnt *
-learnt_of(struct direct *d, const struct rule *r)
+struct rule_stats *
+rule_stats_get(struct direct *d, const struct rule *r)
 {
 	uint64_t h = XXH3_64bits_withSeed(
 	    r->prefix.p, r->prefix.n, XXH3_64bits(r->host.p, r->host.n));
-	struct learnt *l;
+	struct rule_stats *l;
 	int i;
 
 	for (i = 0; i < 8; i++) {
-		l = &d->learnt[(h + (uint64_t)i) % LEARNT_SIZE];
+		l = &d->rule_stats[(h + (uint64_t)i) % RULE_STATS_SIZE];
 		if (l->hash == h)
 			return (l);
 		if (l->hash == 0)
 			break;
 	}
 	l->hash = h;
-	l->work = WORK_FIRST;
+	l->avg_time = AVG_TIME_INITIAL;
 	l->count = d->seed ^ h;
 	return (l);
 }
@@ -207,7 +210,7 @@
  * where all are full.  The cost of the one that this request was sent to before
  * is multiplied, so that a retry prefers another. */
 struct target_state *
-pick_any(struct direct *d, const struct pending *p, usec now)
+pick_target(struct direct *d, const struct pending *p, usec now)
 {
 	struct target_state *s, *best = NULL;
 	double cost, least = 0;
@@ -216,9 +219,9 @@
 		if (strcmp(s->service, p->svc->name) != 0 ||
 		    !dest_can_send(&s->dest, now, &d->conf))
 			continue;
-		cost = dest_cost(
-		    &s->dest, now, (usec)p->learnt->work, (usec)p->svc->work);
-		if (s == p->last)
+		cost = dest_cost(&s->dest, now, (usec)p->stats->avg_time,
+		    (usec)p->svc->avg_time);
+		if (s == p->last_target)
 			cost *= 8;
 		/* Random, or hosts in the same state would all choose the same
 		 * target. */
--- a/gspard/direct_send.c
+++ b/gspard/direct_send.c
@@ -13,18 +13,18 @@
 /* Connections that were idle for longer are not reused: targets close them
  * after some seconds, and a request sent at that moment is lost.  The lower
  * limit is for requests that are not idempotent. */
-#define IDLE_S 4L
-#define IDLE_ONCE_S 2L
+#define IDLE_MAX_S 4L
+#define IDLE_MAX_ONCE_S 2L
 /* Time allowed for the answer's way back, so that a target gives up before its
  * caller does. */
-#define WAY_MS 3
+#define RETURN_MS 3
 
 /* Returns a transfer handle, a cached one if there is any. */
 static CURL *
 easy_get(struct direct *d)
 {
-	if (d->nkept > 0)
-		return (d->kept[--d->nkept]);
+	if (d->nidle_easy > 0)
+		return (d->idle_easy[--d->nidle_easy]);
 	return (curl_easy_init());
 }
 
@@ -34,9 +34,9 @@
 attempt_free(struct direct *d, struct attempt *a)
 {
 	curl_multi_remove_handle(d->multi, a->t.easy);
-	if (d->nkept < EASY_KEPT) {
+	if (d->nidle_easy < IDLE_EASY_MAX) {
 		curl_easy_reset(a->t.easy);
-		d->kept[d->nkept++] = a->t.easy;
+		d->idle_easy[d->nidle_easy++] = a->t.easy;
 	} else
 		curl_easy_cleanup(a->t.easy);
 	transfer_end(&a->t);
@@ -76,7 +76,7 @@
 	transfer_set(&a->t, url, ms < CONNECT_MS ? ms + 1 : CONNECT_MS);
 	curl_easy_setopt(a->t.easy, CURLOPT_PRIVATE, p);
 	curl_easy_setopt(a->t.easy, CURLOPT_MAXAGE_CONN,
-	    p->rule->idempotent ? IDLE_S : IDLE_ONCE_S);
+	    p->rule->idempotent ? IDLE_MAX_S : IDLE_MAX_ONCE_S);
 	/*
 	 * A retry after a broken connection uses a new one, as the cached ones
 	 * may have died together.  A retry after a refusal does not: a target
@@ -104,11 +104,11 @@
 	a->sent = now;
 	a->t.ops = d->ops;
 	a->t.body_max = ANSWER_MAX;
-	a->t.heads =
-	    d->ops->request(p->call, target->id, (int)(left / 1000) - WAY_MS);
+	a->t.heads = d->ops->request(
+	    p->call, target->id, (int)(left / 1000) - RETURN_MS);
 	set_transfer(a, p, left);
 	set_request(a, p->call);
-	p->at = a;
+	p->attempt = a;
 	dest_sent(&target->dest, now);
 	count_add(C_SENT, 1);
 	curl_multi_add_handle(d->multi, a->t.easy);
@@ -119,11 +119,11 @@
 void
 attempt_drop(struct direct *d, struct pending *p)
 {
-	struct attempt *a = p->at;
+	struct attempt *a = p->attempt;
 
 	if (a == NULL)
 		return;
-	p->at = NULL;
+	p->attempt = NULL;
 	attempt_free(d, a);
 }
 
@@ -145,7 +145,7 @@
 		curl_easy_getinfo(m->easy_handle, CURLINFO_PRIVATE, &p);
 		curl_easy_getinfo(
 		    m->easy_handle, CURLINFO_RESPONSE_CODE, &status);
-		p->at->t.reply.status = (int)status;
-		flow_ended(d, p, res, now);
+		p->attempt->t.reply.status = (int)status;
+		flow_attempt_done(d, p, res, now);
 	}
 }
