--- a/gspard/direct.h
+++ b/gspard/direct.h
@@ -30,8 +30,8 @@
 struct wait_queue {
 	int waiting;
 	usec last_start;
-	double start_interval; /* mean time between starts while some wait, in
-		       microseconds; 0 is unknown */
+	double start_interval; /* mean while some wait, in microseconds; 0 is
+				  unknown */
 };
 
 /* The state of a target, kept while the target is listed or a request refers
@@ -56,8 +56,7 @@
 	char name[NAME_MAX_GS];
 	int keyed;
 	struct budget retry_budget;
-	double
-	    avg_time; /* moving average of its requests' time, microseconds */
+	double avg_time; /* moving average of its requests, in microseconds */
 	struct wait_queue queue;
 	struct heat heat;
 };
@@ -65,9 +64,8 @@
 /* Statistics of the requests of one rule. */
 struct rule_stats {
 	uint64_t hash;
-	uint64_t count; /* of requests, to spread them over its backends */
-	double
-	    avg_time; /* moving average of the time at a target, microseconds */
+	uint64_t count;	 /* of requests, to spread them over its backends */
+	double avg_time; /* moving average at targets, in microseconds */
 };
 
 struct pending;
@@ -96,10 +94,11 @@
 	usec parked_since; /* since when it waits for its key to have an owner,
 			      or 0 */
 	uint64_t not_owner_number; /* number of the owners by which it was sent
-			     to a target that does not own the key ... */
-	int not_owner_count;	   /* ... and how often */
-	int waiting;		   /* in its queue */
-	int ran;		   /* attempts that may have run */
+				      to a target that does not own the key,
+				      and how often */
+	int not_owner_count;
+	int waiting; /* in its queue */
+	int ran;     /* attempts that may have run */
 	int tries;
 	struct target_state *last_target; /* that it was sent to */
 	struct wait_queue *queue; /* that it waits in, or waited in last */
--- a/gspard/direct_flow.c
+++ b/gspard/direct_flow.c
@@ -174,12 +174,12 @@
 static usec
 wait_queue_delay(const struct wait_queue *wq, int ahead, usec now)
 {
-	double gap = wq->start_interval;
+	double interval = wq->start_interval;
 
 	/* Nothing has started for longer than usual: assume that rate. */
-	if (wq->waiting > 0 && (double)(now - wq->last_start) > gap)
-		gap = (double)(now - wq->last_start);
-	return ((usec)(ahead * gap));
+	if (wq->waiting > 0 && (double)(now - wq->last_start) > interval)
+		interval = (double)(now - wq->last_start);
+	return ((usec)(ahead * interval));
 }
 
 /*
--- a/gspard/heat_report.c
+++ b/gspard/heat_report.c
@@ -4,7 +4,7 @@
 
 #include "keeper.h"
 
-#define TARGETS_TOLD 1024
+#define TARGETS_MAX 1024
 
 /* Returns an empty report with capacity for a number of services; NULL where
  * memory is exhausted. */
@@ -41,7 +41,7 @@
 {
 	struct heat_target *t;
 
-	if (answers == 0 || h->ntargets == TARGETS_TOLD)
+	if (answers == 0 || h->ntargets == TARGETS_MAX)
 		return;
 	t = realloc(h->targets, sizeof(*t) * (size_t)(h->ntargets + 1));
 	if (t == NULL)
--- a/gspard/platform.c
+++ b/gspard/platform.c
@@ -11,25 +11,25 @@
 #include "transfer.h"
 
 /* Timeout of a call; a later answer is of no use to any lease. */
-#define CALL_MS 1500
+#define CALL_TIMEOUT_MS 1500
 /*
  * Lists and changes may be large: their timeout is longer while bytes arrive,
- * and CALL_MS applies to gaps between these.  With CALL_MS for the whole
- * answer, a link that needs longer than that for 750 KB never gets it, as each
- * read is given up most of the way.
+ * and CALL_TIMEOUT_MS applies to gaps between these.  With CALL_TIMEOUT_MS for
+ * the whole answer, a link that needs longer than that for 750 KB never gets
+ * it, as each read is given up most of the way.
  */
-#define LARGE_MS 10000
+#define LARGE_TIMEOUT_MS 10000
 /* Longest wait for events, without large calls in flight and with. */
-#define IDLE_MS 1000
-#define LOOK_MS 100
+#define POLL_IDLE_MS 1000
+#define POLL_LARGE_MS 100
 
 struct store_call;
 
 /* The platform service. */
 struct platform {
 	CURLM *multi;
-	struct store_call *open;
-	int at; /* index of the address in use */
+	struct store_call *calls;
+	int addr_index; /* index of the address in use */
 	int stop;
 };
 
@@ -42,9 +42,9 @@
 	CURL *easy;
 	struct curl_slist *heads;
 	struct str body;
-	int at; /* index of the address that it was sent to */
+	int addr_index; /* index of the address that it was sent to */
 	usec sent;
-	usec moved; /* when bytes last arrived */
+	usec received_at; /* when bytes last arrived */
 };
 
 /* Appends received bytes to the answer's body. */
@@ -53,13 +53,13 @@
 {
 	struct store_call *c = arg;
 
-	c->moved = clock_mono();
+	c->received_at = clock_mono();
 	return (str_add(&c->body, p, size * n) == 0 ? size * n : 0);
 }
 
 /* Passes a header line of the answer to the kind of store. */
 static size_t
-on_head(char *p, size_t size, size_t n, void *arg)
+on_header(char *p, size_t size, size_t n, void *arg)
 {
 	struct store_call *c = arg;
 
@@ -86,7 +86,7 @@
 
 /* Returns the kind of store that the settings name. */
 static const struct store_form *
-form_of(const struct conf *conf)
+store_form_of(const struct conf *conf)
 {
 	return (conf->form == FORM_OBJECTS ? &objects_form : &native_form);
 }
@@ -100,7 +100,7 @@
 
 /* Starts a call; the service owns st from here on. */
 static void
-begin(struct service *s, struct store *st)
+call_start(struct service *s, struct store *st)
 {
 	struct platform *p = s->state;
 	struct store_call *c;
@@ -114,27 +114,29 @@
 		return;
 	}
 	c->store = st;
-	c->at = p->at;
-	c->sent = c->moved = clock_mono();
-	c->next = p->open;
-	c->link = &p->open;
+	c->addr_index = p->addr_index;
+	c->sent = c->received_at = clock_mono();
+	c->next = p->calls;
+	c->link = &p->calls;
 	if (c->next != NULL)
 		c->next->link = &c->next;
-	p->open = c;
-	c->form = form_of(kernel_conf(s->kernel));
-	c->form->request(st, kernel_conf(s->kernel)->platform[p->at], &h);
+	p->calls = c;
+	c->form = store_form_of(kernel_conf(s->kernel));
+	c->form->request(
+	    st, kernel_conf(s->kernel)->platform[p->addr_index], &h);
 	curl_easy_setopt(c->easy, CURLOPT_URL, h.url);
 	curl_easy_setopt(c->easy, CURLOPT_PRIVATE, c);
 	curl_easy_setopt(c->easy, CURLOPT_NOSIGNAL, 1L);
 	curl_easy_setopt(c->easy, CURLOPT_TIMEOUT_MS,
-	    (long)((is_large(st) ? LARGE_MS : CALL_MS) + st->wait_ms));
+	    (long)((is_large(st) ? LARGE_TIMEOUT_MS : CALL_TIMEOUT_MS) +
+		st->wait_ms));
 	curl_easy_setopt(c->easy, CURLOPT_CONNECTTIMEOUT_MS, 500L);
 	curl_easy_setopt(c->easy, CURLOPT_SOCKOPTFUNCTION, transfer_alive);
 	curl_easy_setopt(
 	    c->easy, CURLOPT_USERAGENT, kernel_conf(s->kernel)->host);
 	curl_easy_setopt(c->easy, CURLOPT_WRITEFUNCTION, on_body);
 	curl_easy_setopt(c->easy, CURLOPT_WRITEDATA, c);
-	curl_easy_setopt(c->easy, CURLOPT_HEADERFUNCTION, on_head);
+	curl_easy_setopt(c->easy, CURLOPT_HEADERFUNCTION, on_header);
 	curl_easy_setopt(c->easy, CURLOPT_HEADERDATA, c);
 	curl_easy_setopt(c->easy, CURLOPT_CUSTOMREQUEST, h.method);
 	if (h.head[0] != '\0')
@@ -162,21 +164,21 @@
  * several calls that fail together would skip an address that works.
  */
 static void
-turn(struct service *s, const struct store_call *c)
+switch_address(struct service *s, const struct store_call *c)
 {
 	const struct conf *conf = kernel_conf(s->kernel);
 	struct platform *p = s->state;
 
-	if (conf->nplatforms < 2 || c->at != p->at)
+	if (conf->nplatforms < 2 || c->addr_index != p->addr_index)
 		return;
-	p->at = (p->at + 1) % conf->nplatforms;
+	p->addr_index = (p->addr_index + 1) % conf->nplatforms;
 	log_line(LOG_NOTICE, "platform", "No answer from %s, switching to %s.",
-	    conf->platform[c->at], conf->platform[p->at]);
+	    conf->platform[c->addr_index], conf->platform[p->addr_index]);
 }
 
 /* Sends a call's outcome to the service that made it. */
 static void
-finish(struct service *s, struct store_call *c, CURLcode res)
+call_finish(struct service *s, struct store_call *c, CURLcode res)
 {
 	struct store *st = c->store;
 	struct msg *m;
@@ -186,7 +188,7 @@
 		curl_easy_getinfo(c->easy, CURLINFO_RESPONSE_CODE, &status);
 	else {
 		count_add(C_STORE_FAIL, 1);
-		turn(s, c);
+		switch_address(s, c);
 	}
 	st->took = clock_mono() - c->sent;
 	/* The time of a watch says nothing: the store waits for changes. */
@@ -212,14 +214,14 @@
 
 /* Handles all messages in the ring. */
 static void
-take(struct service *s)
+handle_messages(struct service *s)
 {
 	struct platform *p = s->state;
 	struct msg *m;
 
 	while ((m = ring_get(s->in)) != NULL) {
 		if (m->kind == MSG_STORE) {
-			begin(s, m->data);
+			call_start(s, m->data);
 			m->data = NULL;
 		} else if (m->kind == MSG_QUIT)
 			p->stop = 1;
@@ -229,7 +231,7 @@
 
 /* Handles all calls that have ended. */
 static void
-reap(struct service *s)
+calls_reap(struct service *s)
 {
 	struct platform *p = s->state;
 	struct store_call *c;
@@ -240,7 +242,7 @@
 		if (cm->msg != CURLMSG_DONE)
 			continue;
 		curl_easy_getinfo(cm->easy_handle, CURLINFO_PRIVATE, &c);
-		finish(s, c, cm->data.result);
+		call_finish(s, c, cm->data.result);
 		curl_multi_remove_handle(p->multi, c->easy);
 		call_free(c);
 	}
@@ -249,29 +251,30 @@
 /* True where no byte has arrived for too long; the answer to a watch may begin
  * late. */
 static int
-stands_still(const struct store_call *c, usec now)
+is_stalled(const struct store_call *c, usec now)
 {
-	int ms = CALL_MS + (c->moved == c->sent ? c->store->wait_ms : 0);
+	int ms = CALL_TIMEOUT_MS +
+	    (c->received_at == c->sent ? c->store->wait_ms : 0);
 
-	return (is_large(c->store) && now - c->moved > MS(ms));
+	return (is_large(c->store) && now - c->received_at > MS(ms));
 }
 
 /* Ends stalled calls; returns the time until the next check, in ms. */
 static int
-end_still(struct service *s, usec now)
+end_stalled(struct service *s, usec now)
 {
 	struct platform *p = s->state;
 	struct store_call *c, *next;
-	int wait = IDLE_MS;
+	int wait = POLL_IDLE_MS;
 
-	for (c = p->open; c != NULL; c = next) {
+	for (c = p->calls; c != NULL; c = next) {
 		next = c->next;
 		if (is_large(c->store))
-			wait = LOOK_MS;
-		if (!stands_still(c, now))
+			wait = POLL_LARGE_MS;
+		if (!is_stalled(c, now))
 			continue;
 		curl_multi_remove_handle(p->multi, c->easy);
-		finish(s, c, CURLE_OPERATION_TIMEDOUT);
+		call_finish(s, c, CURLE_OPERATION_TIMEDOUT);
 		call_free(c);
 	}
 	return (wait);
@@ -285,10 +288,10 @@
 	int running, wait;
 
 	while (!p->stop) {
-		take(s);
+		handle_messages(s);
 		curl_multi_perform(p->multi, &running);
-		reap(s);
-		wait = end_still(s, clock_mono());
+		calls_reap(s);
+		wait = end_stalled(s, clock_mono());
 		if (!p->stop)
 			curl_multi_poll(p->multi, NULL, 0, wait, NULL);
 	}
@@ -317,9 +320,9 @@
 	struct platform *p = s->state;
 
 	ring_on_put(s->in, NULL, NULL);
-	while (p->open != NULL) {
-		curl_multi_remove_handle(p->multi, p->open->easy);
-		call_free(p->open);
+	while (p->calls != NULL) {
+		curl_multi_remove_handle(p->multi, p->calls->easy);
+		call_free(p->calls);
 	}
 	curl_multi_cleanup(p->multi);
 	free(p);
--- a/gspard/slow.c
+++ b/gspard/slow.c
@@ -1,7 +1,7 @@
 /*
  * The read timeout of requests.  The HTTP library closes a silent connection
  * without an answer, and waits without limit for one that sends a byte now and
- * then.  Here each request must be read whole within READ_MAX of its first
+ * then.  Here each request must be read whole within READ_TIMEOUT of its first
  * line; else its caller gets an error and the connection is closed.
  */
 #include <stdio.h>
@@ -11,10 +11,10 @@
 
 #include "slow.h"
 
-#define READ_MAX MS(6000)
+#define READ_TIMEOUT MS(6000)
 
 /* Who answers a call: nobody yet, the door, or the timeout. */
-enum { READING, CLAIMED, TOLD };
+enum { READING, CLAIMED, TIMED_OUT };
 
 /* The calls whose requests are being read or answered. */
 struct slow {
@@ -46,7 +46,7 @@
 void
 slow_add(struct slow *l, struct call *c, usec now)
 {
-	c->read_by = now + READ_MAX;
+	c->read_by = now + READ_TIMEOUT;
 	apr_thread_mutex_lock(l->lock);
 	c->next = l->first;
 	c->link = &l->first;
@@ -95,7 +95,7 @@
  * socket directly; the shutdown makes the library end the connection.
  */
 static void
-tell(const struct call *c)
+send_timeout(const struct call *c)
 {
 	char body[200], text[500];
 	int n;
@@ -123,9 +123,9 @@
 	for (c = l->first; c != NULL; c = c->next) {
 		was = READING;
 		if (now >= c->read_by && c->fd >= 0 &&
-		    __atomic_compare_exchange_n(&c->say, &was, TOLD, 0,
+		    __atomic_compare_exchange_n(&c->say, &was, TIMED_OUT, 0,
 			__ATOMIC_ACQ_REL, __ATOMIC_ACQUIRE))
-			tell(c);
+			send_timeout(c);
 	}
 	apr_thread_mutex_unlock(l->lock);
 }
--- a/gspard/target.c
+++ b/gspard/target.c
@@ -12,11 +12,11 @@
 #include "view.h"
 
 /* Timeout of a short call. */
-#define NOTE_MS 300
+#define TARGET_CALL_TIMEOUT_MS 300
 /* Budget of requests retried after a target was silent: their share of all
  * requests, and the largest burst. */
-#define AGAIN_SHARE 0.1
-#define AGAIN_BURST 64
+#define RETRY_SHARE 0.1
+#define RETRY_BURST 64
 
 /* Returns a target by name, or NULL. */
 struct target *
@@ -33,7 +33,7 @@
 
 /* Frees a packed answer, the value of a ticket table's slots. */
 static void
-drop_answer(void *arg)
+free_answer(void *arg)
 {
 	struct bytes *b = arg;
 
@@ -104,14 +104,14 @@
 	t->inflight = calloc(t->shards, sizeof(*t->inflight));
 	t->busy = calloc(t->shards, sizeof(*t->busy));
 	apr_generate_random_bytes((unsigned char *)&table, sizeof(table));
-	if (once_init(&t->once, table, TICKETS_KEPT, drop_answer) != 0 ||
+	if (once_init(&t->once, table, TICKETS_KEPT, free_answer) != 0 ||
 	    t->fence == NULL || t->moving == NULL || t->left_out == NULL ||
 	    t->inflight == NULL || t->busy == NULL) {
 		target_free(s, t);
 		return (NULL);
 	}
 	grant_init(&t->grant, &gc, duty->epoch, now);
-	budget_init(&t->again, AGAIN_SHARE, AGAIN_BURST);
+	budget_init(&t->again, RETRY_SHARE, RETRY_BURST);
 	t->min_view = duty->min_view;
 	t->loads_at = now;
 	t->next = d->targets;
@@ -122,7 +122,7 @@
 
 /* Frees a short call; one in flight is cut. */
 static void
-note_free(struct service *s, struct note *n)
+target_call_free(struct service *s, struct note *n)
 {
 	struct dispatch *d = s->state;
 
@@ -150,7 +150,7 @@
 		}
 	}
 	while (t->notes != NULL)
-		note_free(s, t->notes);
+		target_call_free(s, t->notes);
 	while (t->runs != NULL)
 		run_free(s, t->runs);
 	once_free(&t->once);
@@ -231,7 +231,7 @@
 
 /* Starts a short call; it owns the body, if any. */
 static void
-note_send(struct service *s, struct target *t, enum grant_step step,
+target_call_send(struct service *s, struct target *t, enum grant_step step,
     const char *path, char *body)
 {
 	struct dispatch *d = s->state;
@@ -258,7 +258,8 @@
 	curl_easy_setopt(n->easy, CURLOPT_NOSIGNAL, 1L);
 	curl_easy_setopt(
 	    n->easy, CURLOPT_USERAGENT, kernel_conf(s->kernel)->host);
-	curl_easy_setopt(n->easy, CURLOPT_TIMEOUT_MS, (long)NOTE_MS);
+	curl_easy_setopt(
+	    n->easy, CURLOPT_TIMEOUT_MS, (long)TARGET_CALL_TIMEOUT_MS);
 	conn_age(t, n->easy, n->sent);
 	curl_easy_setopt(n->easy, CURLOPT_WRITEFUNCTION, on_body);
 	curl_easy_setopt(n->easy, CURLOPT_WRITEDATA, n);
@@ -282,7 +283,7 @@
 
 	count_add(C_CANCELS, 1);
 	snprintf(path, sizeof(path), "/cancel?id=%llu", (unsigned long long)id);
-	note_send(s, t, STEP_NONE, path, NULL);
+	target_call_send(s, t, STEP_NONE, path, NULL);
 }
 
 /* Returns the JSON text of a grant, full or as a renewal; the caller frees it.
@@ -340,12 +341,12 @@
 	case STEP_NONE:
 		return;
 	case STEP_CLOCK:
-		note_send(s, t, step, "/clock", NULL);
+		target_call_send(s, t, step, "/clock", NULL);
 		return;
 	case STEP_FULL:
 	case STEP_RENEW:
 		count_add(C_GRANTS, 1);
-		note_send(s, t, step, "/grant",
+		target_call_send(s, t, step, "/grant",
 		    grant_text(s, t, step == STEP_FULL, until));
 		return;
 	}
@@ -393,7 +394,7 @@
 		d->report = 1;
 out:
 	json_decref(o);
-	note_free(s, n);
+	target_call_free(s, n);
 	run_pump(s, t, now);
 	target_tick(s, t, now);
 }
--- a/gspard/transfer.c
+++ b/gspard/transfer.c
@@ -8,9 +8,9 @@
 
 /* Keepalive probes of a silent connection: when they start, their interval in
  * seconds, and how many may go unanswered ... */
-#define PROBE_IDLE_S 1
-#define PROBE_EVERY_S 1
-#define PROBES 2
+#define KEEPALIVE_IDLE_S 1
+#define KEEPALIVE_INTERVAL_S 1
+#define KEEPALIVE_PROBES 2
 /* ... and the time without an acknowledgement after which it is closed. */
 #define USER_TIMEOUT_MS 2500
 
@@ -28,12 +28,13 @@
 int
 transfer_alive(void *arg, curl_socket_t fd, curlsocktype purpose)
 {
-	int on = 1, idle = PROBE_IDLE_S, every = PROBE_EVERY_S, n = PROBES;
+	int on = 1, idle = KEEPALIVE_IDLE_S, interval = KEEPALIVE_INTERVAL_S,
+	    n = KEEPALIVE_PROBES;
 	int ms = USER_TIMEOUT_MS;
 
 	setsockopt(fd, SOL_SOCKET, SO_KEEPALIVE, &on, sizeof(on));
 	setsockopt(fd, IPPROTO_TCP, TCP_KEEPIDLE, &idle, sizeof(idle));
-	setsockopt(fd, IPPROTO_TCP, TCP_KEEPINTVL, &every, sizeof(every));
+	setsockopt(fd, IPPROTO_TCP, TCP_KEEPINTVL, &interval, sizeof(interval));
 	setsockopt(fd, IPPROTO_TCP, TCP_KEEPCNT, &n, sizeof(n));
 	setsockopt(fd, IPPROTO_TCP, TCP_USER_TIMEOUT, &ms, sizeof(ms));
 	setsockopt(fd, IPPROTO_TCP, TCP_NODELAY, &on, sizeof(on));
@@ -58,7 +59,7 @@
 
 /* Passes a header line of the answer to the kind of target. */
 static size_t
-on_head(char *p, size_t size, size_t n, void *arg)
+on_header(char *p, size_t size, size_t n, void *arg)
 {
 	struct transfer *t = arg;
 
@@ -102,7 +103,7 @@
 	curl_easy_setopt(t->easy, CURLOPT_SOCKOPTFUNCTION, transfer_alive);
 	curl_easy_setopt(t->easy, CURLOPT_WRITEFUNCTION, on_body);
 	curl_easy_setopt(t->easy, CURLOPT_WRITEDATA, t);
-	curl_easy_setopt(t->easy, CURLOPT_HEADERFUNCTION, on_head);
+	curl_easy_setopt(t->easy, CURLOPT_HEADERFUNCTION, on_header);
 	curl_easy_setopt(t->easy, CURLOPT_HEADERDATA, t);
 	curl_easy_setopt(t->easy, CURLOPT_PREREQFUNCTION, on_send);
 	curl_easy_setopt(t->easy, CURLOPT_PREREQDATA, t);
--- a/gspard/watch.c
+++ b/gspard/watch.c
@@ -27,8 +27,8 @@
  * longest.  Each call counts, also a refused one; but targets that left while
  * this host was cut off must be known 3 s after its return, of which the doubt
  * window for lapsed entries takes two. */
-#define RETRY_FIRST MS(100)
-#define RETRY_MOST MS(400)
+#define RETRY_MIN MS(100)
+#define RETRY_MAX MS(400)
 
 /* Publishes a shared snapshot to a service. */
 void
@@ -41,16 +41,16 @@
 /* Logs an invalid entry, once for each version: lists are read repeatedly, and
  * would repeat the line. */
 static void
-note_foreign(struct watch *w, const struct found *f)
+log_invalid(struct watch *w, const struct found *f)
 {
 	uint64_t h = XXH3_64bits_withSeed(f->name, strlen(f->name), f->version);
 	int i;
 
-	for (i = 0; i < FOREIGN_KEPT; i++) {
-		if (w->foreign[i] == h)
+	for (i = 0; i < INVALID_LOGGED_MAX; i++) {
+		if (w->invalid_logged[i] == h)
 			return;
 	}
-	w->foreign[w->nforeign++ % FOREIGN_KEPT] = h;
+	w->invalid_logged[w->ninvalid_logged++ % INVALID_LOGGED_MAX] = h;
 	count_add(C_ENTRY_FOREIGN, 1);
 	log_line(LOG_WARNING, "watch",
 	    "Entry of target %s, version %llu, is invalid: it counts as gone.",
@@ -59,7 +59,7 @@
 
 /* Handles a target's entry. */
 static void
-take_target(struct service *s, const struct found *f, usec now)
+handle_target(struct service *s, const struct found *f, usec now)
 {
 	struct watch *w = s->state;
 	struct fleet_target t;
@@ -69,7 +69,7 @@
 		return;
 	}
 	if (decode_target(f->raw, f->name, &t) != 0) {
-		note_foreign(w, f);
+		log_invalid(w, f);
 		membership_entry_invalid(&w->membership, f->name, now);
 		return;
 	}
@@ -78,7 +78,7 @@
 
 /* Handles one evacuation; since is 0 where its start is unknown. */
 static void
-take_evacuation(
+handle_evacuation(
     struct watch *w, const struct found *f, int listing, usec since, usec now)
 {
 	struct evacuations *e =
@@ -95,7 +95,8 @@
 /* Handles changes of evacuations; since is when they began, or 0 where it is
  * unknown. */
 static void
-take_evacuations(struct watch *w, const struct store *st, usec since, usec now)
+handle_evacuations(
+    struct watch *w, const struct store *st, usec since, usec now)
 {
 	struct evacuations *e = &w->membership.evacuations;
 	int i;
@@ -104,14 +105,14 @@
 	if (st->nfound == 0 || st->version < e->as_of)
 		return;
 	for (i = 0; i < st->nfound; i++)
-		take_evacuation(w, &st->found[i], 0, since, now);
+		handle_evacuation(w, &st->found[i], 0, since, now);
 	e->as_of = st->version;
 	w->membership.changed = 1;
 }
 
 /* Handles all objects that a call returned. */
 static void
-take_found(
+handle_found(
     struct service *s, enum feed_kind kind, const struct store *st, usec now)
 {
 	struct watch *w = s->state;
@@ -125,15 +126,15 @@
 		if (kind == FEED_SITE)
 			watch_site_found(s, &st->found[i]);
 		else if (kind == FEED_TARGETS)
-			take_target(s, &st->found[i], now);
+			handle_target(s, &st->found[i], now);
 		else
-			take_evacuation(w, &st->found[i], 1, 0, now);
+			handle_evacuation(w, &st->found[i], 1, 0, now);
 	}
 }
 
 /* Handles the end of a page: continues with the next, or begins to watch. */
 static void
-took_page(
+list_page_done(
     struct watch *w, enum feed_kind kind, const struct store *st, usec now)
 {
 	struct feed *f = &w->feeds[kind];
@@ -173,7 +174,7 @@
 
 /* True once the targets and the evacuations are known. */
 static int
-knows_fleet(const struct service *s)
+fleet_known(const struct service *s)
 {
 	const struct watch *w = s->state;
 
@@ -191,9 +192,9 @@
 	uint64_t digest = evacuations_digest(e);
 	int i;
 
-	if (digest == w->logged_evacuations)
+	if (digest == w->evacuations_logged)
 		return;
-	w->logged_evacuations = digest;
+	w->evacuations_logged = digest;
 	for (i = 0; i < e->n; i++)
 		log_line(LOG_NOTICE, "watch",
 		    "Evacuation of data centre %s %s, revision %llu.",
@@ -210,7 +211,7 @@
 	struct fleet *fleet;
 
 	membership_tick(&w->membership, now);
-	if (!w->membership.changed || !knows_fleet(s))
+	if (!w->membership.changed || !fleet_known(s))
 		return;
 	log_evacuations(w);
 	w->membership.changed = 0;
@@ -245,7 +246,7 @@
 /* Handles the end of a watch, with changes or without, and schedules the next.
  */
 static void
-took_changes(struct feed *f, const struct store *st, usec now)
+watch_done(struct feed *f, const struct store *st, usec now)
 {
 	if (st->version > f->base)
 		f->base = st->version;
@@ -254,7 +255,7 @@
 
 /* Handles a failed call: schedules a retry, with a longer delay each time. */
 static void
-failed(struct service *s, struct feed *f, const struct store *st, usec now)
+call_failed(struct service *s, struct feed *f, const struct store *st, usec now)
 {
 	struct watch *w = s->state;
 
@@ -264,12 +265,12 @@
 		    "%zu bytes in %lld ms.",
 		    f->kind, st->result, st->status, st->body.n,
 		    (long long)(st->took / 1000));
-	f->backoff = f->backoff == 0 ? RETRY_FIRST : f->backoff * 2;
-	if (f->backoff > RETRY_MOST)
-		f->backoff = RETRY_MOST;
+	f->backoff = f->backoff == 0 ? RETRY_MIN : f->backoff * 2;
+	if (f->backoff > RETRY_MAX)
+		f->backoff = RETRY_MAX;
 	f->next = now + f->backoff;
 	/* A call from before MSG_BE_TOLD may end now. */
-	if (!w->told)
+	if (!w->from_controller)
 		membership_store_failed(&w->membership, now);
 	set_fresh(s, 0);
 	if (f == &w->feeds[FEED_SITE])
@@ -283,25 +284,25 @@
  * never end.
  */
 static void
-list_feed(struct feed *f, usec now)
+feed_list(struct feed *f, usec now)
 {
-	if (f->listing && (f->open || f->after[0] != '\0'))
+	if (f->listing && (f->pending || f->after[0] != '\0'))
 		return;
 	f->listing = 1;
 	f->after[0] = '\0';
 	f->next = now;
-	f->open = 0;
-	f->call++;
+	f->pending = 0;
+	f->call_id++;
 }
 
 /* Cancels a list that is not needed; the outcome of its call is ignored. */
 void
-watch_stop_list(struct feed *f)
+watch_cancel_list(struct feed *f)
 {
 	f->listing = 0;
 	f->after[0] = '\0';
-	f->open = 0;
-	f->call++;
+	f->pending = 0;
+	f->call_id++;
 }
 
 /*
@@ -309,20 +310,20 @@
  * kind that is still waiting may have missed changes.
  */
 static void
-list_all(struct service *s, usec now)
+feed_list_all(struct service *s, usec now)
 {
 	struct watch *w = s->state;
 	int i;
 
 	for (i = 0; i < FEEDS; i++) {
 		if (is_followed(s, i))
-			list_feed(&w->feeds[i], now);
+			feed_list(&w->feeds[i], now);
 	}
 }
 
 /* Returns the kind of object that a call was for. */
 static enum feed_kind
-kind_of(const struct watch *w, const char *tag)
+feed_kind_of(const struct watch *w, const char *tag)
 {
 	int i;
 
@@ -335,25 +336,25 @@
 
 /* Handles the outcome of a call. */
 static void
-take_stored(struct service *s, const struct store *st, usec now)
+call_done(struct service *s, const struct store *st, usec now)
 {
 	struct watch *w = s->state;
-	enum feed_kind kind = kind_of(w, st->tag);
+	enum feed_kind kind = feed_kind_of(w, st->tag);
 	struct feed *f = &w->feeds[kind];
 	usec since = f->backoff == 0 ? now : 0;
 
-	if (st->gen != f->call)
+	if (st->gen != f->call_id)
 		return;
-	f->open = 0;
+	f->pending = 0;
 	if (st->result == STORE_FORGOTTEN) {
 		log_line(LOG_NOTICE, "watch",
 		    "Store has dropped the history of %s, listing all.",
 		    f->kind);
-		list_all(s, now);
+		feed_list_all(s, now);
 		return;
 	}
 	if (st->result != STORE_DONE) {
-		failed(s, f, st, now);
+		call_failed(s, f, st, now);
 		return;
 	}
 	if (f->backoff != 0)
@@ -362,25 +363,25 @@
 	f->backoff = 0;
 	membership_store_answered(&w->membership, now);
 	if (kind == FEED_EVACUATIONS && st->op == STORE_WATCH)
-		take_evacuations(w, st, since, now);
+		handle_evacuations(w, st, since, now);
 	else
-		take_found(s, kind, st, now);
+		handle_found(s, kind, st, now);
 	if (st->op == STORE_LIST)
-		took_page(w, kind, st, now);
+		list_page_done(w, kind, st, now);
 	else
-		took_changes(f, st, now);
+		watch_done(f, st, now);
 	/* After the configuration itself, which was published above. */
 	if (kind == FEED_SITE && st->op == STORE_LIST && !f->listing)
 		msg_post(s->kernel, "control", MSG_SITE_READ, NULL, NULL);
 	/* First the targets, then the message that they are from the store. */
 	publish_fleet(s, now);
-	if (kind == FEED_TARGETS && !f->listing && !w->told)
+	if (kind == FEED_TARGETS && !f->listing && !w->from_controller)
 		set_fresh(s, 1);
 }
 
 /* Starts a feed's next call, a page of a list or a watch. */
 static void
-ask(struct service *s, struct feed *f)
+feed_call(struct service *s, struct feed *f)
 {
 	struct watch *w = s->state;
 	struct store *st;
@@ -401,8 +402,8 @@
 		    ? WATCH_EVACUATIONS_MS
 		    : WATCH_MS;
 	}
-	st->gen = ++f->call;
-	f->open = 1;
+	st->gen = ++f->call_id;
+	f->pending = 1;
 	store_send(s->kernel, st);
 }
 
@@ -414,14 +415,15 @@
 	int i;
 
 	for (i = 0; i < FEEDS; i++) {
-		if (!is_followed(s, i) || (w->told && !w->feeds[i].listing))
+		if (!is_followed(s, i) ||
+		    (w->from_controller && !w->feeds[i].listing))
 			continue;
 		/* While the store fails, only the first kind probes it. */
 		if (i > 0 && w->feeds[0].backoff != 0 &&
 		    w->feeds[i].backoff != 0)
 			continue;
-		if (!w->feeds[i].open && now >= w->feeds[i].next)
-			ask(s, &w->feeds[i]);
+		if (!w->feeds[i].pending && now >= w->feeds[i].next)
+			feed_call(s, &w->feeds[i]);
 	}
 	publish_fleet(s, now);
 }
@@ -434,7 +436,7 @@
  * let all hosts use a target for two seconds longer than allowed.
  */
 static void
-be_told(struct watch *w, usec now)
+reset_failures(struct watch *w, usec now)
 {
 	int i;
 
@@ -445,32 +447,32 @@
 
 /* Handles one message. */
 static void
-take(struct service *s, struct msg *m, usec now)
+handle_message(struct service *s, struct msg *m, usec now)
 {
 	struct watch *w = s->state;
 
 	switch (m->kind) {
 	case MSG_STORED:
-		take_stored(s, m->data, now);
+		call_done(s, m->data, now);
 		break;
 	case MSG_TOLD:
-		watch_site_told(s, m->data);
+		watch_site_received(s, m->data);
 		m->data = NULL;
 		break;
 	case MSG_READ_SITE:
-		list_feed(&w->feeds[FEED_SITE], now);
+		feed_list(&w->feeds[FEED_SITE], now);
 		break;
 	case MSG_RELIST:
-		list_feed(&w->feeds[FEED_TARGETS], now);
-		list_feed(&w->feeds[FEED_EVACUATIONS], now);
+		feed_list(&w->feeds[FEED_TARGETS], now);
+		feed_list(&w->feeds[FEED_EVACUATIONS], now);
 		break;
 	case MSG_FOLLOW:
-		w->told = 0;
-		list_all(s, now);
+		w->from_controller = 0;
+		feed_list_all(s, now);
 		break;
 	case MSG_BE_TOLD:
-		w->told = 1;
-		be_told(w, now);
+		w->from_controller = 1;
+		reset_failures(w, now);
 		set_fresh(s, 0);
 		break;
 	case MSG_FLEET_TOLD:
@@ -497,7 +499,7 @@
 		m = ring_wait(s->in, TICK_US);
 		now = clock_mono();
 		if (m != NULL)
-			take(s, m, now);
+			handle_message(s, m, now);
 		msg_free(m);
 		tick(s, now);
 	}
--- a/gspard/watch.h
+++ b/gspard/watch.h
@@ -7,19 +7,19 @@
 #include "membership.h"
 
 /* Number of invalid entries that are remembered as logged. */
-#define FOREIGN_KEPT 64
+#define INVALID_LOGGED_MAX 64
 
 enum feed_kind { FEED_SITE, FEED_TARGETS, FEED_EVACUATIONS, FEEDS };
 
 /* One kind of object that is followed: a list of all, then watches. */
 struct feed {
 	const char *kind;
-	int listing;   /* else it watches */
-	int listed;    /* a list has been completed */
-	int open;      /* a call is in flight */
-	uint64_t call; /* id of the current call; the outcomes of others are
+	int listing;	  /* else it watches */
+	int listed;	  /* a list has been completed */
+	int pending;	  /* a call is in flight */
+	uint64_t call_id; /* id of the current call; the outcomes of others are
 			  ignored */
-	uint64_t base; /* revision after which the next watch starts */
+	uint64_t base;	  /* revision after which the next watch starts */
 	uint64_t list_base;	 /* revision of the list's first page */
 	char after[NAME_MAX_GS]; /* last name of the page before, or "" */
 	usec next;		 /* earliest time of the next call */
@@ -32,12 +32,12 @@
 	struct membership membership;
 	struct evacuations listed; /* in the list that is being read */
 	struct shared *site;
-	uint64_t logged_evacuations; /* digest of those last logged */
-	int fresh;	  /* the targets are as read from the store */
-	int told;	  /* this host gets changes from the controller */
-	uint64_t version; /* of the current site configuration */
-	uint64_t foreign[FOREIGN_KEPT]; /* digests of invalid entries */
-	unsigned nforeign;
+	uint64_t evacuations_logged; /* digest of those last logged */
+	int fresh;	     /* the targets are as read from the store */
+	int from_controller; /* this host gets changes from the controller */
+	uint64_t version;    /* of the current site configuration */
+	uint64_t invalid_logged[INVALID_LOGGED_MAX]; /* digests of entries */
+	unsigned ninvalid_logged;
 	int stop;
 };
 
@@ -45,10 +45,10 @@
 void watch_publish(
     struct service *, const char *to, enum msg_kind, struct shared *);
 
-void watch_stop_list(struct feed *);
+void watch_cancel_list(struct feed *);
 
 /* watch_site.c */
 void watch_site_found(struct service *, const struct found *);
-void watch_site_told(struct service *, struct site *);
+void watch_site_received(struct service *, struct site *);
 
 #endif
--- a/gspard/watch_site.c
+++ b/gspard/watch_site.c
@@ -50,25 +50,25 @@
 /* Puts in force a configuration from another host, or a difference to the
  * current one; owns it. */
 void
-watch_site_told(struct service *s, struct site *told)
+watch_site_received(struct service *s, struct site *received)
 {
 	struct watch *w = s->state;
-	struct site *t = told;
+	struct site *t = received;
 
-	if (told->since != 0) {
-		t = w->site == NULL ? NULL : site_apply(w->site->p, told);
+	if (received->since != 0) {
+		t = w->site == NULL ? NULL : site_apply(w->site->p, received);
 		if (t == NULL)
 			log_line(LOG_NOTICE, "watch",
 			    "Received configuration %llu as a difference to "
 			    "%llu, which is not in force here.",
-			    (unsigned long long)told->version,
-			    (unsigned long long)told->since);
-		site_free(told);
+			    (unsigned long long)received->version,
+			    (unsigned long long)received->since);
+		site_free(received);
 	}
 	if (t == NULL)
 		return;
 	put_site(s, t, "host");
 	/* A list of the configuration in progress is no longer needed. */
-	if (w->told)
-		watch_stop_list(&w->feeds[FEED_SITE]);
+	if (w->from_controller)
+		watch_cancel_list(&w->feeds[FEED_SITE]);
 }
--- a/regress/unit/t_callers.c
+++ b/regress/unit/t_callers.c
@@ -39,7 +39,7 @@
  * was working and answered the caller that its request was cancelled.
  */
 static void
-request_as_it_ends(void)
+request_while_ending(void)
 {
 	apr_thread_mutex_t *lock;
 	apr_pool_t *pool;
@@ -76,6 +76,6 @@
 }
 
 static const struct unit_test tests[] = {
-    {"request as it ends", request_as_it_ends},
+    {"request while ending", request_while_ending},
 };
 UNIT_MAIN("callers", tests)
