--- a/gspard/callers.c
+++ b/gspard/callers.c
@@ -45,7 +45,7 @@
 
 /* Adds a connection that was accepted. */
 static void
-add(struct callers *l, struct MHD_Connection *conn, void **state)
+conn_add(struct callers *l, struct MHD_Connection *conn, void **state)
 {
 	const union MHD_ConnectionInfo *info;
 	struct caller *c;
@@ -69,7 +69,7 @@
 
 /* Removes a connection before its descriptor is closed. */
 static void
-drop(struct callers *l, void **state)
+conn_remove(struct callers *l, void **state)
 {
 	struct caller *c = *state;
 
@@ -90,9 +90,9 @@
     enum MHD_ConnectionNotificationCode what)
 {
 	if (what == MHD_CONNECTION_NOTIFY_STARTED)
-		add(arg, conn, state);
+		conn_add(arg, conn, state);
 	else
-		drop(arg, state);
+		conn_remove(arg, state);
 }
 
 /*
--- a/gspard/watch.c
+++ b/gspard/watch.c
@@ -23,7 +23,7 @@
  * call: the number of calls matters, and the bound on leaving targets (2 s)
  * permits the delay. */
 #define WATCH_PAUSE MS(250)
-/* Retry delay while the store does not answer, doubled from the first to the
+/* Retry delay while the store does not answer, doubled from the least to the
  * longest.  Each call counts, also a refused one; but targets that left while
  * this host was cut off must be known 3 s after its return, of which the doubt
  * window for lapsed entries takes two. */
@@ -269,7 +269,7 @@
 	if (f->backoff > RETRY_MAX)
 		f->backoff = RETRY_MAX;
 	f->next = now + f->backoff;
-	/* A call from before MSG_BE_TOLD may end now. */
+	/* Ignore a call that was sent before MSG_BE_TOLD. */
 	if (!w->from_controller)
 		membership_store_failed(&w->membership, now);
 	set_fresh(s, 0);
