--- a/gspard/direct.h
+++ b/gspard/direct.h
@@ -1,4 +1,7 @@
-/* The router that sends to targets itself: its parts and what they share. */
+/*
+ * The router that sends requests to targets itself: the types and functions
+ * that its files share.
+ */
 #ifndef DIRECT_H
 #define DIRECT_H
 
@@ -16,86 +19,93 @@
 #include "target_ops.h"
 #include "transfer.h"
 
-#define LEARNT_SIZE 256
-#define EASY_KEPT 32
-/* Between looks whether a caller is still there: targets must not go on for
- * more than half a second after a caller left. */
-#define FLOW_LOOK_EVERY MS(100)
+#define RULE_STATS_SIZE 256
+#define IDLE_EASY_MAX 32
+/* Interval at which callers are checked for being connected: targets must not
+ * work for more than half a second after a caller has disconnected. */
+#define CALLER_CHECK_INTERVAL MS(100)
 
-/* Requests that wait for the same thing: how fast they get on. */
-struct line {
+/* Requests that wait for the same target or service, and how fast they start.
+ */
+struct wait_queue {
 	int waiting;
 	usec last_start;
-	double gap; /* between starts while some waited; 0 is not known */
+	double start_interval; /* mean while some wait, in microseconds; 0 is
+				  unknown */
 };
 
-/* A target, as long as its entry or a request is there. */
+/* The state of a target, kept while the target is listed or a request refers
+ * to it. */
 struct target_state {
 	struct target_state *next;
 	char id[NAME_MAX_GS];
 	char addr[FLEET_ADDR];
 	char service[NAME_MAX_GS];
 	struct dest dest;
-	struct line line;
-	int listed;
+	struct wait_queue queue;
+	int listed;   /* in the current list of targets */
 	int answers;  /* since the last report */
-	int users;    /* requests that name it */
+	int users;    /* pending requests last sent to it */
 	int replaced; /* another target answers at its address */
 	uint64_t digest;
-	int ended; /* found so, and told; an answer says otherwise */
+	int ended; /* its end was reported; cleared by an answer */
 };
 
-/* What is kept of a service across versions of the configuration. */
-struct svc {
+/* The state of a service, kept across versions of the configuration. */
+struct service_state {
 	char name[NAME_MAX_GS];
 	int keyed;
-	struct budget again;
-	double work; /* usual time of all its requests, microseconds */
-	struct line line;
+	struct budget retry_budget;
+	double avg_time; /* moving average of its requests, in microseconds */
+	struct wait_queue queue;
 	struct heat heat;
 };
 
-/* What was learnt of the requests of one rule. */
-struct learnt {
+/* Statistics of the requests of one rule. */
+struct rule_stats {
 	uint64_t hash;
-	uint64_t count;
-	double work; /* usual time at a target, microseconds */
+	uint64_t count;	 /* of requests, to spread them over its backends */
+	double avg_time; /* moving average at targets, in microseconds */
 };
 
 struct pending;
 
-/* One send to a target. */
+/* One attempt of a request: a send to one target. */
 struct attempt {
 	struct transfer t;
 	struct target_state *target;
-	int on_probation; /* the content was, when it was sent */
+	int on_probation; /* its content was on probation when it was sent */
 	usec sent;
 };
 
+/* A request that has not been answered. */
 struct pending {
 	struct pending *next;
 	struct pending *prev;
 	struct call *call;
 	const struct rule *rule;
-	struct learnt *learnt;
-	struct svc *svc;
-	uint64_t digest; /* of its content */
+	struct rule_stats *stats;
+	struct service_state *svc;
+	uint64_t digest; /* of the content */
 	usec arrived;
 	usec deadline;
-	usec not_before; /* of the next try */
-	usec next_look;
-	usec parked; /* since when its key has had no owner; 0 is not */
-	uint64_t
-	    missent;  /* owners' number under which it was sent wrongly ... */
-	int missents; /* ... and how often */
-	int waiting;
-	int ran; /* targets that may have run it */
+	usec not_before; /* earliest time of the next attempt */
+	usec next_caller_check;
+	usec parked_since; /* since when it waits for its key to have an owner,
+			      or 0 */
+	uint64_t not_owner_number; /* number of the owners by which it was sent
+				      to a target that does not own the key,
+				      and how often */
+	int not_owner_count;
+	int waiting; /* in its queue */
+	int ran;     /* attempts that may have run */
 	int tries;
-	struct target_state *last;
-	struct line *line; /* where it waits */
-	struct attempt *at;
+	struct target_state *last_target; /* that it was sent to */
+	struct wait_queue *queue; /* that it waits in, or waited in last */
+	struct attempt *attempt;  /* in flight; else NULL */
 };
 
+/* The router service. */
 struct direct {
 	struct service *s;
 	const struct target_ops *ops;
@@ -106,48 +116,49 @@
 	struct shared *site;
 	struct shared *owners;
 	struct shared *quarantine;
-	struct recent recent;	     /* contents that were answered */
-	struct crash_report crashes; /* since the last report */
-	struct recent tried; /* contents that ran on probation, unanswered */
-	struct stop_plan
-	    *stop_plan; /* this host stops; NULL where it does not */
+	struct recent recent_answers;	    /* contents that got an answer */
+	struct crash_report crashes;	    /* since the last report */
+	struct recent probation_unanswered; /* contents sent on probation
+					       without an answer */
+	struct stop_plan *stop_plan; /* NULL unless this host is stopping */
 	struct dest_conf conf;
-	struct svc svcs[SITE_SERVICES_MAX];
+	struct service_state svcs[SITE_SERVICES_MAX];
 	int nsvcs;
-	struct learnt learnt[LEARNT_SIZE];
+	struct rule_stats rule_stats[RULE_STATS_SIZE];
 	struct pending *first;
 	struct pending *last;
-	CURL *kept[EASY_KEPT];
-	int nkept;
+	CURL *idle_easy[IDLE_EASY_MAX];
+	int nidle_easy;
 	int have_fleet;
-	int counted; /* it is known how many hosts there are */
-	int rank;    /* of this host among all */
+	int hosts_known; /* the number of hosts is known */
+	int rank;	 /* of this host among all hosts, from 0 */
 	int ready;
-	usec next_heat;
+	usec next_report;
 	usec next_limits;
 	uint64_t seed;
 	int stop;
 };
 
 /* direct_flow.c */
-void flow_send(struct direct *, struct pending *, usec now);
+void flow_route(struct direct *, struct pending *, usec now);
 void flow_pump(struct direct *, usec now);
-void flow_end(struct direct *, struct pending *, int code, usec wait, usec now);
+void flow_fail(
+    struct direct *, struct pending *, int code, usec wait, usec now);
 void flow_finish(struct direct *, struct pending *, usec now);
 
 /* direct_outcome.c */
-void flow_ended(struct direct *, struct pending *, CURLcode, usec now);
+void flow_attempt_done(struct direct *, struct pending *, CURLcode, usec now);
 void flow_expire(struct direct *, struct pending *, usec now);
-void flow_left(struct direct *, struct pending *, usec now);
+void flow_caller_gone(struct direct *, struct pending *, usec now);
 
 /* direct_crash.c */
-void crash_broke(struct direct *, const struct pending *,
+void crash_add_break(struct direct *, const struct pending *,
     const struct target_state *, usec now);
-void crash_ended(struct direct *, struct target_state *);
-void crash_sent(struct direct *, struct pending *, usec now);
-void crash_unanswered(struct direct *, const struct pending *, usec now);
-void crash_answered(struct direct *, uint64_t digest, usec now);
-void crash_listed(struct direct *, usec now);
+void crash_add_end(struct direct *, struct target_state *);
+void crash_mark_sent(struct direct *, struct pending *, usec now);
+void crash_add_unanswered(struct direct *, const struct pending *, usec now);
+void crash_add_answer(struct direct *, uint64_t digest, usec now);
+void crash_list_changed(struct direct *, usec now);
 int crash_may_run(
     struct direct *, const struct pending *, usec *wait, usec now);
 
@@ -158,13 +169,13 @@
 void attempts_reap(struct direct *, usec now);
 
 /* direct_pick.c */
-void targets_take(struct direct *, const struct fleet *, usec now);
+void targets_update(struct direct *, const struct fleet *, usec now);
 void targets_sweep(struct direct *);
-void targets_limits(struct direct *, usec now);
+void targets_update_limits(struct direct *, usec now);
 struct target_state *target_state_find(struct direct *, const char *id);
-struct svc *svc_of(struct direct *, const char *name);
-struct learnt *learnt_of(struct direct *, const struct rule *);
-struct target_state *pick_any(
+struct service_state *service_state_get(struct direct *, const char *name);
+struct rule_stats *rule_stats_get(struct direct *, const struct rule *);
+struct target_state *pick_target(
     struct direct *, const struct pending *, usec now);
 
 #endif
--- a/gspard/direct_send.c
+++ b/gspard/direct_send.c
@@ -1,46 +1,49 @@
-/* One send of a request to a target: the HTTP transfer and what it tells. */
+/* Attempts: the HTTP transfers that carry requests to targets. */
 #include <stdio.h>
 #include <stdlib.h>
 #include <string.h>
 
 #include "direct.h"
 
-/* An answer's body beyond this is not held in memory. */
+/* Largest body of an answer; larger ones are refused. */
 #define ANSWER_MAX (48u * 1024 * 1024)
-/* A target that does not take a connection in this time is not there: a new
- * one takes about 1 ms and the way to and fro. */
+/* A target that does not accept a connection within this time is unreachable:
+ * a connection takes one round trip and about 1 ms. */
 #define CONNECT_MS 300
-/* Kept connections idle for longer are not used: targets close them after
- * some seconds, and what is sent just then is lost. */
-#define IDLE_S 4L
-#define IDLE_ONCE_S 2L
-/* What the way back takes, so that a target gives up before the caller. */
-#define WAY_MS 3
+/* Connections that were idle for longer are not reused: targets close them
+ * after some seconds, and a request sent at that moment is lost.  The lower
+ * limit is for requests that are not idempotent. */
+#define IDLE_MAX_S 4L
+#define IDLE_MAX_ONCE_S 2L
+/* Time allowed for the answer's way back, so that a target gives up before its
+ * caller does. */
+#define RETURN_MS 3
 
-/* A transfer handle, used again where one is free. */
+/* Returns a transfer handle, a cached one if there is any. */
 static CURL *
 easy_get(struct direct *d)
 {
-	if (d->nkept > 0)
-		return (d->kept[--d->nkept]);
+	if (d->nidle_easy > 0)
+		return (d->idle_easy[--d->nidle_easy]);
 	return (curl_easy_init());
 }
 
-/* Frees an attempt; an open one is cut, which tells the target to stop. */
+/* Frees an attempt.  One in flight loses its connection, which tells the target
+ * to stop. */
 static void
 attempt_free(struct direct *d, struct attempt *a)
 {
 	curl_multi_remove_handle(d->multi, a->t.easy);
-	if (d->nkept < EASY_KEPT) {
+	if (d->nidle_easy < IDLE_EASY_MAX) {
 		curl_easy_reset(a->t.easy);
-		d->kept[d->nkept++] = a->t.easy;
+		d->idle_easy[d->nidle_easy++] = a->t.easy;
 	} else
 		curl_easy_cleanup(a->t.easy);
 	transfer_end(&a->t);
 	free(a);
 }
 
-/* Sets what the transfer sends. */
+/* Sets the method, target and body of the HTTP request. */
 static void
 set_request(struct attempt *a, const struct call *c)
 {
@@ -61,7 +64,8 @@
 		curl_easy_setopt(a->t.easy, CURLOPT_CUSTOMREQUEST, c->method);
 }
 
-/* Sets how the transfer goes. */
+/* Sets the address, timeouts and connection reuse of the transfer; left is the
+ * time until the deadline. */
 static void
 set_transfer(struct attempt *a, const struct pending *p, usec left)
 {
@@ -72,20 +76,18 @@
 	transfer_set(&a->t, url, ms < CONNECT_MS ? ms + 1 : CONNECT_MS);
 	curl_easy_setopt(a->t.easy, CURLOPT_PRIVATE, p);
 	curl_easy_setopt(a->t.easy, CURLOPT_MAXAGE_CONN,
-	    p->rule->idempotent ? IDLE_S : IDLE_ONCE_S);
+	    p->rule->idempotent ? IDLE_MAX_S : IDLE_MAX_ONCE_S);
 	/*
-	 * What broke once is sent on a new connection: the kept ones may have
-	 * died together.  Not what was refused: a target with a long queue
-	 * resets new connections, and the refusal would become "may have run".
-	 * Failed credit falls from 3.23 to 3.05 of 100, worth rises by 0.005
-	 * (20 heavy days of 8 hosts and 29 targets, paired; 11 of 12 hosts and
-	 * 35 targets: no difference).
+	 * A retry after a broken connection uses a new one, as the cached ones
+	 * may have died together.  A retry after a refusal does not: a target
+	 * with a long queue resets new connections, and the outcome would
+	 * change from "not run" to "may have run".
 	 */
 	if (p->ran > 0)
 		curl_easy_setopt(a->t.easy, CURLOPT_FRESH_CONNECT, 1L);
 }
 
-/* Sends a request to a target; 0, or -1 without memory. */
+/* Starts an attempt of a request; 0, or -1 where memory is exhausted. */
 int
 attempt_start(
     struct direct *d, struct pending *p, struct target_state *target, usec now)
@@ -102,30 +104,30 @@
 	a->sent = now;
 	a->t.ops = d->ops;
 	a->t.body_max = ANSWER_MAX;
-	a->t.heads =
-	    d->ops->request(p->call, target->id, (int)(left / 1000) - WAY_MS);
+	a->t.heads = d->ops->request(
+	    p->call, target->id, (int)(left / 1000) - RETURN_MS);
 	set_transfer(a, p, left);
 	set_request(a, p->call);
-	p->at = a;
+	p->attempt = a;
 	dest_sent(&target->dest, now);
 	count_add(C_SENT, 1);
 	curl_multi_add_handle(d->multi, a->t.easy);
 	return (0);
 }
 
-/* Takes an attempt off its request; one under way is cut. */
+/* Frees a request's attempt, if any; one in flight is cut. */
 void
 attempt_drop(struct direct *d, struct pending *p)
 {
-	struct attempt *a = p->at;
+	struct attempt *a = p->attempt;
 
 	if (a == NULL)
 		return;
-	p->at = NULL;
+	p->attempt = NULL;
 	attempt_free(d, a);
 }
 
-/* Takes all transfers that ended. */
+/* Handles all transfers that have ended. */
 void
 attempts_reap(struct direct *d, usec now)
 {
@@ -143,7 +145,7 @@
 		curl_easy_getinfo(m->easy_handle, CURLINFO_PRIVATE, &p);
 		curl_easy_getinfo(
 		    m->easy_handle, CURLINFO_RESPONSE_CODE, &status);
-		p->at->t.reply.status = (int)status;
-		flow_ended(d, p, res, now);
+		p->attempt->t.reply.status = (int)status;
+		flow_attempt_done(d, p, res, now);
 	}
 }
--- a/gspard/watch.c
+++ b/gspard/watch.c
@@ -1,7 +1,7 @@
 /*
- * The service that follows the platform's store: the configuration, the list
- * of targets and which data centres are evacuated.  It publishes each change as
- * a snapshot to who needs it.
+ * The service that follows the platform's store: the configuration, the list of
+ * targets and the evacuations of data centres.  It publishes each change as a
+ * snapshot to the services that use it.
  */
 #include <stdlib.h>
 #include <string.h>
@@ -14,20 +14,21 @@
 #include "watch.h"
 
 #define TICK_US MS(100)
-/* A watch is asked anew after this long without a change.  One that waits may
- * miss changes when the store drops its history, and hears so only then.  Only
- * the controller, and hosts that hear none, follow the store. */
+/* A watch without a change is renewed after this time.  A waiting watch may
+ * miss changes when the store drops its history, and learns that only when it
+ * is renewed.  Only the controller, and hosts without one, follow the store. */
 #define WATCH_MS 1000
 #define WATCH_EVACUATIONS_MS 2000
-/* Changes that come close together are read with one call: each call counts,
- * and the bound on leaving targets (2 s) leaves room for it. */
+/* Pause after a change, so that changes in quick succession are read with one
+ * call: the number of calls matters, and the bound on leaving targets (2 s)
+ * permits the delay. */
 #define WATCH_PAUSE MS(250)
-/* Between tries while the store does not answer; the first follows sooner.
- * Each call counts, refused ones too; but what left while this host was cut
- * off must be known 3 s after its return, of which the doubt about lapsed
- * entries takes two. */
-#define RETRY_FIRST MS(100)
-#define RETRY_MOST MS(400)
+/* Retry delay while the store does not answer, doubled from the least to the
+ * longest.  Each call counts, also a refused one; but targets that left while
+ * this host was cut off must be known 3 s after its return, of which the doubt
+ * window for lapsed entries takes two. */
+#define RETRY_MIN MS(100)
+#define RETRY_MAX MS(400)
 
 /* Publishes a shared snapshot to a service. */
 void
@@ -37,29 +38,28 @@
 	msg_post(s->kernel, to, kind, shared_ref(sh), shared_unref);
 }
 
-/* Notes an entry that makes no sense, once for each version: lists are read
- * again, and a line each time would say nothing new. */
+/* Logs an invalid entry, once for each version: lists are read repeatedly, and
+ * would repeat the line. */
 static void
-note_foreign(struct watch *w, const struct found *f)
+log_invalid(struct watch *w, const struct found *f)
 {
 	uint64_t h = XXH3_64bits_withSeed(f->name, strlen(f->name), f->version);
 	int i;
 
-	for (i = 0; i < FOREIGN_KEPT; i++) {
-		if (w->foreign[i] == h)
+	for (i = 0; i < INVALID_LOGGED_MAX; i++) {
+		if (w->invalid_logged[i] == h)
 			return;
 	}
-	w->foreign[w->nforeign++ % FOREIGN_KEPT] = h;
+	w->invalid_logged[w->ninvalid_logged++ % INVALID_LOGGED_MAX] = h;
 	count_add(C_ENTRY_FOREIGN, 1);
 	log_line(LOG_WARNING, "watch",
-	    "Entry of target %s, version %llu, makes no sense: no target is "
-	    "used by it.",
+	    "Entry of target %s, version %llu, is invalid: it counts as gone.",
 	    f->name, (unsigned long long)f->version);
 }
 
-/* Reads an entry of a target. */
+/* Handles a target's entry. */
 static void
-take_target(struct service *s, const struct found *f, usec now)
+handle_target(struct service *s, const struct found *f, usec now)
 {
 	struct watch *w = s->state;
 	struct fleet_target t;
@@ -69,7 +69,7 @@
 		return;
 	}
 	if (decode_target(f->raw, f->name, &t) != 0) {
-		note_foreign(w, f);
+		log_invalid(w, f);
 		membership_entry_invalid(&w->membership, f->name, now);
 		return;
 	}
@@ -78,7 +78,7 @@
 
 /* Handles one evacuation; since is 0 where its start is unknown. */
 static void
-take_evacuation(
+handle_evacuation(
     struct watch *w, const struct found *f, int listing, usec since, usec now)
 {
 	struct evacuations *e =
@@ -88,29 +88,31 @@
 		evacuations_end(e, f->name, now);
 	else if (evacuations_begin(e, f->name, since) != 0)
 		log_line(LOG_ERR, "watch",
-		    "More than %d data centres are evacuated: not %s.",
+		    "More than %d data centres are evacuated: %s is not.",
 		    EVACUATIONS_MAX, f->name);
 }
 
-/* Handles changes of evacuations. */
+/* Handles changes of evacuations; since is when they began, or 0 where it is
+ * unknown. */
 static void
-take_evacuations(struct watch *w, const struct store *st, usec since, usec now)
+handle_evacuations(
+    struct watch *w, const struct store *st, usec since, usec now)
 {
 	struct evacuations *e = &w->membership.evacuations;
 	int i;
 
-	/* Another host has sent a later revision meanwhile. */
+	/* Another host has already sent a later revision. */
 	if (st->nfound == 0 || st->version < e->as_of)
 		return;
 	for (i = 0; i < st->nfound; i++)
-		take_evacuation(w, &st->found[i], 0, since, now);
+		handle_evacuation(w, &st->found[i], 0, since, now);
 	e->as_of = st->version;
 	w->membership.changed = 1;
 }
 
-/* Reads all objects that a call found. */
+/* Handles all objects that a call returned. */
 static void
-take_found(
+handle_found(
     struct service *s, enum feed_kind kind, const struct store *st, usec now)
 {
 	struct watch *w = s->state;
@@ -124,22 +126,22 @@
 		if (kind == FEED_SITE)
 			watch_site_found(s, &st->found[i]);
 		else if (kind == FEED_TARGETS)
-			take_target(s, &st->found[i], now);
+			handle_target(s, &st->found[i], now);
 		else
-			take_evacuation(w, &st->found[i], 1, 0, now);
+			handle_evacuation(w, &st->found[i], 1, 0, now);
 	}
 }
 
-/* A page of a list came; goes on with the next, or begins to watch. */
+/* Handles the end of a page: continues with the next, or begins to watch. */
 static void
-took_page(
+list_page_done(
     struct watch *w, enum feed_kind kind, const struct store *st, usec now)
 {
 	struct feed *f = &w->feeds[kind];
 
 	/*
-	 * Watching goes on from the first page's revision: what changed while
-	 * the other pages were read is then told once more, and none is missed.
+	 * The watch starts at the first page's revision: it repeats changes
+	 * that were made while the other pages were read, and misses none.
 	 */
 	if (f->after[0] == '\0')
 		f->list_base = st->version;
@@ -162,7 +164,7 @@
 	}
 }
 
-/* True where a kind of object is asked for at all. */
+/* True where a kind of object is followed at all. */
 static int
 is_followed(const struct service *s, int kind)
 {
@@ -170,9 +172,9 @@
 	    kernel_conf(s->kernel)->bounds.evacuate_ms > 0);
 }
 
-/* True once the targets are known, and which of them are evacuated. */
+/* True once the targets and the evacuations are known. */
 static int
-knows_fleet(const struct service *s)
+fleet_known(const struct service *s)
 {
 	const struct watch *w = s->state;
 
@@ -190,9 +192,9 @@
 	uint64_t digest = evacuations_digest(e);
 	int i;
 
-	if (digest == w->logged_evacuations)
+	if (digest == w->evacuations_logged)
 		return;
-	w->logged_evacuations = digest;
+	w->evacuations_logged = digest;
 	for (i = 0; i < e->n; i++)
 		log_line(LOG_NOTICE, "watch",
 		    "Evacuation of data centre %s %s, revision %llu.",
@@ -200,7 +202,7 @@
 		    (unsigned long long)e->as_of);
 }
 
-/* Publishes the targets where they changed. */
+/* Publishes the targets if they have changed. */
 static void
 publish_fleet(struct service *s, usec now)
 {
@@ -209,7 +211,7 @@
 	struct fleet *fleet;
 
 	membership_tick(&w->membership, now);
-	if (!w->membership.changed || !knows_fleet(s))
+	if (!w->membership.changed || !fleet_known(s))
 		return;
 	log_evacuations(w);
 	w->membership.changed = 0;
@@ -224,10 +226,10 @@
 }
 
 /*
- * Tells the control service whether what is known here of targets is the
- * store's own word.  A controller that was cut off would otherwise tell all
- * hosts, once it is back, what it knew before, and a target that left
- * meanwhile would get work again.
+ * Tells the control service whether this host's list of targets was read from
+ * the store just now.  Otherwise a controller that was cut off would push its
+ * old list to all hosts once it is back, and a target that had left would get
+ * requests again.
  */
 static void
 set_fresh(struct service *s, int fresh)
@@ -241,18 +243,19 @@
 	    s->kernel, "control", fresh ? MSG_FRESH : MSG_STALE, NULL, NULL);
 }
 
-/* Changes came, or none in the time given; goes on from there. */
+/* Handles the end of a watch, with changes or without, and schedules the next.
+ */
 static void
-took_changes(struct feed *f, const struct store *st, usec now)
+watch_done(struct feed *f, const struct store *st, usec now)
 {
 	if (st->version > f->base)
 		f->base = st->version;
 	f->next = now + (st->nfound > 0 ? WATCH_PAUSE : 0);
 }
 
-/* A call failed; the next try comes later each time. */
+/* Handles a failed call: schedules a retry, with a longer delay each time. */
 static void
-failed(struct service *s, struct feed *f, const struct store *st, usec now)
+call_failed(struct service *s, struct feed *f, const struct store *st, usec now)
 {
 	struct watch *w = s->state;
 
@@ -262,12 +265,12 @@
 		    "%zu bytes in %lld ms.",
 		    f->kind, st->result, st->status, st->body.n,
 		    (long long)(st->took / 1000));
-	f->backoff = f->backoff == 0 ? RETRY_FIRST : f->backoff * 2;
-	if (f->backoff > RETRY_MOST)
-		f->backoff = RETRY_MOST;
+	f->backoff = f->backoff == 0 ? RETRY_MIN : f->backoff * 2;
+	if (f->backoff > RETRY_MAX)
+		f->backoff = RETRY_MAX;
 	f->next = now + f->backoff;
-	/* A call from before it was told may end now. */
-	if (!w->told)
+	/* Ignore a call that was sent before MSG_BE_TOLD. */
+	if (!w->from_controller)
 		membership_store_failed(&w->membership, now);
 	set_fresh(s, 0);
 	if (f == &w->feeds[FEED_SITE])
@@ -275,51 +278,52 @@
 }
 
 /*
- * Begins to read all of a kind.  A list that is under way goes on, for what
- * changes meanwhile is told after it: given up at each new reason to list, a
- * list that takes longer than the reasons are apart never ends.
+ * Begins to list all objects of a kind.  A list in progress is continued, as
+ * the watch after it reports what changes meanwhile.  If each new reason to
+ * list restarted it, a list that takes longer than the time between these would
+ * never end.
  */
 static void
-list_feed(struct feed *f, usec now)
+feed_list(struct feed *f, usec now)
 {
-	if (f->listing && (f->open || f->after[0] != '\0'))
+	if (f->listing && (f->pending || f->after[0] != '\0'))
 		return;
 	f->listing = 1;
 	f->after[0] = '\0';
 	f->next = now;
-	f->open = 0;
-	f->call++;
+	f->pending = 0;
+	f->call_id++;
 }
 
-/* Ends a list that is not needed; its outcome, where one comes, is dropped. */
+/* Cancels a list that is not needed; the outcome of its call is ignored. */
 void
-watch_stop_list(struct feed *f)
+watch_cancel_list(struct feed *f)
 {
 	f->listing = 0;
 	f->after[0] = '\0';
-	f->open = 0;
-	f->call++;
+	f->pending = 0;
+	f->call_id++;
 }
 
 /*
- * The store has dropped its history: reads all kinds anew.  A watch of another
- * kind may still wait, deaf to what changed meanwhile.
+ * Lists all kinds, after the store has dropped its history: a watch of another
+ * kind that is still waiting may have missed changes.
  */
 static void
-list_all(struct service *s, usec now)
+feed_list_all(struct service *s, usec now)
 {
 	struct watch *w = s->state;
 	int i;
 
 	for (i = 0; i < FEEDS; i++) {
 		if (is_followed(s, i))
-			list_feed(&w->feeds[i], now);
+			feed_list(&w->feeds[i], now);
 	}
 }
 
-/* The kind of object that a call was for. */
+/* Returns the kind of object that a call was for. */
 static enum feed_kind
-kind_of(const struct watch *w, const char *tag)
+feed_kind_of(const struct watch *w, const char *tag)
 {
 	int i;
 
@@ -330,26 +334,27 @@
 	return ((enum feed_kind)i);
 }
 
-/* Takes the outcome of a call. */
+/* Handles the outcome of a call. */
 static void
-take_stored(struct service *s, const struct store *st, usec now)
+call_done(struct service *s, const struct store *st, usec now)
 {
 	struct watch *w = s->state;
-	enum feed_kind kind = kind_of(w, st->tag);
+	enum feed_kind kind = feed_kind_of(w, st->tag);
 	struct feed *f = &w->feeds[kind];
 	usec since = f->backoff == 0 ? now : 0;
 
-	if (st->gen != f->call)
+	if (st->gen != f->call_id)
 		return;
-	f->open = 0;
+	f->pending = 0;
 	if (st->result == STORE_FORGOTTEN) {
-		log_line(LOG_NOTICE, "watch", "History of %s gone, listing.",
+		log_line(LOG_NOTICE, "watch",
+		    "Store has dropped the history of %s, listing all.",
 		    f->kind);
-		list_all(s, now);
+		feed_list_all(s, now);
 		return;
 	}
 	if (st->result != STORE_DONE) {
-		failed(s, f, st, now);
+		call_failed(s, f, st, now);
 		return;
 	}
 	if (f->backoff != 0)
@@ -358,25 +363,25 @@
 	f->backoff = 0;
 	membership_store_answered(&w->membership, now);
 	if (kind == FEED_EVACUATIONS && st->op == STORE_WATCH)
-		take_evacuations(w, st, since, now);
+		handle_evacuations(w, st, since, now);
 	else
-		take_found(s, kind, st, now);
+		handle_found(s, kind, st, now);
 	if (st->op == STORE_LIST)
-		took_page(w, kind, st, now);
+		list_page_done(w, kind, st, now);
 	else
-		took_changes(f, st, now);
-	/* After the configuration itself, which was published on its way. */
+		watch_done(f, st, now);
+	/* After the configuration itself, which was published above. */
 	if (kind == FEED_SITE && st->op == STORE_LIST && !f->listing)
 		msg_post(s->kernel, "control", MSG_SITE_READ, NULL, NULL);
-	/* First what it told, then that this is the store's own word. */
+	/* First the targets, then the message that they are from the store. */
 	publish_fleet(s, now);
-	if (kind == FEED_TARGETS && !f->listing && !w->told)
+	if (kind == FEED_TARGETS && !f->listing && !w->from_controller)
 		set_fresh(s, 1);
 }
 
-/* Starts the call that a feed is due for. */
+/* Starts a feed's next call, a page of a list or a watch. */
 static void
-ask(struct service *s, struct feed *f)
+feed_call(struct service *s, struct feed *f)
 {
 	struct watch *w = s->state;
 	struct store *st;
@@ -397,12 +402,12 @@
 		    ? WATCH_EVACUATIONS_MS
 		    : WATCH_MS;
 	}
-	st->gen = ++f->call;
-	f->open = 1;
+	st->gen = ++f->call_id;
+	f->pending = 1;
 	store_send(s->kernel, st);
 }
 
-/* Does what is due. */
+/* Starts the calls that are due, and publishes changes. */
 static void
 tick(struct service *s, usec now)
 {
@@ -410,26 +415,28 @@
 	int i;
 
 	for (i = 0; i < FEEDS; i++) {
-		if (!is_followed(s, i) || (w->told && !w->feeds[i].listing))
+		if (!is_followed(s, i) ||
+		    (w->from_controller && !w->feeds[i].listing))
 			continue;
-		/* One kind tells whether the store is back; others wait. */
+		/* While the store fails, only the first kind probes it. */
 		if (i > 0 && w->feeds[0].backoff != 0 &&
 		    w->feeds[i].backoff != 0)
 			continue;
-		if (!w->feeds[i].open && now >= w->feeds[i].next)
-			ask(s, &w->feeds[i]);
+		if (!w->feeds[i].pending && now >= w->feeds[i].next)
+			feed_call(s, &w->feeds[i]);
 	}
 	publish_fleet(s, now);
 }
 
 /*
- * Another follows the store for this host, so it answers him now, though it may
- * not have answered here.  Left at that, a host that takes control minutes
- * later would take the store for just back, doubt each entry that is removed,
- * and let all hosts use a target for two seconds more than it may be used.
+ * Resets the record of store failures when the controller begins to follow the
+ * store for this host: the store answers the controller, even if it did not
+ * answer this host.  Otherwise this host, if it takes control minutes later,
+ * would assume that the store has just come back, doubt each removed entry, and
+ * let all hosts use a target for two seconds longer than allowed.
  */
 static void
-be_told(struct watch *w, usec now)
+reset_failures(struct watch *w, usec now)
 {
 	int i;
 
@@ -438,34 +445,34 @@
 		w->feeds[i].backoff = 0;
 }
 
-/* Takes one message. */
+/* Handles one message. */
 static void
-take(struct service *s, struct msg *m, usec now)
+handle_message(struct service *s, struct msg *m, usec now)
 {
 	struct watch *w = s->state;
 
 	switch (m->kind) {
 	case MSG_STORED:
-		take_stored(s, m->data, now);
+		call_done(s, m->data, now);
 		break;
 	case MSG_TOLD:
-		watch_site_told(s, m->data);
+		watch_site_received(s, m->data);
 		m->data = NULL;
 		break;
 	case MSG_READ_SITE:
-		list_feed(&w->feeds[FEED_SITE], now);
+		feed_list(&w->feeds[FEED_SITE], now);
 		break;
 	case MSG_RELIST:
-		list_feed(&w->feeds[FEED_TARGETS], now);
-		list_feed(&w->feeds[FEED_EVACUATIONS], now);
+		feed_list(&w->feeds[FEED_TARGETS], now);
+		feed_list(&w->feeds[FEED_EVACUATIONS], now);
 		break;
 	case MSG_FOLLOW:
-		w->told = 0;
-		list_all(s, now);
+		w->from_controller = 0;
+		feed_list_all(s, now);
 		break;
 	case MSG_BE_TOLD:
-		w->told = 1;
-		be_told(w, now);
+		w->from_controller = 1;
+		reset_failures(w, now);
 		set_fresh(s, 0);
 		break;
 	case MSG_FLEET_TOLD:
@@ -479,7 +486,7 @@
 	}
 }
 
-/* The thread. */
+/* Runs the service's thread until MSG_QUIT. */
 static void
 watch_run(struct service *s)
 {
@@ -492,13 +499,13 @@
 		m = ring_wait(s->in, TICK_US);
 		now = clock_mono();
 		if (m != NULL)
-			take(s, m, now);
+			handle_message(s, m, now);
 		msg_free(m);
 		tick(s, now);
 	}
 }
 
-/* Makes the service ready. */
+/* Opens the service; 0, or -1 on failure. */
 static int
 watch_open(struct service *s)
 {
@@ -519,7 +526,7 @@
 	return (0);
 }
 
-/* Frees all. */
+/* Frees the service's state. */
 static void
 watch_close(struct service *s)
 {
