--- a/gspard/bind.c
+++ b/gspard/bind.c
@@ -5,7 +5,7 @@
 #include "bind.h"
 #include "conf.h"
 
-/* Binds a socket to "IP:PORT"; it, or -1. */
+/* Returns a TCP socket bound to "IP:PORT", or -1. */
 int
 bind_to(const char *at)
 {
--- a/gspard/bind.h
+++ b/gspard/bind.h
@@ -1,4 +1,4 @@
-/* Listening sockets. */
+/* Sockets bound to a configured address. */
 #ifndef BIND_H
 #define BIND_H
 
--- a/gspard/call.h
+++ b/gspard/call.h
@@ -1,4 +1,4 @@
-/* A caller's request, from the door through the router and back. */
+/* A caller's request, as the door and the router share it. */
 #ifndef CALL_H
 #define CALL_H
 
@@ -11,13 +11,13 @@
 #define REST_MAX 1024
 
 struct answer {
-	int code;
-	int outcome;
+	int code;    /* result code, GS_X */
+	int outcome; /* OUT_X */
 	uint32_t retry_ms;
-	int status;
+	int status; /* HTTP status of the target's answer */
 	struct str type;
 	struct str body;
-	struct str heads; /* of the target, to be passed on: lines with CRLF */
+	struct str heads; /* of the target, to pass on; lines end in CRLF */
 	char target[NAME_MAX_GS];
 	uint64_t fence;
 };
@@ -25,14 +25,14 @@
 struct call {
 	struct call *next; /* in the list of slow.c */
 	struct call **link;
-	usec read_by;
-	int say;
+	usec read_by; /* the request must be complete by then */
+	int say;      /* who answers the call, see slow.c */
 	struct MHD_Connection *conn;
 	int fd;
-	int ended; /* the connection is closed for reading, by us */
+	int ended; /* this host shut the connection down for reading */
 	char *uri;
-	int started;
-	int refused; /* a result code found before the body was read */
+	int started; /* the head has been parsed */
+	int refused; /* result code from parsing the head */
 	int too_large;
 	int submitted;
 	int answered;
@@ -45,18 +45,19 @@
 	char caller[128];
 	char type[128];
 	struct str body;
-	int ticket;
-	int left_ms;
-	/* Read by the platform's form only. */
-	struct shared *site; /* holds the rule */
+	int ticket;  /* asks for a ticket */
+	int left_ms; /* time until its deadline */
+	/* Set by the platform's form only. */
+	struct shared *site; /* the configuration that owns the rule */
 	const struct rule *rule;
-	struct str heads; /* to be passed on: lines with CRLF */
-	char id[128];	  /* of the request, by its caller */
-	int key_number;	  /* of a keyed service; -1 is none */
+	struct str heads; /* to pass on; lines end in CRLF */
+	char id[128];	  /* request id given by the caller */
+	int key_number;	  /* of a keyed service; -1: none */
 	struct answer answer;
 };
 
-/* door.c: ends a call; the router does not touch it afterwards. */
+/* door.c */
+/* Ends a call; the router must not use it afterwards. */
 void call_end(struct call *);
 int call_gone(const struct call *);
 int door_inflight(void);
--- a/gspard/callparse.c
+++ b/gspard/callparse.c
@@ -1,4 +1,4 @@
-/* Reads a caller's request line and headers; distrusts all of it. */
+/* Parses and validates the request line and headers of callers' requests. */
 #include <errno.h>
 #include <stdio.h>
 #include <stdlib.h>
@@ -10,14 +10,14 @@
 #define TICKET_REST "/ticket"
 #define DEADLINE_MAX_MS 600000
 
-/* A header of the request, or NULL. */
+/* Returns a header of the request, or NULL. */
 static const char *
 head(const struct call *c, const char *name)
 {
 	return (MHD_lookup_connection_value(c->conn, MHD_HEADER_KIND, name));
 }
 
-/* The value of a hexadecimal digit, or -1. */
+/* Returns the value of a hexadecimal digit, or -1. */
 static int
 hex(char c)
 {
@@ -29,8 +29,9 @@
 }
 
 /*
- * Decodes a key of n bytes, so that each way to write it names one shard; 0,
- * or -1 where it is empty, too long, badly written or holds a NUL or a slash.
+ * Decodes a percent-encoded key of n bytes, so that all encodings of a key give
+ * the same shard.  Returns 0, or -1 if it is empty, too long, malformed or
+ * contains a control character or a slash.
  */
 static int
 decode_key(const char *p, size_t n, char *out)
@@ -55,7 +56,7 @@
 	return (k == 0 ? -1 : 0);
 }
 
-/* Splits the request's path into service, key and rest; a result code. */
+/* Splits the URI into service, key and rest; returns a result code. */
 static int
 split_uri(struct call *c)
 {
@@ -88,7 +89,7 @@
 	return (GS_OK);
 }
 
-/* Reads the deadline header, or takes the entry's own; a result code. */
+/* Reads the deadline header; the entry's is the default.  A result code. */
 static int
 read_deadline(struct call *c, const struct entry *e)
 {
@@ -108,7 +109,7 @@
 	return (GS_OK);
 }
 
-/* Copies a header where it fits and is plain text; a result code. */
+/* Copies a header if it is printable ASCII and fits; a result code. */
 static int
 copy_head(const struct call *c, const char *name, char *dst, size_t size)
 {
@@ -125,7 +126,7 @@
 	return (name_copy(dst, size, s) == 0 ? GS_OK : GS_BAD_REQUEST);
 }
 
-/* The entry of the call's service, or NULL. */
+/* Returns the catalogue entry of the call's service, or NULL. */
 static const struct entry *
 entry_of(const struct call *c, const struct catalogue *cat)
 {
@@ -138,7 +139,7 @@
 	return (NULL);
 }
 
-/* Reads the whole head of a request; GS_OK, or the code to refuse with. */
+/* Parses the head of a request; GS_OK, or the code to refuse it with. */
 static int
 call_parse(struct call *c, const void *in_force)
 {
@@ -174,7 +175,7 @@
 	return (GS_OK);
 }
 
-/* When to come back, in whole seconds, and the code. */
+/* Adds the result code and, in whole seconds, when to retry. */
 static void
 own_heads(struct MHD_Response *r, int code, uint32_t ms)
 {
@@ -188,7 +189,7 @@
 	}
 }
 
-/* Which target answered, and under which fence. */
+/* Adds the content type, the target that answered and its fence. */
 static void
 target_heads(struct MHD_Response *r, const struct answer *a)
 {
--- a/gspard/conn.c
+++ b/gspard/conn.c
@@ -4,11 +4,14 @@
 #include "conn.h"
 
 #define READ_CHUNK 65536
-/* Frames larger than this wait until less than that is unsent before them. */
+/*
+ * Frames of state larger than FRAME_LARGE are not queued while more than
+ * UNSENT_MOST bytes are unsent.
+ */
 #define FRAME_LARGE 16384
 #define UNSENT_MOST 65536
 
-/* Wraps a socket; the connection owns it and its pool. */
+/* Makes a connection, which owns the socket and its pool; NULL if no memory. */
 struct conn *
 conn_new(apr_socket_t *sock, apr_pool_t *pool, uint64_t id, usec now)
 {
@@ -28,7 +31,7 @@
 	return (c);
 }
 
-/* Closes and frees. */
+/* Closes the socket and frees the connection. */
 void
 conn_free(struct conn *c)
 {
@@ -40,7 +43,7 @@
 	free(c);
 }
 
-/* Marks the connection as one to close, with the reason for the log. */
+/* Marks a connection to be closed; why, a static string, goes to the log. */
 void
 conn_fail(struct conn *c, const char *why)
 {
@@ -50,7 +53,7 @@
 	c->why = why;
 }
 
-/* Adds a packed frame to what waits to be sent; 0, or -1. */
+/* Queues a packed frame; returns 0, or -1 if the buffer is full. */
 int
 conn_queue(struct conn *c, const uint8_t *p, size_t n, usec now)
 {
@@ -62,7 +65,7 @@
 	return (0);
 }
 
-/* Notes a request that is queued while the connection does not stand yet. */
+/* Notes a request that was queued before the connection was established. */
 void
 conn_wait(struct conn *c, uint64_t corr)
 {
@@ -76,9 +79,9 @@
 }
 
 /*
- * True where a copy of what this host knows should not be queued now: whoever
- * sends it sends it again on a timer, and on a link that needs longer for one
- * than the timer runs, copies would pile up until none gets through in time.
+ * Returns true if a frame of state of n bytes should not be queued now.  State
+ * is sent again on a timer; on a link that needs longer than that for one copy,
+ * the queue would grow until no copy arrives in time.
  */
 int
 conn_held_up(const struct conn *c, size_t n)
@@ -87,10 +90,11 @@
 }
 
 /*
- * Sends what it can.  Where the link was full and takes bytes again, the other
- * end has taken those before them: it is not silent, though its answer comes
- * only after all that is queued.  Taken for silent, a connection on a slow link
- * is closed in the middle of each large frame, and none ever arrives.
+ * Writes queued bytes until the socket takes no more.  If a full socket takes
+ * bytes again, the peer has received earlier ones and is alive, though it can
+ * answer only after all that is queued.  Without this, a connection on a slow
+ * link would be closed in the middle of each large frame, and none would
+ * arrive.
  */
 void
 conn_write(struct conn *c, usec now)
@@ -119,7 +123,7 @@
 	c->out_at = 0;
 }
 
-/* Takes one whole frame out of what was read; 0 where there is none yet. */
+/* Passes on one complete frame of the input; returns 0 if there is none. */
 static int
 one_frame(struct conn *c, conn_frame_fn fn, void *arg)
 {
@@ -131,7 +135,7 @@
 		return (0);
 	if (frame_size(p, &n) != 0) {
 		count_add(C_PEER_BAD, 1);
-		conn_fail(c, "frame of a length that is not allowed");
+		conn_fail(c, "frame length out of range");
 		return (0);
 	}
 	if (have < FRAME_HEAD + n)
@@ -139,7 +143,7 @@
 	f = frame_unpack(p + FRAME_HEAD, n);
 	if (f == NULL) {
 		count_add(C_PEER_BAD, 1);
-		conn_fail(c, "malformed frame or of unknown kind");
+		conn_fail(c, "malformed frame or unknown kind");
 		return (0);
 	}
 	c->in_at += FRAME_HEAD + n;
@@ -152,7 +156,7 @@
 	return (1);
 }
 
-/* Reads what there is and calls fn for each whole frame, which fn frees. */
+/* Reads available bytes; calls fn for each complete frame, which fn frees. */
 void
 conn_read(struct conn *c, usec now, conn_frame_fn fn, void *arg)
 {
@@ -166,7 +170,7 @@
 		if (APR_STATUS_IS_EAGAIN(st))
 			break;
 		if (st != APR_SUCCESS || n == 0) {
-			conn_fail(c, "closed by the other end");
+			conn_fail(c, "closed by the peer");
 			break;
 		}
 		count_add(C_PEER_IN_BYTES, n);
--- a/gspard/conn.h
+++ b/gspard/conn.h
@@ -1,4 +1,4 @@
-/* One connection between hosts: buffers and frames, without the polling. */
+/* A connection between two hosts: its buffers and frames, without polling. */
 #ifndef CONN_H
 #define CONN_H
 
@@ -8,7 +8,7 @@
 
 #include "gspard.h"
 
-/* Bytes waiting to be sent on one connection before frames are refused. */
+/* Unsent bytes of a connection beyond which frames are refused. */
 #define CONN_OUT_MAX (64u * 1024 * 1024)
 
 struct conn {
@@ -20,7 +20,7 @@
 	char host[NAME_MAX_GS];
 	int outgoing;
 	int connecting;
-	int hello; /* the other end has said who it is */
+	int hello; /* the peer's hello was received */
 	int dead;
 	const char *why;
 	struct str in;
@@ -29,10 +29,10 @@
 	size_t out_at;
 	usec began;
 	usec last_in;
-	usec first_unanswered; /* sent since the last receipt; 0 is none */
+	usec first_unanswered; /* first send since the last receipt; 0: none */
 	int pinged;
-	int full; /* the link took no more when it was written to last */
-	/* Requests queued before the connection stood. */
+	int full; /* the last write did not fit into the socket buffer */
+	/* Requests queued before the connection was established. */
 	uint64_t *waiting;
 	size_t nwaiting;
 };
--- a/gspard/dispatch.c
+++ b/gspard/dispatch.c
@@ -1,4 +1,4 @@
-/* The service that dispatches for targets: messages, leases, reports. */
+/* The service "dispatch": its messages, leases and reports. */
 #include <stdlib.h>
 #include <string.h>
 
@@ -7,14 +7,14 @@
 #include "view.h"
 
 #define TICK_MS 10
-/* The longest sleep while nothing runs or waits here. */
+/* Longest sleep while no request runs or is queued. */
 #define IDLE_MS 25
 #define REPORT_EVERY MS(250)
 #define LOADS_EVERY MS(1000)
-/* Busiest shards reported for each target. */
+/* Number of busiest shards reported for each target. */
 #define LOADS_TOLD 16
 
-/* What is known of a cell, made where there is none; NULL without room. */
+/* Returns the state of a cell, created if new; NULL if the table is full. */
 struct dcell *
 dcell(struct dispatch *d, const char *name)
 {
@@ -30,14 +30,14 @@
 	return (&d->cells[d->ncells++]);
 }
 
-/* The number of the view held of a cell; 0 is none. */
+/* Returns the number of the cell's current view; 0: none. */
 static uint64_t
 held_view(const struct dcell *c)
 {
 	return (c->view == NULL ? 0 : view_number(c->view->p));
 }
 
-/* True where the duties name the target; gives the duty. */
+/* Returns the duty of a lease for a target, or NULL. */
 static const struct duty *
 duty_of(const struct lease *l, const char *target)
 {
@@ -50,7 +50,7 @@
 	return (NULL);
 }
 
-/* Takes one duty: a new target, or a later epoch of one held. */
+/* Applies one duty: a new target, or a later epoch of a known one. */
 static void
 take_duty(struct service *s, struct dcell *c, const struct duty *duty, usec now)
 {
@@ -76,7 +76,8 @@
 		target_view(t, c->view->p, held_view(c));
 }
 
-/* Takes a renewed lease and the duties under it. */
+/* Applies a renewed lease and its duties; targets without a duty are released.
+ */
 static void
 take_lease(struct service *s, struct lease *l, usec now)
 {
@@ -95,12 +96,12 @@
 		if (strcmp(t->cell, c->name) == 0 && !t->dropping &&
 		    duty_of(l, t->name) == NULL) {
 			t->dropping = 1;
-			event_add("dispatch", 0, "hands %s over", t->name);
+			event_add("dispatch", 0, "handing over %s", t->name);
 		}
 	}
 }
 
-/* Takes a view of a cell. */
+/* Handles a view of a cell. */
 static void
 take_view(struct service *s, struct msg *m, usec now)
 {
@@ -123,7 +124,7 @@
 	d->report = 1;
 }
 
-/* Lets go of targets handed over, once nothing of theirs is left here. */
+/* Releases targets to be handed over that have no more requests here. */
 static void
 drop_targets(struct service *s)
 {
@@ -134,7 +135,7 @@
 		next = t->next;
 		if (!t->dropping || t->nruns > 0 || t->queue.count > 0)
 			continue;
-		event_add("dispatch", 0, "handed %s over", t->name);
+		event_add("dispatch", 0, "handed over %s", t->name);
 		target_free(s, t);
 		d->report = 1;
 	}
@@ -144,7 +145,7 @@
 	}
 }
 
-/* Adds the shards that are surely released. */
+/* Adds the shards that the target has certainly released. */
 static void
 tell_freed(const struct target *t, Gspar__TargetState *ts, usec now)
 {
@@ -170,7 +171,7 @@
 	ts->freed[ts->n_freed++] = f;
 }
 
-/* The busiest shard not told yet, or the number of shards. */
+/* Returns the busiest shard not reported yet, or the number of shards. */
 static uint32_t
 busiest(const struct target *t)
 {
@@ -184,14 +185,14 @@
 	return (best);
 }
 
-/* Busy milliseconds a second, from microseconds busy in a span. */
+/* Converts microseconds busy in a span to busy milliseconds a second. */
 static uint32_t
 per_second(uint64_t busy, usec span)
 {
 	return ((uint32_t)(busy * 1000 / (uint64_t)span));
 }
 
-/* Adds the busiest shards' loads, and starts counting anew. */
+/* Adds the loads of the busiest shards, and resets the counters. */
 static void
 tell_loads(struct target *t, Gspar__TargetState *ts, usec now)
 {
@@ -222,7 +223,7 @@
 	t->loads_at = now;
 }
 
-/* What the controller is to know of one target. */
+/* Builds the report of one target for the controller. */
 static Gspar__TargetState *
 state_of(struct target *t, usec now)
 {
@@ -233,7 +234,7 @@
 	ts->target = strdup(t->name);
 	ts->epoch = t->grant.epoch;
 	ts->granted = t->grant.phase != GRANT_INACTIVE;
-	/* Only once it holds its shards does it count as serving. */
+	/* A target counts as up only once it holds its shards. */
 	ts->up = t->grant.up &&
 	    (t->grant.phase == GRANT_INACTIVE || t->grant.held_set != 0);
 	ts->leaving = t->leaving;
@@ -255,7 +256,7 @@
 	free(r);
 }
 
-/* Tells the control service what this host holds in each cell. */
+/* Reports the targets of each cell to the control service. */
 static void
 report(struct service *s, usec now)
 {
@@ -278,8 +279,9 @@
 		for (t = d->targets; t != NULL; t = t->next)
 			n += strcmp(t->cell, ask->cell) == 0;
 		/*
-		 * A target held under a lapsed lease is not told: it may have
-		 * been given to another host, whose word must not be crossed.
+		 * A target whose lease lapsed is not reported: another host may
+		 * dispatch for it by now, and its reports must not be
+		 * contradicted.
 		 */
 		ask->targets = calloc(n + 1, sizeof(*ask->targets));
 		for (t = d->targets; t != NULL; t = t->next) {
@@ -294,7 +296,7 @@
 	}
 }
 
-/* Takes one message. */
+/* Handles one message. */
 static void
 take(struct service *s, struct msg *m, usec now)
 {
@@ -337,7 +339,7 @@
 	msg_free(m);
 }
 
-/* Takes all transfers that ended. */
+/* Handles all transfers that have ended. */
 static void
 reap(struct service *s, usec now)
 {
@@ -359,7 +361,7 @@
 	}
 }
 
-/* Does what is due for each target. */
+/* Does the periodic work of each target. */
 static void
 tick(struct service *s, usec now)
 {
@@ -371,8 +373,8 @@
 			t->lapsed = 1;
 			t->dropping = 1;
 			d->report = 1;
-			event_add(
-			    "dispatch", 0, "lease lapsed, %s let go", t->name);
+			event_add("dispatch", 0, "lease lapsed, released %s",
+			    t->name);
 		}
 		target_sets(t);
 		target_tick(s, t, now);
@@ -384,7 +386,7 @@
 		report(s, now);
 }
 
-/* True where some request runs or waits. */
+/* Returns true if any request runs or is queued. */
 static int
 has_work(const struct dispatch *d)
 {
@@ -397,7 +399,7 @@
 	return (0);
 }
 
-/* The thread. */
+/* The service's thread. */
 static void
 dispatch_run(struct service *s)
 {
@@ -422,7 +424,7 @@
 	}
 }
 
-/* Makes the service ready. */
+/* Prepares the service. */
 static int
 dispatch_open(struct service *s)
 {
@@ -439,7 +441,7 @@
 	return (0);
 }
 
-/* Frees all. */
+/* Frees the service's state and all targets. */
 static void
 dispatch_close(struct service *s)
 {
--- a/gspard/dispatch.h
+++ b/gspard/dispatch.h
@@ -1,4 +1,7 @@
-/* The dispatcher: for its targets it alone grants, queues and sends. */
+/*
+ * The dispatcher: for its targets, it is the only host that grants shards,
+ * queues requests and sends them.
+ */
 #ifndef DISPATCH_H
 #define DISPATCH_H
 
@@ -19,7 +22,7 @@
 
 struct target;
 
-/* Who waits for an answer. */
+/* The host, connection and correlation id that an answer goes to. */
 struct asker {
 	char host[NAME_MAX_GS];
 	uint64_t conn;
@@ -33,10 +36,10 @@
 	struct run **link;
 	struct target *target;
 	Gspar__Frame *frame;
-	struct asker askers[MAX_JOINED];
+	struct asker askers[MAX_JOINED]; /* the first, and repeats */
 	int naskers;
-	uint64_t ticket;
-	uint64_t id;
+	uint64_t ticket; /* of the once table; 0: none */
+	uint64_t id;	 /* of the transfer, for its cancellation */
 	usec sent;
 	usec arrived;
 	CURL *easy;
@@ -45,12 +48,12 @@
 	size_t answer_max;
 	int too_large;
 	int cancelled;
-	int again; /* sent a second time */
-	int refused;
-	char type[96];
+	int again;     /* sent a second time */
+	int refused;   /* the target says that it did not run it */
+	char type[96]; /* content type of the answer */
 };
 
-/* A short call to a target: grant, clock or cancel. */
+/* A short request to a target: grant, clock or cancel. */
 struct note {
 	struct note *next;
 	struct note **link;
@@ -69,8 +72,8 @@
 	char cell[CELL_NAME_MAX];
 	char service[NAME_MAX_GS];
 	char addr[64];
-	uint32_t first;
-	uint32_t shards;
+	uint32_t first;	 /* shard of the cell */
+	uint32_t shards; /* of the cell; arrays below have so many */
 	const struct class *class;
 	size_t answer_max;
 	struct grant grant;
@@ -78,21 +81,21 @@
 	struct once once;
 	struct silence silence;
 	struct budget again;
-	int dropping;
-	int lapsed;
+	int dropping; /* its dispatch is handed over */
+	int lapsed;   /* the host's lease for its cell has lapsed */
 	int leaving;
-	int limited;
+	int limited;   /* its rate applies */
 	uint32_t rate; /* thousandths of a request a second */
 	struct bucket bucket;
-	uint32_t arrived; /* since loads_at */
-	uint64_t min_view;
-	uint64_t view; /* the view that the arrays below are of */
-	uint64_t *fence;
+	uint32_t arrived;  /* requests since loads_at */
+	uint64_t min_view; /* older views are not used */
+	uint64_t view;	   /* the view that the arrays below are of */
+	uint64_t *fence;   /* 0: not a shard of this target */
 	uint8_t *moving;
 	uint32_t nmoving;
-	uint8_t *left_out;
+	uint8_t *left_out; /* moving, and excluded from the wanted set */
 	uint16_t *inflight;
-	uint32_t *busy; /* microseconds since `loads_at` */
+	uint32_t *busy; /* microseconds since loads_at */
 	usec loads_at;
 	struct run *runs;
 	int nruns;
@@ -102,7 +105,7 @@
 struct dcell {
 	char name[CELL_NAME_MAX];
 	usec lease_until;
-	uint64_t ack; /* last lease acted on */
+	uint64_t ack; /* sequence number of the last lease applied */
 	struct shared *view;
 };
 
@@ -113,9 +116,9 @@
 	int ncells;
 	struct shared *catalogue;
 	uint64_t next_id;
-	int report;
+	int report; /* a report is due at once */
 	usec reported;
-	int stopping;
+	int stopping; /* until all targets are handed over */
 	int stop;
 };
 
--- a/gspard/door.c
+++ b/gspard/door.c
@@ -1,4 +1,4 @@
-/* The service that callers speak to. */
+/* The service "door": the HTTP server for callers. */
 #include <arpa/inet.h>
 #include <fcntl.h>
 #include <stdatomic.h>
@@ -18,13 +18,16 @@
 #include "door_ops.h"
 #include "slow.h"
 
-/* A connection that says nothing for so many seconds is closed. */
+/* Idle timeout of a connection until the site configuration gives one. */
 #define IDLE_SECONDS 10u
 #define CONNECTIONS_MAX 4096u
 #define LISTEN_BACKLOG 512
-/* Between looks for requests that are read too slowly. */
+/* Interval between checks for requests that arrive too slowly. */
 #define LOOK_EVERY MS(500)
-/* Bytes over the limit that are still read, to answer instead of cutting. */
+/*
+ * Bytes over the limit of a body that are still read, so that the caller gets
+ * an answer instead of a closed connection.
+ */
 #define SPILL_MAX (1u << 20)
 
 struct door {
@@ -32,26 +35,29 @@
 	apr_pool_t *pool;
 	apr_thread_mutex_t *lock;
 	const struct door_ops *ops;
-	struct shared *in_force; /* catalogue, or configuration */
+	struct shared *in_force; /* catalogue or site configuration in use */
 	unsigned idle_s;
 	struct slow *slow;
 	struct callers *callers;
 	int sock;
 	int stop;
-	int stopping;
-	int closed;
+	int stopping; /* answers carry Connection: close */
+	int closed;   /* requests are refused */
 };
 
 static _Atomic int inflight;
 
-/* How many calls wait for their answer. */
+/* Returns the number of calls that wait for their answer. */
 int
 door_inflight(void)
 {
 	return (atomic_load(&inflight));
 }
 
-/* Keeps the request line as it was sent, before the library decodes it. */
+/*
+ * Called with the raw URI, before the library decodes it.  Allocates the call
+ * of the request.
+ */
 static void *
 keep_uri(void *cls, const char *uri, struct MHD_Connection *conn)
 {
@@ -71,7 +77,7 @@
 	return (c);
 }
 
-/* Frees a call when the library is done with it. */
+/* Called when the library has finished a request; frees the call. */
 static void
 completed(void *cls, struct MHD_Connection *conn, void **state,
     enum MHD_RequestTerminationCode why)
@@ -86,7 +92,7 @@
 	slow_remove(d->slow, c);
 	if (c->submitted && why != MHD_REQUEST_TERMINATED_COMPLETED_OK)
 		count_add(C_CALLER_GONE, 1);
-	/* Broken off, or malformed and answered by the library. */
+	/* Aborted by the caller, or malformed and answered by the library. */
 	if (slow_is_reading(c))
 		count_add(why == MHD_REQUEST_TERMINATED_CLIENT_ABORT
 			? C_CALLER_GONE
@@ -103,8 +109,8 @@
 }
 
 /*
- * How long to stay away, in milliseconds.  Spread over half as much again:
- * callers refused together would otherwise all come back together.
+ * Adds up to half of a retry delay (milliseconds) at random, so that callers
+ * that were refused at the same time do not all retry at the same time.
  */
 static uint32_t
 spread_retry(uint32_t ms)
@@ -115,7 +121,7 @@
 	return (ms + (uint32_t)((uint64_t)ms * r / 0x20000));
 }
 
-/* The JSON body of an answer of our own. */
+/* Builds the response for an error of this host, with a JSON body. */
 static struct MHD_Response *
 own_answer(const struct door *d, const struct call *c)
 {
@@ -136,7 +142,7 @@
 	return (r);
 }
 
-/* The target's answer as it came. */
+/* Builds the response that passes on the target's answer unchanged. */
 static struct MHD_Response *
 target_answer(const struct door *d, struct call *c)
 {
@@ -151,7 +157,7 @@
 	return (r);
 }
 
-/* Counts an answer by its kind. */
+/* Counts an answer in the metric of its outcome. */
 static void
 count_answer(const struct answer *a)
 {
@@ -165,7 +171,7 @@
 		count_add(C_CALLER_UNKNOWN, 1);
 }
 
-/* Gives the caller the answer. */
+/* Queues the response to a call. */
 static enum MHD_Result
 respond(struct door *d, struct call *c)
 {
@@ -190,7 +196,7 @@
 	return (res);
 }
 
-/* Answers with a code of ours. */
+/* Answers a call with a result code of this host. */
 static enum MHD_Result
 refuse(struct door *d, struct call *c, int code)
 {
@@ -199,7 +205,7 @@
 	return (respond(d, c));
 }
 
-/* Answers the balancer's probe: no more work once the host is stopping. */
+/* Answers the load balancer's health check: 200, or 503 once stopping. */
 static enum MHD_Result
 health(struct door *d, struct call *c)
 {
@@ -218,7 +224,7 @@
 	return (res);
 }
 
-/* Reads the head of a request; a code to refuse it with is kept. */
+/* Parses the head of a request; a code to refuse it with goes into the call. */
 static void
 begin(struct door *d, struct call *c, const char *method)
 {
@@ -235,7 +241,7 @@
 	sh = d->in_force == NULL ? NULL : shared_ref(d->in_force);
 	apr_thread_mutex_unlock(d->lock);
 	c->refused = d->ops->parse(c, sh == NULL ? NULL : sh->p);
-	/* Its rule is part of what was in force: kept as long as the call. */
+	/* The rule belongs to the configuration, which the call then holds. */
 	if (c->rule != NULL)
 		c->site = sh;
 	else
@@ -255,7 +261,7 @@
 	}
 }
 
-/* Hands a whole request to the router, and sleeps until its answer. */
+/* Sends a complete request to the router, and suspends its connection. */
 static enum MHD_Result
 submit(struct service *s, struct call *c)
 {
@@ -275,7 +281,7 @@
 	return (MHD_YES);
 }
 
-/* Wakes the connection of a call whose answer is filled in. */
+/* Resumes the connection of a call whose answer is complete. */
 void
 call_end(struct call *c)
 {
@@ -285,9 +291,10 @@
 }
 
 /*
- * True where the caller has closed its connection.  Not where a stop of this
- * host closed it for reading, just before the request came: taken for gone, the
- * caller would lose an answer that its target is at work on.
+ * Returns true if the caller has closed its connection.  A connection that this
+ * host shut down for reading while stopping, just before the request arrived,
+ * also reads as closed; it is not reported, or the caller would lose an answer
+ * that its target is working on.
  */
 int
 call_gone(const struct call *c)
@@ -299,8 +306,8 @@
 }
 
 /*
- * Lets in who is connected but not accepted yet.  The kernel would reset those
- * connections, requests in them included, when the socket is closed.
+ * Accepts the connections in the listen backlog.  The kernel would reset them,
+ * with the requests in them, when the listening socket is closed.
  */
 static void
 let_in_rest(struct door *d, int fd)
@@ -319,9 +326,9 @@
 }
 
 /*
- * Takes no new connections.  Calls on those there are go on being served, for
- * refusing whom we let in would fail a caller in a planned stop; they have been
- * told to close with each answer since the stop began.
+ * Closes the listening socket.  Requests on open connections are still served,
+ * because refusing them would fail callers during a planned stop; since the
+ * stop began each answer asks the caller to close its connection.
  */
 void
 door_shut(struct kernel *k)
@@ -338,7 +345,7 @@
 	close(fd);
 }
 
-/* Ends the connections of callers that have no request under way. */
+/* Closes callers' connections that have no request in progress. */
 void
 door_end_idle(struct kernel *k)
 {
@@ -347,7 +354,7 @@
 	callers_end_idle(d->callers);
 }
 
-/* How many callers are connected. */
+/* Returns the number of open connections of callers. */
 int
 door_connections(struct kernel *k)
 {
@@ -361,7 +368,7 @@
 	return (info == NULL ? 0 : (int)info->num_connections);
 }
 
-/* Takes no new calls either. */
+/* Refuses all further requests with GS_STOPPING. */
 void
 door_bar(struct kernel *k)
 {
@@ -370,7 +377,10 @@
 	__atomic_store_n(&d->closed, 1, __ATOMIC_RELAXED);
 }
 
-/* Called by the library for each step of each request. */
+/*
+ * Called by the library for a request's head, for each piece of its body, at
+ * its end, and after its connection was resumed.
+ */
 static enum MHD_Result
 handle(void *cls, struct MHD_Connection *conn, const char *url,
     const char *method, const char *version, const char *data, size_t *size,
@@ -410,7 +420,7 @@
 	return (submit(s, c));
 }
 
-/* Starts serving on the socket bound at the start. */
+/* Starts the HTTP server on the socket that door_open() bound. */
 static void
 start_serving(struct service *s)
 {
@@ -427,12 +437,13 @@
 	    MHD_OPTION_CONNECTION_TIMEOUT, IDLE_SECONDS,
 	    MHD_OPTION_CONNECTION_LIMIT, CONNECTIONS_MAX, MHD_OPTION_END);
 	if (d->daemon == NULL)
-		log_line(LOG_ERR, "door", "Cannot serve callers.");
+		log_line(LOG_ERR, "door",
+		    "Cannot start the HTTP server for callers.");
 	else
 		log_line(LOG_INFO, "door", "Serving callers.");
 }
 
-/* Puts the snapshot of a message in force. */
+/* Replaces the catalogue or configuration in use by that of a message. */
 static void
 put_in_force(struct door *d, struct msg *m)
 {
@@ -441,14 +452,14 @@
 	apr_thread_mutex_unlock(d->lock);
 }
 
-/* The configuration that a message carries. */
+/* Returns the site configuration that a message carries. */
 static const struct site *
 site_of(const struct msg *m)
 {
 	return (((const struct shared *)m->data)->p);
 }
 
-/* The thread: takes the catalogue, and the orders to start and stop. */
+/* The service's thread. */
 static void
 door_run(struct service *s)
 {
@@ -465,8 +476,8 @@
 			put_in_force(d, m);
 			break;
 		case MSG_SITE:
-			/* Rounded up: closing sooner would cut callers that
-			 * come back within the time they were told. */
+			/* Rounded up: callers may reuse a connection until
+			 * the configured time is over. */
 			d->idle_s = (unsigned)((site_of(m)->idle_time +
 						   US_PER_SEC - 1) /
 			    US_PER_SEC);
@@ -489,9 +500,9 @@
 }
 
 /*
- * Takes the callers' address.  It is only listened on once the router knows
- * its way: a host that answers before that would refuse what others could
- * serve, and the balancer would go on sending.
+ * Binds the callers' address.  The host listens only after MSG_READY, when the
+ * router has its routes: before that it would refuse requests that other hosts
+ * could serve, and the load balancer would keep sending them.
  */
 static int
 door_open(struct service *s)
@@ -522,7 +533,7 @@
 	return (-1);
 }
 
-/* Closes all connections; the router has ended every call before. */
+/* Stops the server.  The router has ended every call by now. */
 static void
 door_close(struct service *s)
 {
--- a/gspard/door_ops.h
+++ b/gspard/door_ops.h
@@ -1,6 +1,6 @@
 /*
- * How callers' requests and our answers look on the wire.  A table, for the
- * platform has its own form beside ours.
+ * The HTTP form of callers' requests and of answers.  There are two: the native
+ * one, and that of the platform.
  */
 #ifndef DOOR_OPS_H
 #define DOOR_OPS_H
@@ -8,14 +8,15 @@
 #include "call.h"
 
 struct door_ops {
-	/* Reads a request's head by what is in force; a result code. */
+	/* Parses a request's head; GS_OK, or the code to refuse it with.
+	 * in_force is the catalogue or site configuration, or NULL. */
 	int (*parse)(struct call *, const void *in_force);
-	/* Adds to an answer of our own what says whether and when to ask
-	 * again; ms is 0 where asking again makes no sense. */
+	/* Adds the headers of an error answer; ms is when to retry, in
+	 * milliseconds, or 0 if a retry cannot help. */
 	void (*own_heads)(struct MHD_Response *, int code, uint32_t ms);
-	/* Adds what belongs to a target's answer. */
+	/* Adds the headers of a target's answer. */
 	void (*target_heads)(struct MHD_Response *, const struct answer *);
-	/* The path of the balancer's probe on the callers' address, or NULL. */
+	/* Path of the load balancer's health check, or NULL for none. */
 	const char *health;
 };
 
--- a/gspard/msg.c
+++ b/gspard/msg.c
@@ -5,7 +5,7 @@
 
 #include "gspard.h"
 
-/* A new message, or NULL. */
+/* Allocates a message; NULL if out of memory. */
 struct msg *
 msg_new(enum msg_kind kind)
 {
@@ -31,8 +31,9 @@
 }
 
 /*
- * Sends data to a service.  Where the ring is full the data is dropped and -1
- * returned: senders whose data must not be lost look at that.
+ * Sends data to a service, which takes it over.  If the ring is full, frees the
+ * data with drop(), unless that is NULL, and returns -1: a sender whose data
+ * must not be lost has to check.
  */
 int
 msg_post(struct kernel *k, const char *to, enum msg_kind kind, void *data,
@@ -54,7 +55,7 @@
 	return (-1);
 }
 
-/* The service that frames of a kind are for. */
+/* Returns the service that handles a frame. */
 static const char *
 frame_service(const Gspar__Frame *f)
 {
@@ -69,7 +70,7 @@
 	}
 }
 
-/* Hands a frame that came from a peer, or from here, to its service. */
+/* Passes a frame from a peer or this host to its service; owns the frame. */
 void
 deliver_frame(
     struct kernel *k, const char *host, uint64_t conn, Gspar__Frame *f)
@@ -85,16 +86,16 @@
 	m->conn = conn;
 	m->frame = f;
 	/*
-	 * Dropped where the ring is full: the sender's deadline ends the wait
-	 * with "unknown", and the counter tells the operator.
+	 * Dropped if the ring is full: the sender's deadline then ends the
+	 * request with outcome "unknown", and a counter shows the loss.
 	 */
 	if (kernel_send(k, frame_service(f), m) != 0)
 		msg_free(m);
 }
 
 /*
- * Sends a frame to a host, or back on the connection conn where that is not
- * 0.  A frame to this host itself does not leave the process.
+ * Sends a frame to a host, or on the connection conn if that is not 0.  A frame
+ * to this host itself does not leave the process.
  */
 void
 send_frame(
@@ -134,7 +135,7 @@
 		msg_free(m);
 }
 
-/* A counted object with one holder; drop frees it after the last. */
+/* Makes a reference-counted object with one reference; drop() frees p. */
 struct shared *
 shared_new(void *p, void (*drop)(void *))
 {
@@ -149,7 +150,7 @@
 	return (s);
 }
 
-/* Adds a holder. */
+/* Adds a reference. */
 struct shared *
 shared_ref(struct shared *s)
 {
@@ -157,7 +158,7 @@
 	return (s);
 }
 
-/* Takes a holder away; takes void * so that messages can carry it. */
+/* Drops a reference; takes void * to serve as a message's drop(). */
 void
 shared_unref(void *arg)
 {
@@ -169,7 +170,7 @@
 	free(s);
 }
 
-/* Keeps the snapshot that a message carries, in the place of an earlier one. */
+/* Moves the shared object of a message to *at, which drops its earlier one. */
 void
 msg_keep(struct msg *m, struct shared **at)
 {
@@ -178,7 +179,7 @@
 	m->data = NULL;
 }
 
-/* A platform call for store_send. */
+/* Allocates a platform call for store_send(); NULL if out of memory. */
 struct store *
 store_new(enum store_op op, const char *reply_to, const char *path)
 {
@@ -205,7 +206,7 @@
 	free(s);
 }
 
-/* Sends a call to the platform service; a full ring reads as no answer. */
+/* Sends a platform call; if the ring is full, it ends as one without answer. */
 void
 store_send(struct kernel *k, struct store *s)
 {
--- a/gspard/peer.c
+++ b/gspard/peer.c
@@ -1,4 +1,4 @@
-/* The service that holds the connections between hosts. */
+/* The service "peer": the connections between hosts. */
 #include <stdlib.h>
 #include <string.h>
 
@@ -8,17 +8,20 @@
 
 #define MAX_CONNS 2048
 #define TICK_US MS(50)
-/* A connection with something unanswered this long is probed ... */
+/* A connection without an answer for this long is sent a ping ... */
 #define PING_AFTER MS(250)
-/* ... and taken for lost after this long. */
+/* ... and closed after this long. */
 #define SILENT_AFTER MS(700)
 #define CONNECT_WITHIN MS(700)
-/* Between tries to reach one host. */
+/* Delay between connection attempts to one host. */
 #define RETRY_AFTER MS(50)
-/* Signs of life and reports are a few hundred bytes: a connection that is lost
- * with more than so much had something large on its way. */
+/*
+ * Heartbeats and reports take a few hundred bytes: a connection that was lost
+ * with this many unsent bytes or more was sending something large.
+ */
 #define UNSENT_TOLD 16384
 
+/* The last connection attempt to a host. */
 struct tried {
 	char host[NAME_MAX_GS];
 	usec at;
@@ -37,7 +40,7 @@
 	int stop;
 };
 
-/* Tells the services that a connection and what went over it is lost. */
+/* Tells the services that a connection was lost. */
 static void
 tell_down(struct service *s, const struct conn *c)
 {
@@ -56,7 +59,7 @@
 	}
 }
 
-/* Watches for what the connection waits for. */
+/* Updates the events that a connection is polled for. */
 static void
 watch(struct peer *p, struct conn *c)
 {
@@ -75,7 +78,7 @@
 	apr_pollset_add(p->set, &c->pfd);
 }
 
-/* Queues this host's hello. */
+/* Queues this host's hello frame. */
 static void
 say_hello(struct service *s, struct conn *c, usec now)
 {
@@ -96,7 +99,7 @@
 	}
 }
 
-/* Adds a connection to those held. */
+/* Adds a connection; owns the pool.  NULL if out of memory. */
 static struct conn *
 add(struct service *s, apr_socket_t *sock, apr_pool_t *pool, usec now)
 {
@@ -113,7 +116,7 @@
 	return (c);
 }
 
-/* The address of a host, or NULL where the list has none. */
+/* Returns the address of a host, or NULL if it is not known. */
 static const char *
 address(const struct peer *p, const char *host)
 {
@@ -130,7 +133,7 @@
 	return (NULL);
 }
 
-/* True where the host was tried just now; notes the try otherwise. */
+/* True if RETRY_AFTER has not passed since the last attempt; else notes one. */
 static int
 too_soon(struct peer *p, const char *host, usec now)
 {
@@ -154,7 +157,7 @@
 	return (0);
 }
 
-/* Opens a connection to a host; NULL where that fails at once. */
+/* Opens a connection to a host; NULL if that fails at once. */
 static struct conn *
 dial(struct service *s, const char *host, usec now)
 {
@@ -193,7 +196,7 @@
 	return (c);
 }
 
-/* The connection to use: by id, or the newest one this host opened. */
+/* Finds a connection by id; with id 0, the newest this host opened to host. */
 static struct conn *
 find(struct peer *p, const char *host, uint64_t id)
 {
@@ -209,7 +212,7 @@
 	return (NULL);
 }
 
-/* Tells the router that a request did not leave this host. */
+/* Tells the router that a request was not sent. */
 static void
 tell_unsent(struct service *s, uint64_t corr)
 {
@@ -223,7 +226,7 @@
 		msg_free(m);
 }
 
-/* Sends a frame; where there is no way for a request, the router is told. */
+/* Sends a frame; if that fails for a request, the router is told. */
 static void
 send_msg(struct service *s, const struct msg *m, usec now)
 {
@@ -251,7 +254,7 @@
 		tell_unsent(s, m->corr);
 }
 
-/* Answers a ping on its connection. */
+/* Queues a ping, or the answer to the ping in. */
 static void
 pong(struct conn *c, const Gspar__Ping *in, int answer, usec now)
 {
@@ -269,7 +272,7 @@
 	free(b.p);
 }
 
-/* Takes a frame that came. */
+/* Handles a received frame. */
 static void
 on_frame(void *arg, struct conn *c, Gspar__Frame *f)
 {
@@ -279,7 +282,8 @@
 	if (f->body_case == GSPAR__FRAME__BODY_HELLO) {
 		if (f->hello->version != FRAME_VERSION ||
 		    !name_ok(f->hello->host, strlen(f->hello->host)))
-			conn_fail(c, "hello of another version or no name");
+			conn_fail(
+			    c, "hello with wrong version or invalid name");
 		else if (!c->outgoing) {
 			name_copy(c->host, sizeof(c->host), f->hello->host);
 			if (!c->hello)
@@ -306,7 +310,7 @@
 	deliver_frame(s->kernel, c->host, c->outgoing ? 0 : c->id, f);
 }
 
-/* Takes a new connection in. */
+/* Accepts a connection. */
 static void
 take_in(struct service *s, usec now)
 {
@@ -327,10 +331,9 @@
 }
 
 /*
- * Looks for connections that went silent.  Something between the ends may
- * have lost track of one while new ones work; nothing would ever tell, and
- * requests on it would wait for their deadlines.  A ping that stays
- * unanswered tells.
+ * Detects dead connections by a ping that stays unanswered.  A device on the
+ * path may have lost the state of one connection while new ones work.  No error
+ * is reported then, and requests on it would wait until their deadlines.
  */
 static void
 check(struct peer *p, struct conn *c, usec now)
@@ -354,7 +357,7 @@
 	}
 }
 
-/* Serves one ready descriptor. */
+/* Handles one ready descriptor. */
 static void
 ready(struct service *s, const apr_pollfd_t *d, usec now)
 {
@@ -384,7 +387,7 @@
 		conn_write(c, now);
 }
 
-/* Says that a connection is lost, and with how much that was not sent. */
+/* Logs a lost connection and its unsent bytes. */
 static void
 note_lost(const struct conn *c)
 {
@@ -396,7 +399,7 @@
 	    c->host[0] != '\0' ? c->host : "?", c->why, unsent);
 }
 
-/* Closes what failed, and looks at the rest. */
+/* Closes failed connections, and checks and writes to the others. */
 static void
 sweep(struct service *s, usec now)
 {
@@ -421,7 +424,7 @@
 		*at = c->next;
 		if (c->pfd.reqevents != 0)
 			apr_pollset_remove(p->set, &c->pfd);
-		/* What never left is known not to have run. */
+		/* Requests that were never sent certainly have not run. */
 		while (c->nwaiting > 0)
 			tell_unsent(s, c->waiting[--c->nwaiting]);
 		tell_down(s, c);
@@ -429,7 +432,7 @@
 	}
 }
 
-/* Takes all messages waiting. */
+/* Handles all waiting messages. */
 static void
 take(struct service *s, usec now)
 {
@@ -454,7 +457,7 @@
 	}
 }
 
-/* Sends what is still queued before the process ends. */
+/* Sends what is still queued, before the process ends. */
 static void
 flush(struct peer *p, usec now)
 {
@@ -466,7 +469,7 @@
 	}
 }
 
-/* The thread. */
+/* The service's thread. */
 static void
 peer_run(struct service *s)
 {
@@ -490,14 +493,14 @@
 	flush(p, clock_mono());
 }
 
-/* Wakes the thread from the pollset. */
+/* Wakes the thread from its poll. */
 static void
 wake(void *set)
 {
 	apr_pollset_wakeup(set);
 }
 
-/* Listens, and makes the service ready. */
+/* Prepares the service, and listens on the peers' address. */
 static int
 peer_open(struct service *s)
 {
@@ -541,7 +544,7 @@
 	return (-1);
 }
 
-/* Closes all connections. */
+/* Closes all connections and frees the service's state. */
 static void
 peer_close(struct service *s)
 {
--- a/gspard/router.c
+++ b/gspard/router.c
@@ -1,4 +1,4 @@
-/* The service that finds a request's dispatcher and sees it to its end. */
+/* The service "router": sends each request to the dispatcher of its key. */
 #include <stdlib.h>
 #include <string.h>
 
@@ -12,48 +12,49 @@
 
 #define TICK_US MS(10)
 #define IDLE_US MS(200)
-/* Between tries of a held request, unless a view comes first. */
+/* Delay between attempts of a held request, unless a view arrives first. */
 #define HOLD_STEP MS(20)
-/* Between looks whether a caller is still there. */
+/* Interval between checks whether the caller has closed its connection. */
 #define GONE_EVERY MS(50)
-/* Retries allowed for each first try, and in a burst. */
+/* Retries allowed for each request, and in a burst. */
 #define RETRY_SHARE 0.1
 #define RETRY_BURST 20
-/* How much earlier a deadline passes at the dispatcher. */
+/* The dispatcher's deadline is earlier than the router's by this. */
 #define HEAD_START_MS 5
+/* Callers are accepted after this even if views are missing. */
 #define READY_PATIENCE MS(3000)
 #define MAX_VIEWS 32
 
-/* One call under way. */
+/* A call that awaits its answer. */
 struct pending {
 	struct pending *next;
 	struct pending **link;
-	uint64_t corr;
+	uint64_t corr; /* correlation id of the current attempt */
 	struct call *call;
 	char host[NAME_MAX_GS];
 	char cell[CELL_NAME_MAX];
 	struct route_attempt try;
-	int sent;
-	int held;
+	int sent; /* awaits the dispatcher's answer */
+	int held; /* awaits a dispatcher for its key */
 	usec next_try;
-	usec next_look;
+	usec next_look; /* whether its caller is still connected */
 };
 
 struct router {
 	apr_pool_t *pool;
 	apr_hash_t *by_corr;
 	struct pending *all;
-	uint64_t corr;
+	uint64_t corr; /* the last correlation id given */
 	struct shared *catalogue;
 	struct shared *views[MAX_VIEWS];
 	int nviews;
 	struct budget budget;
-	usec catalogue_at;
-	int ready;
+	usec catalogue_at; /* when the first catalogue was seen */
+	int ready;	   /* the door was told to accept callers */
 	int stop;
 };
 
-/* The entry of a service, or NULL. */
+/* Returns the catalogue entry of a service, or NULL. */
 static const struct entry *
 entry_of(const struct router *r, const char *service)
 {
@@ -70,7 +71,7 @@
 	return (NULL);
 }
 
-/* The view of a cell, or NULL. */
+/* Returns the view of a cell, or NULL. */
 static const Gspar__View *
 view_of(const struct router *r, const char *cell)
 {
@@ -85,7 +86,7 @@
 	return (NULL);
 }
 
-/* The host that dispatches for the owner of a shard, or NULL. */
+/* Returns the host that dispatches for the owner of a shard, or NULL. */
 static const char *
 dispatcher(const Gspar__View *v, const char *service, uint32_t n)
 {
@@ -94,7 +95,7 @@
 	return (target == NULL ? NULL : view_dispatcher(v, target));
 }
 
-/* Ends a pending call with the answer already filled in. */
+/* Ends a pending call whose answer is complete. */
 static void
 finish(struct router *r, struct pending *p)
 {
@@ -106,7 +107,7 @@
 	free(p);
 }
 
-/* Ends a pending call with a code of ours, at once. */
+/* Ends a pending call with a result code of this host. */
 static void
 finish_code(struct router *r, struct pending *p, int code, int outcome,
     uint32_t retry_ms)
@@ -119,7 +120,7 @@
 	finish(r, p);
 }
 
-/* Gives the pending call a new correlation id: answers to the old are late. */
+/* Gives a pending call a new correlation id; answers to the old are ignored. */
 static void
 renumber(struct router *r, struct pending *p)
 {
@@ -129,7 +130,7 @@
 	apr_hash_set(r->by_corr, &p->corr, sizeof(p->corr), p);
 }
 
-/* Sends the request to its dispatcher. */
+/* Sends a request to its dispatcher. */
 static void
 send_request(struct service *s, struct pending *p, uint32_t shard, usec now)
 {
@@ -146,7 +147,10 @@
 	q.idkey = (char *)c->idkey;
 	q.caller = (char *)c->caller;
 	q.left_ms = (uint32_t)((p->try.deadline - now) / 1000);
-	/* The dispatcher knows better what became of it: it speaks first. */
+	/*
+	 * The dispatcher knows whether the request ran, so its deadline is to
+	 * expire first.
+	 */
 	if (q.left_ms > 4 * HEAD_START_MS)
 		q.left_ms -= HEAD_START_MS;
 	q.body.data = (uint8_t *)c->body.p;
@@ -164,7 +168,7 @@
 	send_frame(s->kernel, p->host, 0, &f);
 }
 
-/* Holds a request a little: its key has no dispatcher at this moment. */
+/* Holds a request whose key has no dispatcher at the moment. */
 static void
 hold(struct pending *p, usec now)
 {
@@ -177,11 +181,11 @@
 	p->next_try = now + HOLD_STEP;
 }
 
-/* Ends, repeats or holds a call after an attempt that gave no answer. */
+/* Ends, retries or holds a call after a failed attempt. */
 static void after(struct service *, struct pending *, int code, int outcome,
     uint32_t retry_ms, usec now);
 
-/* Finds the way for a request and sends it. */
+/* Finds the dispatcher of a request's key and sends the request to it. */
 static void
 attempt(struct service *s, struct pending *p, usec now)
 {
@@ -235,7 +239,7 @@
 	finish_code(r, p, code, outcome, retry_ms);
 }
 
-/* Takes a call from the door. */
+/* Handles a call from the door. */
 static void
 take_call(struct service *s, struct call *c, usec now)
 {
@@ -263,7 +267,7 @@
 	attempt(s, p, now);
 }
 
-/* Takes an answer frame. */
+/* Handles an answer from a dispatcher. */
 static void
 take_answer(struct service *s, const struct msg *m, usec now)
 {
@@ -274,8 +278,8 @@
 
 	p = apr_hash_get(r->by_corr, &ans->corr, sizeof(ans->corr));
 	/*
-	 * Late, crossed or double: dropped.  Given to whoever waits under a
-	 * number used again it would be another caller's answer.
+	 * A late or duplicate answer, or one from another host, is dropped:
+	 * under a reused correlation id it would reach the wrong caller.
 	 */
 	if (p == NULL || !p->sent || m->conn != 0 ||
 	    strcmp(p->host, m->host) != 0) {
@@ -298,7 +302,7 @@
 	finish(r, p);
 }
 
-/* A connection to a host was lost with the answers that were to come on it. */
+/* Fails the attempts sent to a host, after the connection to it was lost. */
 static void
 lose_peer(struct service *s, const char *host, usec now)
 {
@@ -312,7 +316,7 @@
 	}
 }
 
-/* A request could not be sent at all: it has not run for sure. */
+/* Handles a request that was never sent, and so certainly has not run. */
 static void
 take_unsent(struct service *s, uint64_t corr, usec now)
 {
@@ -324,7 +328,7 @@
 		after(s, p, GS_NO_OWNER, OUT_NOT_RUN, LOST_RETRY_MS, now);
 }
 
-/* Takes a view where it is newer, and sends what was held. */
+/* Stores a cell's view, and sends the held requests of the cell. */
 static void
 take_view(struct service *s, struct msg *m, usec now)
 {
@@ -351,7 +355,7 @@
 	}
 }
 
-/* Tells the dispatcher that the caller went away. */
+/* Asks the dispatcher to cancel a request. */
 static void
 send_cancel(struct service *s, const struct pending *p)
 {
@@ -364,7 +368,7 @@
 	send_frame(s->kernel, p->host, 0, &f);
 }
 
-/* Looks after each call: deadline, hold, caller gone. */
+/* Checks the deadline and the caller of each call, and retries held ones. */
 static void
 tick(struct service *s, usec now)
 {
@@ -390,7 +394,7 @@
 	}
 }
 
-/* True where each cell of the catalogue has a view. */
+/* Returns true if each cell of the catalogue has a view. */
 static int
 sees_all(const struct router *r)
 {
@@ -407,9 +411,9 @@
 }
 
 /*
- * Tells the door to let callers in: once all cells are known, or some while
- * after the catalogue is, for a cell that is cut off must not keep this host
- * from serving the others.
+ * Tells the door to accept callers once all cells have a view, or
+ * READY_PATIENCE after the catalogue arrived: a cell that cannot be reached
+ * must not keep this host from serving the others.
  */
 static void
 maybe_ready(struct service *s, usec now)
@@ -425,7 +429,7 @@
 	r->ready = msg_post(s->kernel, "door", MSG_READY, NULL, NULL) == 0;
 }
 
-/* Takes one message. */
+/* Handles one message. */
 static void
 take(struct service *s, struct msg *m, usec now)
 {
@@ -461,7 +465,7 @@
 	msg_free(m);
 }
 
-/* The thread. */
+/* The service's thread. */
 static void
 router_run(struct service *s)
 {
@@ -485,7 +489,7 @@
 		    r->all->sent ? OUT_UNKNOWN : OUT_NOT_RUN, LOST_RETRY_MS);
 }
 
-/* Makes the service ready. */
+/* Prepares the service. */
 static int
 router_open(struct service *s)
 {
@@ -497,14 +501,14 @@
 		return (-1);
 	}
 	r->by_corr = apr_hash_make(r->pool);
-	/* Numbers of an earlier process of this host do not come back. */
+	/* Correlation ids of an earlier process of this host are not reused. */
 	r->corr = kernel_boot(s->kernel) & ~0xffffffffULL;
 	budget_init(&r->budget, RETRY_SHARE, RETRY_BURST);
 	s->state = r;
 	return (0);
 }
 
-/* Frees all. */
+/* Frees the service's state. */
 static void
 router_close(struct service *s)
 {
--- a/gspard/run.c
+++ b/gspard/run.c
@@ -1,4 +1,4 @@
-/* Requests at the dispatcher: refuse, queue, send, answer. */
+/* Requests at the dispatcher: admission, queue, answers. */
 #include <stdio.h>
 #include <stdlib.h>
 #include <string.h>
@@ -6,13 +6,13 @@
 #include "dispatch.h"
 #include "view.h"
 
-/* When to come back where the entry's limit was reached, in milliseconds. */
+/* Retry delay after a request over the target's rate limit, milliseconds. */
 #define OVER_RETRY_MS 500
-/* In a class of long work, what must end within this is taken for short: an
- * item description beside the exports of whole registers. */
+/* In a class of long work, a request with a deadline of at most this counts as
+ * short: an item description as opposed to the export of a whole register. */
 #define LONG_AFTER_MS 5000
 
-/* Sends an answer to one asker. */
+/* Sends an answer to one requester. */
 void
 run_answer(struct service *s, const struct asker *a, Gspar__Answer *ans)
 {
@@ -24,7 +24,7 @@
 	send_frame(s->kernel, a->host, a->conn, &f);
 }
 
-/* Answers with a code of ours. */
+/* Answers a requester with a result code of this host. */
 static void
 refuse(struct service *s, const struct asker *a, int code, int outcome,
     uint32_t retry_ms)
@@ -37,7 +37,7 @@
 	run_answer(s, a, &ans);
 }
 
-/* Frees a run, giving nobody an answer. */
+/* Frees a run without sending an answer. */
 void
 run_free(struct service *s, struct run *r)
 {
@@ -58,7 +58,7 @@
 	free(r);
 }
 
-/* Answers all who wait for a run with a code of ours, and frees it. */
+/* Answers all requesters of a run with a result code, and frees the run. */
 void
 run_end(
     struct service *s, struct run *r, int code, int outcome, uint32_t retry_ms)
@@ -70,7 +70,7 @@
 	if (r->ticket != 0 && outcome == OUT_NOT_RUN)
 		once_reset(&t->once, r->ticket);
 	else if (r->ticket != 0) {
-		/* Remembered as unknown: a repeat must not run it again. */
+		/* Recorded as unknown: a repeat must not run it again. */
 		keep = calloc(1, sizeof(*keep));
 		once_finish(&t->once, r->ticket, keep);
 	}
@@ -79,7 +79,7 @@
 	run_free(s, r);
 }
 
-/* The target that owns a shard by the view here, or NULL. */
+/* Returns the target that owns a shard in this host's view, or NULL. */
 static struct target *
 owner_of(
     struct dispatch *d, const char *cell, const char *service, uint32_t shard)
@@ -102,7 +102,7 @@
 	return (name == NULL ? NULL : target_find(d, name));
 }
 
-/* Gives a ticket for a key of this target. */
+/* Answers a request for a ticket. */
 static void
 give_ticket(struct service *s, struct target *t, const struct asker *a)
 {
@@ -120,7 +120,7 @@
 	run_answer(s, a, &ans);
 }
 
-/* Answers a repeat with what its first request got. */
+/* Answers a repeated request with the answer to the first. */
 static void
 replay(struct service *s, const struct asker *a, const struct bytes *kept)
 {
@@ -139,8 +139,8 @@
 }
 
 /*
- * Looks the ticket up.  True where the request is to run as new; otherwise
- * its asker has been answered or joined to the first.
+ * Looks up a request's ticket.  Returns true if the request is new and must
+ * run; otherwise its requester has been answered, or added to the first run.
  */
 static int
 first_time(struct service *s, struct target *t, const Gspar__Request *q,
@@ -176,7 +176,7 @@
 	return (0);
 }
 
-/* A number for a caller's name, for fairness. */
+/* Hashes a caller's name for fair queueing; never 0. */
 static uint64_t
 caller_number(const char *name)
 {
@@ -187,7 +187,7 @@
 	return (h | 1);
 }
 
-/* Puts a request in its target's queue; it is answered in any case. */
+/* Queues a request for its target, or refuses it.  Takes the frame over. */
 static void
 enqueue(struct service *s, struct target *t, Gspar__Frame *f,
     const struct asker *a, uint64_t ticket, usec now)
@@ -229,7 +229,7 @@
 	run_pump(s, t, now);
 }
 
-/* Takes a request frame; the frame is owned from here on. */
+/* Handles a request frame, and takes the frame over. */
 void
 run_take(struct service *s, const struct msg *m, Gspar__Frame *f, usec now)
 {
@@ -272,7 +272,7 @@
 	frame_free(f);
 }
 
-/* True where a job may be sent now. */
+/* Returns true if the shard of a job is served, for queue_next(). */
 static int
 may_start(const struct job *j, void *arg)
 {
@@ -282,7 +282,7 @@
 	    !t->left_out[j->shard]);
 }
 
-/* True where the shard of a job is no longer this target's. */
+/* Returns true if the shard of a job is no longer this target's. */
 static int
 moved_away(const struct job *j, void *arg)
 {
@@ -291,14 +291,17 @@
 	return (t->fence[j->shard] == 0);
 }
 
-/* Any job, for queue_remove. */
+/* Matches any job, for queue_remove(). */
 int
 run_any(const struct job *j, void *arg)
 {
 	return (1);
 }
 
-/* Starts what may start, and ends what has no more hope. */
+/*
+ * Sends the queued requests that may be sent, and ends those that are too late
+ * or whose shard has moved.
+ */
 void
 run_pump(struct service *s, struct target *t, usec now)
 {
@@ -321,7 +324,7 @@
 		run_flush(s, t, GS_MOVED, now);
 }
 
-/* Ends all that is queued with a code; what was sent goes on. */
+/* Ends all queued requests with a result code; those sent go on. */
 void
 run_flush(struct service *s, struct target *t, int code, usec now)
 {
@@ -332,7 +335,7 @@
 		    code == GS_MOVED ? 20 : LOST_RETRY_MS);
 }
 
-/* Takes an asker off a run; true where nobody waits for it any more. */
+/* Removes requesters from a run (corr 0: any); true if none is left. */
 static int
 unasked(struct run *r, const char *host, uint64_t conn, uint64_t corr)
 {
@@ -350,14 +353,14 @@
 	return (r->naskers == 0);
 }
 
-/* What run_cancel looks for in a queue. */
+/* The requester that run_cancel() looks for in a queue. */
 struct wanted {
 	const char *host;
 	uint64_t conn;
 	uint64_t corr;
 };
 
-/* True where a queued job has lost its last asker. */
+/* Returns true if a queued job has lost its last requester. */
 static int
 job_unasked(const struct job *j, void *arg)
 {
@@ -367,8 +370,8 @@
 }
 
 /*
- * The caller went away: what is queued is dropped, what runs is cancelled at
- * the target.  A run of a ticket goes on, so that a repeat finds its answer.
+ * Cancels a request: removes it from its queue, or cancels it at the target.  A
+ * run with a ticket goes on, so that a repeated request finds its answer.
  */
 void
 run_cancel(
@@ -393,7 +396,7 @@
 	}
 }
 
-/* A peer's connection was lost with all its askers. */
+/* Cancels all requests that came on a peer's connection that was lost. */
 void
 run_gone(struct service *s, const char *host, uint64_t conn, usec now)
 {
--- a/gspard/send.c
+++ b/gspard/send.c
@@ -1,4 +1,4 @@
-/* Requests between the dispatcher and its targets: one transfer each. */
+/* Requests from the dispatcher to its targets: one HTTP transfer each. */
 #include <stdio.h>
 #include <stdlib.h>
 #include <string.h>
@@ -7,10 +7,10 @@
 #include "call.h"
 #include "dispatch.h"
 
-/* A key may grow threefold when escaped. */
+/* Percent-encoding makes a key at most three times as long. */
 #define URL_MAX_GS (3 * KEY_MAX_GS + REST_MAX + 256)
 
-/* Collects the answer's body, up to its limit. */
+/* Collects the answer's body; fails the transfer beyond the limit. */
 static size_t
 on_body(char *p, size_t size, size_t n, void *arg)
 {
@@ -23,7 +23,7 @@
 	return (str_add(&r->body, p, size * n) == 0 ? size * n : 0);
 }
 
-/* Picks out of the answer's head what matters here. */
+/* Reads the content type and the outcome from the answer's headers. */
 static size_t
 on_head(char *p, size_t size, size_t n, void *arg)
 {
@@ -48,7 +48,7 @@
 	return (size * n);
 }
 
-/* Adds one header of the request to the target. */
+/* Adds one header to the request. */
 static void
 head(struct run *r, const char *name, const char *value)
 {
@@ -58,7 +58,7 @@
 	r->heads = curl_slist_append(r->heads, line);
 }
 
-/* Adds one numeric header. */
+/* Adds one numeric header to the request. */
 static void
 head_num(struct run *r, const char *name, long long value)
 {
@@ -68,7 +68,7 @@
 	head(r, name, text);
 }
 
-/* Sets the request's headers: who orders, until when, and the caller's. */
+/* Sets the request's headers: shard, fence, deadline, id, the caller's. */
 static void
 set_heads(struct run *r, usec now)
 {
@@ -77,8 +77,8 @@
 
 	head_num(r, "Gspar-Shard", q->shard);
 	head_num(r, "Gspar-Fence", (long long)t->fence[r->job.shard]);
-	/* In the target's clock: a request that waited in a frozen target's
-	 * socket is then refused instead of run. */
+	/* In the target's clock, so that a request that waited in the socket
+	 * of a frozen target is refused instead of run too late. */
 	head_num(r, "Gspar-Deadline",
 	    (long long)(t->grant.target_clock + r->job.deadline -
 		t->grant.last_heard));
@@ -92,8 +92,9 @@
 }
 
 /*
- * Allows a transfer only connections that are not suspected of silence.  Kept
- * ones that died without a sign would swallow one request after the other.
+ * Lets a transfer use only connections that are not suspected to be dead.  On
+ * idle connections that died unnoticed, one request after the other would be
+ * lost.
  */
 void
 conn_age(const struct target *t, CURL *easy, usec now)
@@ -106,7 +107,7 @@
 		curl_easy_setopt(easy, CURLOPT_MAXLIFETIME_CONN, age);
 }
 
-/* Starts the transfer of a run; 0, or -1 without memory. */
+/* Starts the transfer of a run; returns 0, or -1 if out of memory. */
 static int
 transfer(struct service *s, struct run *r, usec now)
 {
@@ -146,9 +147,9 @@
 		curl_easy_setopt(r->easy, CURLOPT_FRESH_CONNECT, 1L);
 	if (!t->class->idempotent) {
 		/*
-		 * On a kept connection that dies without an answer the library
-		 * sends the request a second time by itself; the target may
-		 * have run the first.  A new connection it never repeats on.
+		 * If a reused connection dies without an answer, libcurl sends
+		 * the request a second time, though the target may have run
+		 * the first.  On a new connection it never does.
 		 */
 		curl_easy_setopt(r->easy, CURLOPT_FRESH_CONNECT, 1L);
 		curl_easy_setopt(r->easy, CURLOPT_FORBID_REUSE, 1L);
@@ -158,7 +159,7 @@
 	return (0);
 }
 
-/* Sends a run to its target, or ends it where that cannot be. */
+/* Sends a run to its target, or ends it if out of memory. */
 void
 run_send(struct service *s, struct run *r, usec now)
 {
@@ -181,7 +182,7 @@
 	budget_deposit(&t->again);
 }
 
-/* True where a run may be on a silent connection, and may be sent again. */
+/* True if a run may be on a dead connection and may be sent again. */
 static int
 stuck(const struct run *r, usec now)
 {
@@ -193,7 +194,7 @@
 	    silence_suspects(&t->silence, now, r->sent, typical));
 }
 
-/* Replaces a run's transfer by a new one; true where that could be made. */
+/* Replaces a run's transfer by a new one; returns true if it was started. */
 static int
 send_again(struct service *s, struct run *r, usec now)
 {
@@ -220,9 +221,9 @@
 }
 
 /*
- * True where this host may order the target now; looked at just before each
- * send.  A dispatcher that was paused past its lease would otherwise send to a
- * target that another serves for.
+ * Returns true if this host's lease and grant allow it to send to the target;
+ * checked just before each send.  A dispatcher that was paused past its lease
+ * would otherwise send to a target that another host dispatches for.
  */
 int
 may_send(struct service *s, const struct target *t, usec now)
@@ -232,9 +233,9 @@
 }
 
 /*
- * Sends again what may wait on silent connections, each once and within a
- * budget: a target that was only slow must not get all its work twice.  The
- * first is cancelled, in case it arrived.
+ * Sends runs that may be on dead connections again, each once and within a
+ * budget: a target that is only slow must not get all its work twice.  The
+ * first transfer is cancelled at the target, in case it arrived.
  */
 void
 runs_again(struct service *s, struct target *t, usec now)
@@ -250,11 +251,11 @@
 	}
 	if (n > 0)
 		event_add("dispatch", 0,
-		    "%s: a connection is silent, %d requests sent again",
+		    "%s: connection not responding, %d requests sent again",
 		    t->name, n);
 }
 
-/* Keeps an ended run's answer for repeats of its ticket. */
+/* Stores a run's answer for repeated requests with its ticket. */
 static void
 remember(struct run *r, const Gspar__Answer *ans)
 {
@@ -270,7 +271,7 @@
 	once_finish(&r->target->once, r->ticket, kept);
 }
 
-/* Passes a whole answer on to all who wait for it. */
+/* Sends a complete answer to all requesters, and frees the run. */
 static void
 end_whole(struct service *s, struct run *r, long status)
 {
@@ -291,7 +292,7 @@
 	run_free(s, r);
 }
 
-/* The code for a transfer that failed. */
+/* Returns the result code for a failed transfer. */
 static int
 failure_code(const struct run *r, CURLcode res)
 {
@@ -318,7 +319,7 @@
 	code = failure_code(r, res);
 	if (code == GS_DEADLINE && sent > 0)
 		note_cancel(s, r->target, r->id);
-	/* No byte left this host, so it has not run for sure. */
+	/* No byte was sent, so the request certainly has not run. */
 	if (sent == 0)
 		run_end(s, r, code == GS_DEADLINE ? GS_TOO_LATE : GS_NO_OWNER,
 		    OUT_NOT_RUN, LOST_RETRY_MS);
@@ -326,7 +327,7 @@
 		run_end(s, r, code, OUT_UNKNOWN, 0);
 }
 
-/* Ends a run that the target refused before running it. */
+/* Ends a run that the target refused without running it. */
 static void
 end_refused(struct service *s, struct run *r, long status)
 {
@@ -347,7 +348,7 @@
 	}
 }
 
-/* Takes the outcome of a transfer. */
+/* Handles the end of a transfer. */
 void
 run_done(struct service *s, struct run *r, CURLcode res, usec now)
 {
--- a/regress/unit/t_conn.c
+++ b/regress/unit/t_conn.c
@@ -1,4 +1,4 @@
-/* One connection between hosts whose link is slow, or gone. */
+/* A connection between hosts over a slow or dead link. */
 #include <stdlib.h>
 #include <string.h>
 #include <sys/socket.h>
@@ -12,7 +12,7 @@
 
 #define LARGE 1000000u
 
-/* A connection whose other end is the descriptor; its buffers are small. */
+/* Makes a connection with a small send buffer; *other is its other end. */
 static struct conn *
 open_conn(int *other)
 {
@@ -29,7 +29,7 @@
 	return (conn_new(sock, pool, 1, MS(1000)));
 }
 
-/* Queues a large frame and writes what the link takes. */
+/* Queues a large frame and writes what the socket takes. */
 static void
 fill(struct conn *c, usec now)
 {
@@ -41,9 +41,9 @@
 }
 
 /*
- * A large frame takes longer than the time after which a connection without an
- * answer is silent.  The other end takes bytes: that it was heard must count
- * from then, or the connection is closed with the frame half sent.
+ * Sending a large frame may take longer than the timeout for an answer.  As
+ * long as the peer receives bytes, the timeout must restart, or the connection
+ * is closed with the frame half sent.
  */
 static void
 slow_is_not_silent(void)
@@ -59,15 +59,15 @@
 	CU_ASSERT(read(other, buf, sizeof(buf)) > 0);
 	conn_write(c, MS(1600));
 	CU_ASSERT_EQUAL(c->first_unanswered, MS(1600));
-	/* Nothing is taken any more: silence counts from the last bytes. */
+	/* No more bytes are taken: the timeout runs from the last ones. */
 	conn_write(c, MS(2200));
 	CU_ASSERT_EQUAL(c->first_unanswered, MS(1600));
 	close(other);
 	conn_free(c);
 }
 
-/* A copy of state is not queued behind one that is on its way; small frames,
- * signs of life among them, are. */
+/* A large frame of state is not queued behind another that is still being
+ * sent; small frames, such as heartbeats, are. */
 static void
 copies_do_not_pile_up(void)
 {
@@ -84,7 +84,7 @@
 }
 
 static const struct unit_test tests[] = {
-    {"slow is not silent", slow_is_not_silent},
-    {"copies do not pile up", copies_do_not_pile_up},
+    {"slow link is not taken for dead", slow_is_not_silent},
+    {"state frames do not accumulate", copies_do_not_pile_up},
 };
 UNIT_MAIN("conn", tests)
