--- a/gspard/call.h
+++ b/gspard/call.h
@@ -29,10 +29,10 @@
 	int say;      /* who answers the call, see slow.c */
 	struct MHD_Connection *conn;
 	int fd;
-	int ended; /* this host shut the connection down for reading */
+	int read_shut; /* this host shut the connection down for reading */
 	char *uri;
-	int started; /* the head has been parsed */
-	int refused; /* result code from parsing the head */
+	int head_parsed; /* the head has been parsed */
+	int refusal;	 /* result code from parsing the head */
 	int too_large;
 	int submitted;
 	int answered;
--- a/gspard/callparse.c
+++ b/gspard/callparse.c
@@ -6,20 +6,20 @@
 
 #include "door_ops.h"
 
-#define PATH "/v1/"
+#define PATH_PREFIX "/v1/"
 #define TICKET_REST "/ticket"
 #define DEADLINE_MAX_MS 600000
 
 /* Returns a header of the request, or NULL. */
 static const char *
-head(const struct call *c, const char *name)
+request_header(const struct call *c, const char *name)
 {
 	return (MHD_lookup_connection_value(c->conn, MHD_HEADER_KIND, name));
 }
 
 /* Returns the value of a hexadecimal digit, or -1. */
 static int
-hex(char c)
+hex_digit(char c)
 {
 	if (c >= '0' && c <= '9')
 		return (c - '0');
@@ -42,10 +42,10 @@
 	for (i = 0; i < n; i++) {
 		c = (unsigned char)p[i];
 		if (c == '%') {
-			if (i + 2 >= n || hex(p[i + 1]) < 0 ||
-			    hex(p[i + 2]) < 0)
+			if (i + 2 >= n || hex_digit(p[i + 1]) < 0 ||
+			    hex_digit(p[i + 2]) < 0)
 				return (-1);
-			c = hex(p[i + 1]) * 16 + hex(p[i + 2]);
+			c = hex_digit(p[i + 1]) * 16 + hex_digit(p[i + 2]);
 			i += 2;
 		}
 		if (c < ' ' || c == '/' || c == 0x7f || k == KEY_MAX_GS)
@@ -63,9 +63,9 @@
 	const char *p, *end;
 	size_t n;
 
-	if (strncmp(c->uri, PATH, strlen(PATH)) != 0)
+	if (strncmp(c->uri, PATH_PREFIX, strlen(PATH_PREFIX)) != 0)
 		return (GS_NO_SERVICE);
-	p = c->uri + strlen(PATH);
+	p = c->uri + strlen(PATH_PREFIX);
 	end = p + strcspn(p, "/?");
 	n = (size_t)(end - p);
 	if (!name_ok(p, n))
@@ -93,7 +93,7 @@
 static int
 read_deadline(struct call *c, const struct entry *e)
 {
-	const char *s = head(c, "Gspar-Deadline-Ms");
+	const char *s = request_header(c, "Gspar-Deadline-Ms");
 	char *end;
 	long n;
 
@@ -111,9 +111,9 @@
 
 /* Copies a header if it is printable ASCII and fits; a result code. */
 static int
-copy_head(const struct call *c, const char *name, char *dst, size_t size)
+copy_header(const struct call *c, const char *name, char *dst, size_t size)
 {
-	const char *s = head(c, name);
+	const char *s = request_header(c, name);
 	size_t i;
 
 	dst[0] = '\0';
@@ -128,7 +128,7 @@
 
 /* Returns the catalogue entry of the call's service, or NULL. */
 static const struct entry *
-entry_of(const struct call *c, const struct catalogue *cat)
+service_entry(const struct call *c, const struct catalogue *cat)
 {
 	int i;
 
@@ -141,9 +141,9 @@
 
 /* Parses the head of a request; GS_OK, or the code to refuse it with. */
 static int
-call_parse(struct call *c, const void *in_force)
+call_parse(struct call *c, const void *active)
 {
-	const struct catalogue *cat = in_force;
+	const struct catalogue *cat = active;
 	const struct entry *e;
 	const char *length;
 	int code;
@@ -155,19 +155,19 @@
 		return (GS_NO_CATALOGUE);
 	if ((code = split_uri(c)) != GS_OK)
 		return (code);
-	e = entry_of(c, cat);
+	e = service_entry(c, cat);
 	if (e == NULL)
 		return (GS_NO_SERVICE);
 	c->body_max = (size_t)e->body;
-	length = head(c, "Content-Length");
+	length = request_header(c, "Content-Length");
 	if (length != NULL && strtoull(length, NULL, 10) > c->body_max)
 		return (GS_TOO_LARGE);
 	if ((code = read_deadline(c, e)) != GS_OK ||
-	    (code = copy_head(
+	    (code = copy_header(
 		 c, "Idempotency-Key", c->idkey, sizeof(c->idkey))) != GS_OK ||
-	    (code = copy_head(
+	    (code = copy_header(
 		 c, "Gspar-Caller", c->caller, sizeof(c->caller))) != GS_OK ||
-	    (code = copy_head(c, "Content-Type", c->type, sizeof(c->type))) !=
+	    (code = copy_header(c, "Content-Type", c->type, sizeof(c->type))) !=
 		GS_OK)
 		return (code);
 	if (!e->class->idempotent && !c->ticket && c->idkey[0] == '\0')
@@ -177,7 +177,7 @@
 
 /* Adds the result code and, in whole seconds, when to retry. */
 static void
-own_heads(struct MHD_Response *r, int code, uint32_t ms)
+error_headers(struct MHD_Response *r, int code, uint32_t ms)
 {
 	char num[16];
 
@@ -191,7 +191,7 @@
 
 /* Adds the content type, the target that answered and its fence. */
 static void
-target_heads(struct MHD_Response *r, const struct answer *a)
+target_headers(struct MHD_Response *r, const struct answer *a)
 {
 	char num[24];
 
@@ -206,4 +206,4 @@
 }
 
 const struct door_ops native_door = {
-    call_parse, own_heads, target_heads, "/health"};
+    call_parse, error_headers, target_headers, "/health"};
--- a/gspard/conn.c
+++ b/gspard/conn.c
@@ -5,11 +5,11 @@
 
 #define READ_CHUNK 65536
 /*
- * Frames of state larger than FRAME_LARGE are not queued while more than
- * UNSENT_MOST bytes are unsent.
+ * Frames of state larger than LARGE_FRAME_MIN are not queued while more than
+ * BACKLOG_MAX bytes are unsent.
  */
-#define FRAME_LARGE 16384
-#define UNSENT_MOST 65536
+#define LARGE_FRAME_MIN 16384
+#define BACKLOG_MAX 65536
 
 /* Makes a connection, which owns the socket and its pool; NULL if no memory. */
 struct conn *
@@ -23,8 +23,8 @@
 	c->sock = sock;
 	c->pool = pool;
 	c->id = id;
-	c->began = now;
-	c->last_in = now;
+	c->opened_at = now;
+	c->last_recv = now;
 	apr_socket_opt_set(sock, APR_SO_NONBLOCK, 1);
 	apr_socket_opt_set(sock, APR_TCP_NODELAY, 1);
 	apr_socket_timeout_set(sock, 0);
@@ -38,26 +38,26 @@
 	apr_socket_close(c->sock);
 	str_free(&c->in);
 	str_free(&c->out);
-	free(c->waiting);
+	free(c->waiting_corrs);
 	apr_pool_destroy(c->pool);
 	free(c);
 }
 
 /* Marks a connection to be closed; why, a static string, goes to the log. */
 void
-conn_fail(struct conn *c, const char *why)
+conn_fail(struct conn *c, const char *fail_reason)
 {
-	if (c->dead)
+	if (c->failed)
 		return;
-	c->dead = 1;
-	c->why = why;
+	c->failed = 1;
+	c->fail_reason = fail_reason;
 }
 
 /* Queues a packed frame; returns 0, or -1 if the buffer is full. */
 int
 conn_queue(struct conn *c, const uint8_t *p, size_t n, usec now)
 {
-	if (c->out.n - c->out_at + n > CONN_OUT_MAX ||
+	if (c->out.n - c->out_pos + n > CONN_OUT_MAX ||
 	    str_add(&c->out, p, n) != 0)
 		return (-1);
 	if (c->first_unanswered == 0)
@@ -67,15 +67,15 @@
 
 /* Notes a request that was queued before the connection was established. */
 void
-conn_wait(struct conn *c, uint64_t corr)
+conn_add_waiting(struct conn *c, uint64_t corr)
 {
 	uint64_t *p;
 
-	p = realloc(c->waiting, (c->nwaiting + 1) * sizeof(*p));
+	p = realloc(c->waiting_corrs, (c->nwaiting + 1) * sizeof(*p));
 	if (p == NULL)
 		return;
-	c->waiting = p;
-	c->waiting[c->nwaiting++] = corr;
+	c->waiting_corrs = p;
+	c->waiting_corrs[c->nwaiting++] = corr;
 }
 
 /*
@@ -84,9 +84,9 @@
  * the queue would grow until no copy arrives in time.
  */
 int
-conn_held_up(const struct conn *c, size_t n)
+conn_is_backlogged(const struct conn *c, size_t n)
 {
-	return (n > FRAME_LARGE && c->out.n - c->out_at > UNSENT_MOST);
+	return (n > LARGE_FRAME_MIN && c->out.n - c->out_pos > BACKLOG_MAX);
 }
 
 /*
@@ -102,11 +102,11 @@
 	apr_status_t st;
 	apr_size_t n;
 
-	while (c->out_at < c->out.n) {
-		n = c->out.n - c->out_at;
-		st = apr_socket_send(c->sock, c->out.p + c->out_at, &n);
+	while (c->out_pos < c->out.n) {
+		n = c->out.n - c->out_pos;
+		st = apr_socket_send(c->sock, c->out.p + c->out_pos, &n);
 		if (APR_STATUS_IS_EAGAIN(st)) {
-			c->full = 1;
+			c->blocked = 1;
 			return;
 		}
 		if (st != APR_SUCCESS) {
@@ -114,21 +114,21 @@
 			return;
 		}
 		count_add(C_PEER_OUT_BYTES, n);
-		c->out_at += n;
-		if (c->full && c->first_unanswered != 0)
+		c->out_pos += n;
+		if (c->blocked && c->first_unanswered != 0)
 			c->first_unanswered = now;
-		c->full = 0;
+		c->blocked = 0;
 	}
 	c->out.n = 0;
-	c->out_at = 0;
+	c->out_pos = 0;
 }
 
 /* Passes on one complete frame of the input; returns 0 if there is none. */
 static int
-one_frame(struct conn *c, conn_frame_fn fn, void *arg)
+read_frame(struct conn *c, conn_frame_fn fn, void *arg)
 {
-	const uint8_t *p = (const uint8_t *)c->in.p + c->in_at;
-	size_t have = c->in.n - c->in_at, n;
+	const uint8_t *p = (const uint8_t *)c->in.p + c->in_pos;
+	size_t have = c->in.n - c->in_pos, n;
 	Gspar__Frame *f;
 
 	if (have < FRAME_HEAD)
@@ -146,7 +146,7 @@
 		conn_fail(c, "malformed frame or unknown kind");
 		return (0);
 	}
-	c->in_at += FRAME_HEAD + n;
+	c->in_pos += FRAME_HEAD + n;
 	count_add(C_PEER_IN, 1);
 	if (frame_is_control(f)) {
 		count_add(C_CONTROL_FRAMES, 1);
@@ -174,7 +174,7 @@
 			break;
 		}
 		count_add(C_PEER_IN_BYTES, n);
-		c->last_in = now;
+		c->last_recv = now;
 		c->first_unanswered = 0;
 		c->pinged = 0;
 		if (str_add(&c->in, buf, n) != 0) {
@@ -184,14 +184,14 @@
 		if (n < sizeof(buf))
 			break;
 	}
-	while (one_frame(c, fn, arg) && !c->dead)
+	while (read_frame(c, fn, arg) && !c->failed)
 		;
-	if (c->in_at == c->in.n) {
+	if (c->in_pos == c->in.n) {
 		c->in.n = 0;
-		c->in_at = 0;
-	} else if (c->in_at > READ_CHUNK) {
-		memmove(c->in.p, c->in.p + c->in_at, c->in.n - c->in_at);
-		c->in.n -= c->in_at;
-		c->in_at = 0;
+		c->in_pos = 0;
+	} else if (c->in_pos > READ_CHUNK) {
+		memmove(c->in.p, c->in.p + c->in_pos, c->in.n - c->in_pos);
+		c->in.n -= c->in_pos;
+		c->in_pos = 0;
 	}
 }
--- a/gspard/conn.h
+++ b/gspard/conn.h
@@ -20,20 +20,20 @@
 	char host[NAME_MAX_GS];
 	int outgoing;
 	int connecting;
-	int hello; /* the peer's hello was received */
-	int dead;
-	const char *why;
+	int hello_received; /* the peer's hello was received */
+	int failed;
+	const char *fail_reason;
 	struct str in;
-	size_t in_at;
+	size_t in_pos;
 	struct str out;
-	size_t out_at;
-	usec began;
-	usec last_in;
+	size_t out_pos;
+	usec opened_at;
+	usec last_recv;
 	usec first_unanswered; /* first send since the last receipt; 0: none */
 	int pinged;
-	int full; /* the last write did not fit into the socket buffer */
+	int blocked; /* the last write did not fit into the socket buffer */
 	/* Requests queued before the connection was established. */
-	uint64_t *waiting;
+	uint64_t *waiting_corrs;
 	size_t nwaiting;
 };
 
@@ -42,10 +42,10 @@
 struct conn *conn_new(apr_socket_t *, apr_pool_t *, uint64_t id, usec now);
 void conn_free(struct conn *);
 int conn_queue(struct conn *, const uint8_t *, size_t, usec now);
-void conn_wait(struct conn *, uint64_t corr);
+void conn_add_waiting(struct conn *, uint64_t corr);
 void conn_read(struct conn *, usec now, conn_frame_fn, void *);
-int conn_held_up(const struct conn *, size_t);
+int conn_is_backlogged(const struct conn *, size_t);
 void conn_write(struct conn *, usec now);
-void conn_fail(struct conn *, const char *why);
+void conn_fail(struct conn *, const char *fail_reason);
 
 #endif
--- a/gspard/dispatch.c
+++ b/gspard/dispatch.c
@@ -9,10 +9,10 @@
 #define TICK_MS 10
 /* Longest sleep while no request runs or is queued. */
 #define IDLE_MS 25
-#define REPORT_EVERY MS(250)
-#define LOADS_EVERY MS(1000)
+#define REPORT_INTERVAL MS(250)
+#define LOADS_INTERVAL MS(1000)
 /* Number of busiest shards reported for each target. */
-#define LOADS_TOLD 16
+#define LOADS_REPORTED_MAX 16
 
 /* Returns the state of a cell, created if new; NULL if the table is full. */
 struct dcell *
@@ -24,7 +24,7 @@
 		if (strcmp(d->cells[i].name, name) == 0)
 			return (&d->cells[i]);
 	}
-	if (d->ncells == MAX_VIEWS)
+	if (d->ncells == VIEWS_MAX)
 		return (NULL);
 	name_copy(d->cells[d->ncells].name, CELL_NAME_MAX, name);
 	return (&d->cells[d->ncells++]);
@@ -32,14 +32,14 @@
 
 /* Returns the number of the cell's current view; 0: none. */
 static uint64_t
-held_view(const struct dcell *c)
+current_view(const struct dcell *c)
 {
 	return (c->view == NULL ? 0 : view_number(c->view->p));
 }
 
 /* Returns the duty of a lease for a target, or NULL. */
 static const struct duty *
-duty_of(const struct lease *l, const char *target)
+find_duty(const struct lease *l, const char *target)
 {
 	int i;
 
@@ -52,7 +52,8 @@
 
 /* Applies one duty: a new target, or a later epoch of a known one. */
 static void
-take_duty(struct service *s, struct dcell *c, const struct duty *duty, usec now)
+apply_duty(
+    struct service *s, struct dcell *c, const struct duty *duty, usec now)
 {
 	struct dispatch *d = s->state;
 	struct target *t;
@@ -68,18 +69,18 @@
 	}
 	if (t == NULL)
 		return;
-	t->dropping = 0;
-	t->lapsed = 0;
+	t->handing_over = 0;
+	t->lease_lapsed = 0;
 	t->limited = duty->limited;
 	t->rate = duty->rate;
 	if (c->view != NULL)
-		target_view(t, c->view->p, held_view(c));
+		target_view(t, c->view->p, current_view(c));
 }
 
 /* Applies a renewed lease and its duties; targets without a duty are released.
  */
 static void
-take_lease(struct service *s, struct lease *l, usec now)
+apply_lease(struct service *s, struct lease *l, usec now)
 {
 	struct dispatch *d = s->state;
 	struct dcell *c = dcell(d, l->cell);
@@ -91,11 +92,11 @@
 	c->lease_until = l->until;
 	c->ack = l->seq;
 	for (i = 0; i < l->n; i++)
-		take_duty(s, c, &l->duties[i], now);
+		apply_duty(s, c, &l->duties[i], now);
 	for (t = d->targets; t != NULL; t = t->next) {
-		if (strcmp(t->cell, c->name) == 0 && !t->dropping &&
-		    duty_of(l, t->name) == NULL) {
-			t->dropping = 1;
+		if (strcmp(t->cell, c->name) == 0 && !t->handing_over &&
+		    find_duty(l, t->name) == NULL) {
+			t->handing_over = 1;
 			event_add("dispatch", 0, "handing over %s", t->name);
 		}
 	}
@@ -103,7 +104,7 @@
 
 /* Handles a view of a cell. */
 static void
-take_view(struct service *s, struct msg *m, usec now)
+handle_view(struct service *s, struct msg *m, usec now)
 {
 	struct dispatch *d = s->state;
 	struct shared *sh = m->data;
@@ -111,13 +112,13 @@
 	struct dcell *c = dcell(d, v->cell);
 	struct target *t;
 
-	if (c == NULL || view_number(v) <= held_view(c))
+	if (c == NULL || view_number(v) <= current_view(c))
 		return;
 	msg_keep(m, &c->view);
 	for (t = d->targets; t != NULL; t = t->next) {
 		if (strcmp(t->cell, c->name) != 0)
 			continue;
-		target_view(t, v, held_view(c));
+		target_view(t, v, current_view(c));
 		run_pump(s, t, now);
 		target_tick(s, t, now);
 	}
@@ -126,14 +127,14 @@
 
 /* Releases targets to be handed over that have no more requests here. */
 static void
-drop_targets(struct service *s)
+release_targets(struct service *s)
 {
 	struct dispatch *d = s->state;
 	struct target *t, *next;
 
 	for (t = d->targets; t != NULL; t = next) {
 		next = t->next;
-		if (!t->dropping || t->nruns > 0 || t->queue.count > 0)
+		if (!t->handing_over || t->nruns > 0 || t->queue.count > 0)
 			continue;
 		event_add("dispatch", 0, "handed over %s", t->name);
 		target_free(s, t);
@@ -147,7 +148,7 @@
 
 /* Adds the shards that the target has certainly released. */
 static void
-tell_freed(const struct target *t, Gspar__TargetState *ts, usec now)
+add_freed(const struct target *t, Gspar__TargetState *ts, usec now)
 {
 	Gspar__Freed *f;
 	uint32_t i, n = 0;
@@ -194,18 +195,19 @@
 
 /* Adds the loads of the busiest shards, and resets the counters. */
 static void
-tell_loads(struct target *t, Gspar__TargetState *ts, usec now)
+add_loads(struct target *t, Gspar__TargetState *ts, usec now)
 {
 	Gspar__ShardLoad *l;
 	uint64_t rest = 0;
 	uint32_t i;
 	usec span = now - t->loads_at;
 
-	if (span < LOADS_EVERY)
+	if (span < LOADS_INTERVAL)
 		return;
 	ts->has_loads = 1;
-	ts->loads = calloc(LOADS_TOLD, sizeof(*ts->loads));
-	while (ts->n_loads < LOADS_TOLD && (i = busiest(t)) < t->shards) {
+	ts->loads = calloc(LOADS_REPORTED_MAX, sizeof(*ts->loads));
+	while (
+	    ts->n_loads < LOADS_REPORTED_MAX && (i = busiest(t)) < t->shards) {
 		l = malloc(sizeof(*l));
 		gspar__shard_load__init(l);
 		l->shard = t->first + i;
@@ -225,7 +227,7 @@
 
 /* Builds the report of one target for the controller. */
 static Gspar__TargetState *
-state_of(struct target *t, usec now)
+make_target_state(struct target *t, usec now)
 {
 	Gspar__TargetState *ts;
 
@@ -240,8 +242,8 @@
 	ts->leaving = t->leaving;
 	ts->busy = t->queue.busy;
 	ts->rate = t->rate;
-	tell_freed(t, ts, now);
-	tell_loads(t, ts, now);
+	add_freed(t, ts, now);
+	add_loads(t, ts, now);
 	return (ts);
 }
 
@@ -268,12 +270,12 @@
 	size_t n;
 
 	d->report = 0;
-	d->reported = now;
+	d->last_report = now;
 	for (i = 0; i < d->ncells; i++) {
 		ask = malloc(sizeof(*ask));
 		gspar__lease_ask__init(ask);
 		ask->cell = strdup(d->cells[i].name);
-		ask->view = held_view(&d->cells[i]);
+		ask->view = current_view(&d->cells[i]);
 		ask->ack = d->cells[i].ack;
 		n = 0;
 		for (t = d->targets; t != NULL; t = t->next)
@@ -285,9 +287,9 @@
 		 */
 		ask->targets = calloc(n + 1, sizeof(*ask->targets));
 		for (t = d->targets; t != NULL; t = t->next) {
-			if (strcmp(t->cell, ask->cell) == 0 && !t->lapsed)
+			if (strcmp(t->cell, ask->cell) == 0 && !t->lease_lapsed)
 				ask->targets[ask->n_targets++] =
-				    state_of(t, now);
+				    make_target_state(t, now);
 		}
 		r = malloc(sizeof(*r));
 		r->ask = ask;
@@ -298,7 +300,7 @@
 
 /* Handles one message. */
 static void
-take(struct service *s, struct msg *m, usec now)
+handle_message(struct service *s, struct msg *m, usec now)
 {
 	struct dispatch *d = s->state;
 	struct target *t;
@@ -309,12 +311,12 @@
 		f = m->frame;
 		if (f->body_case == GSPAR__FRAME__BODY_REQUEST) {
 			m->frame = NULL;
-			run_take(s, m, f, now);
+			run_handle_request(s, m, f, now);
 		} else if (f->body_case == GSPAR__FRAME__BODY_CANCEL)
 			run_cancel(s, m->host, m->conn, f->cancel->corr, now);
 		break;
 	case MSG_PEER_DOWN:
-		run_gone(s, m->host, m->conn, now);
+		run_peer_down(s, m->host, m->conn, now);
 		break;
 	case MSG_CATALOGUE:
 		msg_keep(m, &d->catalogue);
@@ -322,10 +324,10 @@
 			target_configure(d, t);
 		break;
 	case MSG_VIEW:
-		take_view(s, m, now);
+		handle_view(s, m, now);
 		break;
 	case MSG_LEASE:
-		take_lease(s, m->data, now);
+		apply_lease(s, m->data, now);
 		break;
 	case MSG_STOP:
 		d->stopping = 1;
@@ -341,7 +343,7 @@
 
 /* Handles all transfers that have ended. */
 static void
-reap(struct service *s, usec now)
+handle_transfers(struct service *s, usec now)
 {
 	struct dispatch *d = s->state;
 	CURLMsg *cm;
@@ -369,9 +371,9 @@
 	struct target *t;
 
 	for (t = d->targets; t != NULL; t = t->next) {
-		if (!t->lapsed && now >= dcell(d, t->cell)->lease_until) {
-			t->lapsed = 1;
-			t->dropping = 1;
+		if (!t->lease_lapsed && now >= dcell(d, t->cell)->lease_until) {
+			t->lease_lapsed = 1;
+			t->handing_over = 1;
 			d->report = 1;
 			event_add("dispatch", 0, "lease lapsed, released %s",
 			    t->name);
@@ -381,8 +383,8 @@
 		runs_again(s, t, now);
 		run_pump(s, t, now);
 	}
-	drop_targets(s);
-	if (d->report || now - d->reported >= REPORT_EVERY)
+	release_targets(s);
+	if (d->report || now - d->last_report >= REPORT_INTERVAL)
 		report(s, now);
 }
 
@@ -411,9 +413,9 @@
 	while (!d->stop) {
 		now = clock_mono();
 		while ((m = ring_get(s->in)) != NULL)
-			take(s, m, now);
+			handle_message(s, m, now);
 		curl_multi_perform(d->multi, &running);
-		reap(s, clock_mono());
+		handle_transfers(s, clock_mono());
 		now = clock_mono();
 		if (now - ticked >= MS(TICK_MS) || d->report) {
 			tick(s, now);
@@ -452,7 +454,8 @@
 
 	ring_on_put(s->in, NULL, NULL);
 	while ((t = d->targets) != NULL) {
-		while ((j = queue_remove(&t->queue, run_any, NULL)) != NULL)
+		while (
+		    (j = queue_remove(&t->queue, run_match_any, NULL)) != NULL)
 			run_free(s, j->user_data);
 		target_free(s, t);
 	}
--- a/gspard/dispatch.h
+++ b/gspard/dispatch.h
@@ -16,14 +16,14 @@
 #include "silence.h"
 
 #define MAX_TARGETS 512
-#define MAX_VIEWS 32
+#define VIEWS_MAX 32
 #define TICKETS_KEPT 16384
-#define MAX_JOINED 8
+#define JOINED_MAX 8
 
 struct target;
 
 /* The host, connection and correlation id that an answer goes to. */
-struct asker {
+struct requester {
 	char host[NAME_MAX_GS];
 	uint64_t conn;
 	uint64_t corr;
@@ -36,14 +36,14 @@
 	struct run **link;
 	struct target *target;
 	Gspar__Frame *frame;
-	struct asker askers[MAX_JOINED]; /* the first, and repeats */
-	int naskers;
+	struct requester requesters[JOINED_MAX]; /* the first, and repeats */
+	int nrequesters;
 	uint64_t ticket; /* of the once table; 0: none */
 	uint64_t id;	 /* of the transfer, for its cancellation */
 	usec sent;
 	usec arrived;
 	CURL *easy;
-	struct curl_slist *heads;
+	struct curl_slist *headers;
 	struct str body;
 	size_t answer_max;
 	int too_large;
@@ -81,8 +81,8 @@
 	struct once once;
 	struct silence silence;
 	struct budget again;
-	int dropping; /* its dispatch is handed over */
-	int lapsed;   /* the host's lease for its cell has lapsed */
+	int handing_over; /* its dispatch is handed over */
+	int lease_lapsed; /* the host's lease for its cell has lapsed */
 	int leaving;
 	int limited;   /* its rate applies */
 	uint32_t rate; /* thousandths of a request a second */
@@ -112,12 +112,12 @@
 struct dispatch {
 	CURLM *multi;
 	struct target *targets;
-	struct dcell cells[MAX_VIEWS];
+	struct dcell cells[VIEWS_MAX];
 	int ncells;
 	struct shared *catalogue;
 	uint64_t next_id;
 	int report; /* a report is due at once */
-	usec reported;
+	usec last_report;
 	int stopping; /* until all targets are handed over */
 	int stop;
 };
@@ -139,17 +139,18 @@
 void note_cancel(struct service *, struct target *, uint64_t id);
 
 /* run.c */
-void run_take(struct service *, const struct msg *, Gspar__Frame *, usec now);
+void run_handle_request(
+    struct service *, const struct msg *, Gspar__Frame *, usec now);
 void run_cancel(
     struct service *, const char *host, uint64_t conn, uint64_t corr, usec now);
-void run_gone(struct service *, const char *host, uint64_t conn, usec now);
+void run_peer_down(struct service *, const char *host, uint64_t conn, usec now);
 void run_pump(struct service *, struct target *, usec now);
 void run_flush(struct service *, struct target *, int code, usec now);
 void run_free(struct service *, struct run *);
-int run_any(const struct job *, void *);
-void run_end(
+int run_match_any(const struct job *, void *);
+void run_fail(
     struct service *, struct run *, int code, int outcome, uint32_t retry_ms);
-void run_answer(struct service *, const struct asker *, Gspar__Answer *);
+void run_answer(struct service *, const struct requester *, Gspar__Answer *);
 
 /* send.c */
 void run_done(struct service *, struct run *, CURLcode, usec now);
--- a/gspard/door.c
+++ b/gspard/door.c
@@ -19,30 +19,30 @@
 #include "slow.h"
 
 /* Idle timeout of a connection until the site configuration gives one. */
-#define IDLE_SECONDS 10u
+#define IDLE_TIMEOUT_S 10u
 #define CONNECTIONS_MAX 4096u
 #define LISTEN_BACKLOG 512
 /* Interval between checks for requests that arrive too slowly. */
-#define LOOK_EVERY MS(500)
+#define SLOW_CHECK_INTERVAL MS(500)
 /*
  * Bytes over the limit of a body that are still read, so that the caller gets
  * an answer instead of a closed connection.
  */
-#define SPILL_MAX (1u << 20)
+#define OVERSIZE_READ_MAX (1u << 20)
 
 struct door {
 	struct MHD_Daemon *daemon;
 	apr_pool_t *pool;
 	apr_thread_mutex_t *lock;
 	const struct door_ops *ops;
-	struct shared *in_force; /* catalogue or site configuration in use */
-	unsigned idle_s;
+	struct shared *active; /* catalogue or site configuration in use */
+	unsigned idle_timeout_s;
 	struct slow *slow;
 	struct callers *callers;
 	int sock;
 	int stop;
 	int stopping; /* answers carry Connection: close */
-	int closed;   /* requests are refused */
+	int refusing; /* requests are refused */
 };
 
 static _Atomic int inflight;
@@ -59,7 +59,7 @@
  * of the request.
  */
 static void *
-keep_uri(void *cls, const char *uri, struct MHD_Connection *conn)
+on_request_line(void *cls, const char *uri, struct MHD_Connection *conn)
 {
 	struct door *d = cls;
 	const union MHD_ConnectionInfo *info;
@@ -73,13 +73,13 @@
 	info = MHD_get_connection_info(conn, MHD_CONNECTION_INFO_CONNECTION_FD);
 	c->fd = info == NULL ? -1 : info->connect_fd;
 	slow_add(d->slow, c, clock_mono());
-	c->ended = callers_busy(d->callers, conn, 1);
+	c->read_shut = callers_busy(d->callers, conn, 1);
 	return (c);
 }
 
 /* Called when the library has finished a request; frees the call. */
 static void
-completed(void *cls, struct MHD_Connection *conn, void **state,
+on_completed(void *cls, struct MHD_Connection *conn, void **state,
     enum MHD_RequestTerminationCode why)
 {
 	struct door *d = cls;
@@ -113,7 +113,7 @@
  * that were refused at the same time do not all retry at the same time.
  */
 static uint32_t
-spread_retry(uint32_t ms)
+add_retry_jitter(uint32_t ms)
 {
 	uint16_t r = 0;
 
@@ -123,7 +123,7 @@
 
 /* Builds the response for an error of this host, with a JSON body. */
 static struct MHD_Response *
-own_answer(const struct door *d, const struct call *c)
+error_response(const struct door *d, const struct call *c)
 {
 	const struct answer *a = &c->answer;
 	struct MHD_Response *r;
@@ -132,19 +132,19 @@
 	int n;
 
 	if (result_again(a->code))
-		ms =
-		    spread_retry(a->retry_ms > 0 ? a->retry_ms : LOST_RETRY_MS);
+		ms = add_retry_jitter(
+		    a->retry_ms > 0 ? a->retry_ms : LOST_RETRY_MS);
 	n = result_json(text, sizeof(text), a->code, a->outcome, ms);
 	r = MHD_create_response_from_buffer(
 	    (size_t)n, text, MHD_RESPMEM_MUST_COPY);
 	MHD_add_response_header(r, "Content-Type", "application/json");
-	d->ops->own_heads(r, a->code, ms);
+	d->ops->error_headers(r, a->code, ms);
 	return (r);
 }
 
 /* Builds the response that passes on the target's answer unchanged. */
 static struct MHD_Response *
-target_answer(const struct door *d, struct call *c)
+target_response(const struct door *d, struct call *c)
 {
 	struct answer *a = &c->answer;
 	struct MHD_Response *r;
@@ -153,7 +153,7 @@
 	    a->body.p == NULL ? "" : a->body.p,
 	    a->body.p == NULL ? MHD_RESPMEM_PERSISTENT : MHD_RESPMEM_MUST_FREE);
 	a->body.p = NULL;
-	d->ops->target_heads(r, a);
+	d->ops->target_headers(r, a);
 	return (r);
 }
 
@@ -183,10 +183,10 @@
 		return (MHD_NO);
 	count_answer(&c->answer);
 	if (c->answer.code == GS_OK) {
-		r = target_answer(d, c);
+		r = target_response(d, c);
 		status = c->answer.status;
 	} else {
-		r = own_answer(d, c);
+		r = error_response(d, c);
 		status = result_http(c->answer.code);
 	}
 	if (__atomic_load_n(&d->stopping, __ATOMIC_RELAXED))
@@ -207,7 +207,7 @@
 
 /* Answers the load balancer's health check: 200, or 503 once stopping. */
 static enum MHD_Result
-health(struct door *d, struct call *c)
+answer_health(struct door *d, struct call *c)
 {
 	static char ok[] = "ok\n", leaving[] = "stopping\n";
 	int stopping = __atomic_load_n(&d->stopping, __ATOMIC_RELAXED);
@@ -226,29 +226,29 @@
 
 /* Parses the head of a request; a code to refuse it with goes into the call. */
 static void
-begin(struct door *d, struct call *c, const char *method)
+parse_head(struct door *d, struct call *c, const char *method)
 {
 	const union MHD_ConnectionInfo *info;
 	struct shared *sh;
 	char ip[INET6_ADDRSTRLEN];
 
-	c->started = 1;
+	c->head_parsed = 1;
 	if (name_copy(c->method, sizeof(c->method), method) != 0) {
-		c->refused = GS_BAD_METHOD;
+		c->refusal = GS_BAD_METHOD;
 		return;
 	}
 	apr_thread_mutex_lock(d->lock);
-	sh = d->in_force == NULL ? NULL : shared_ref(d->in_force);
+	sh = d->active == NULL ? NULL : shared_ref(d->active);
 	apr_thread_mutex_unlock(d->lock);
-	c->refused = d->ops->parse(c, sh == NULL ? NULL : sh->p);
+	c->refusal = d->ops->parse(c, sh == NULL ? NULL : sh->p);
 	/* The rule belongs to the configuration, which the call then holds. */
 	if (c->rule != NULL)
 		c->site = sh;
 	else
 		shared_unref(sh);
-	if (d->idle_s > 0)
+	if (d->idle_timeout_s > 0)
 		MHD_set_connection_option(
-		    c->conn, MHD_CONNECTION_OPTION_TIMEOUT, d->idle_s);
+		    c->conn, MHD_CONNECTION_OPTION_TIMEOUT, d->idle_timeout_s);
 	info = MHD_get_connection_info(
 	    c->conn, MHD_CONNECTION_INFO_CLIENT_ADDRESS);
 	if (c->caller[0] == '\0' && info != NULL &&
@@ -301,7 +301,7 @@
 {
 	char b;
 
-	return (c->fd >= 0 && !c->ended &&
+	return (c->fd >= 0 && !c->read_shut &&
 	    recv(c->fd, &b, 1, MSG_PEEK | MSG_DONTWAIT) == 0);
 }
 
@@ -310,7 +310,7 @@
  * with the requests in them, when the listening socket is closed.
  */
 static void
-let_in_rest(struct door *d, int fd)
+accept_backlog(struct door *d, int fd)
 {
 	struct sockaddr_storage from;
 	socklen_t n = sizeof(from);
@@ -341,7 +341,7 @@
 	fd = MHD_quiesce_daemon(d->daemon);
 	if (fd == MHD_INVALID_SOCKET)
 		return;
-	let_in_rest(d, fd);
+	accept_backlog(d, fd);
 	close(fd);
 }
 
@@ -374,7 +374,7 @@
 {
 	struct door *d = kernel_find(k, "door")->state;
 
-	__atomic_store_n(&d->closed, 1, __ATOMIC_RELAXED);
+	__atomic_store_n(&d->refusing, 1, __ATOMIC_RELAXED);
 }
 
 /*
@@ -394,19 +394,20 @@
 		return (MHD_NO);
 	if (__atomic_load_n(&c->answered, __ATOMIC_ACQUIRE))
 		return (respond(d, c));
-	if (!c->started) {
-		if (d->ops->health != NULL &&
-		    strcmp(c->uri, d->ops->health) == 0)
-			return (health(d, c));
-		begin(d, c, method);
-		if (c->refused != GS_OK)
-			return (refuse(d, c, c->refused));
+	if (!c->head_parsed) {
+		if (d->ops->health_path != NULL &&
+		    strcmp(c->uri, d->ops->health_path) == 0)
+			return (answer_health(d, c));
+		parse_head(d, c, method);
+		if (c->refusal != GS_OK)
+			return (refuse(d, c, c->refusal));
 		return (MHD_YES);
 	}
 	if (*size > 0) {
 		if (c->body.n + *size > c->body_max)
 			c->too_large = 1;
-		if (c->too_large && c->body.n + *size > c->body_max + SPILL_MAX)
+		if (c->too_large &&
+		    c->body.n + *size > c->body_max + OVERSIZE_READ_MAX)
 			return (MHD_NO);
 		if (!c->too_large && str_add(&c->body, data, *size) != 0)
 			return (MHD_NO);
@@ -415,14 +416,14 @@
 	}
 	if (c->too_large)
 		return (refuse(d, c, GS_TOO_LARGE));
-	if (__atomic_load_n(&d->closed, __ATOMIC_RELAXED))
+	if (__atomic_load_n(&d->refusing, __ATOMIC_RELAXED))
 		return (refuse(d, c, GS_STOPPING));
 	return (submit(s, c));
 }
 
 /* Starts the HTTP server on the socket that door_open() bound. */
 static void
-start_serving(struct service *s)
+start_server(struct service *s)
 {
 	struct door *d = s->state;
 
@@ -431,10 +432,10 @@
 	d->daemon = MHD_start_daemon(
 	    MHD_USE_EPOLL_INTERNAL_THREAD | MHD_ALLOW_SUSPEND_RESUME, 0, NULL,
 	    NULL, handle, s, MHD_OPTION_LISTEN_SOCKET, d->sock,
-	    MHD_OPTION_URI_LOG_CALLBACK, keep_uri, d,
-	    MHD_OPTION_NOTIFY_COMPLETED, completed, d,
+	    MHD_OPTION_URI_LOG_CALLBACK, on_request_line, d,
+	    MHD_OPTION_NOTIFY_COMPLETED, on_completed, d,
 	    MHD_OPTION_NOTIFY_CONNECTION, callers_changed, d->callers,
-	    MHD_OPTION_CONNECTION_TIMEOUT, IDLE_SECONDS,
+	    MHD_OPTION_CONNECTION_TIMEOUT, IDLE_TIMEOUT_S,
 	    MHD_OPTION_CONNECTION_LIMIT, CONNECTIONS_MAX, MHD_OPTION_END);
 	if (d->daemon == NULL)
 		log_line(LOG_ERR, "door",
@@ -445,10 +446,10 @@
 
 /* Replaces the catalogue or configuration in use by that of a message. */
 static void
-put_in_force(struct door *d, struct msg *m)
+set_active(struct door *d, struct msg *m)
 {
 	apr_thread_mutex_lock(d->lock);
-	msg_keep(m, &d->in_force);
+	msg_keep(m, &d->active);
 	apr_thread_mutex_unlock(d->lock);
 }
 
@@ -467,24 +468,24 @@
 	struct msg *m;
 
 	while (!d->stop) {
-		m = ring_wait(s->in, LOOK_EVERY);
+		m = ring_wait(s->in, SLOW_CHECK_INTERVAL);
 		slow_tick(d->slow, clock_mono());
 		if (m == NULL)
 			continue;
 		switch (m->kind) {
 		case MSG_CATALOGUE:
-			put_in_force(d, m);
+			set_active(d, m);
 			break;
 		case MSG_SITE:
 			/* Rounded up: callers may reuse a connection until
 			 * the configured time is over. */
-			d->idle_s = (unsigned)((site_of(m)->idle_time +
-						   US_PER_SEC - 1) /
+			d->idle_timeout_s = (unsigned)((site_of(m)->idle_time +
+							   US_PER_SEC - 1) /
 			    US_PER_SEC);
-			put_in_force(d, m);
+			set_active(d, m);
 			break;
 		case MSG_READY:
-			start_serving(s);
+			start_server(s);
 			break;
 		case MSG_STOP:
 			__atomic_store_n(&d->stopping, 1, __ATOMIC_RELAXED);
@@ -543,7 +544,7 @@
 		MHD_stop_daemon(d->daemon);
 	else
 		close(d->sock);
-	shared_unref(d->in_force);
+	shared_unref(d->active);
 	slow_free(d->slow);
 	callers_free(d->callers);
 	apr_pool_destroy(d->pool);
--- a/gspard/door_ops.h
+++ b/gspard/door_ops.h
@@ -9,15 +9,15 @@
 
 struct door_ops {
 	/* Parses a request's head; GS_OK, or the code to refuse it with.
-	 * in_force is the catalogue or site configuration, or NULL. */
-	int (*parse)(struct call *, const void *in_force);
+	 * active is the catalogue or site configuration, or NULL. */
+	int (*parse)(struct call *, const void *active);
 	/* Adds the headers of an error answer; ms is when to retry, in
 	 * milliseconds, or 0 if a retry cannot help. */
-	void (*own_heads)(struct MHD_Response *, int code, uint32_t ms);
+	void (*error_headers)(struct MHD_Response *, int code, uint32_t ms);
 	/* Adds the headers of a target's answer. */
-	void (*target_heads)(struct MHD_Response *, const struct answer *);
+	void (*target_headers)(struct MHD_Response *, const struct answer *);
 	/* Path of the load balancer's health check, or NULL for none. */
-	const char *health;
+	const char *health_path;
 };
 
 extern const struct door_ops native_door;
--- a/gspard/peer.c
+++ b/gspard/peer.c
@@ -6,23 +6,24 @@
 
 #include "conn.h"
 
-#define MAX_CONNS 2048
-#define TICK_US MS(50)
+#define CONNS_MAX 2048
+#define ATTEMPTS_MAX 256
+#define TICK_INTERVAL MS(50)
 /* A connection without an answer for this long is sent a ping ... */
-#define PING_AFTER MS(250)
+#define PING_DELAY MS(250)
 /* ... and closed after this long. */
-#define SILENT_AFTER MS(700)
-#define CONNECT_WITHIN MS(700)
+#define SILENT_TIMEOUT MS(700)
+#define CONNECT_TIMEOUT MS(700)
 /* Delay between connection attempts to one host. */
-#define RETRY_AFTER MS(50)
+#define CONNECT_RETRY_DELAY MS(50)
 /*
  * Heartbeats and reports take a few hundred bytes: a connection that was lost
  * with this many unsent bytes or more was sending something large.
  */
-#define UNSENT_TOLD 16384
+#define UNSENT_NOTICE_MIN 16384
 
 /* The last connection attempt to a host. */
-struct tried {
+struct connect_attempt {
 	char host[NAME_MAX_GS];
 	usec at;
 };
@@ -35,37 +36,37 @@
 	struct conn *conns;
 	uint64_t next_id;
 	struct shared *peers;
-	struct tried tried[256];
-	int ntried;
+	struct connect_attempt attempts[ATTEMPTS_MAX];
+	int nattempts;
 	int stop;
 };
 
 /* Tells the services that a connection was lost. */
 static void
-tell_down(struct service *s, const struct conn *c)
+notify_down(struct service *s, const struct conn *c)
 {
-	static const char *const whom[] = {"router", "dispatch", "control"};
+	static const char *const services[] = {"router", "dispatch", "control"};
 	struct msg *m;
 	size_t i;
 
-	for (i = 0; i < sizeof(whom) / sizeof(whom[0]); i++) {
+	for (i = 0; i < sizeof(services) / sizeof(services[0]); i++) {
 		m = msg_new(MSG_PEER_DOWN);
 		if (m == NULL)
 			continue;
 		name_copy(m->host, sizeof(m->host), c->host);
 		m->conn = c->outgoing ? 0 : c->id;
-		if (kernel_send(s->kernel, whom[i], m) != 0)
+		if (kernel_send(s->kernel, services[i], m) != 0)
 			msg_free(m);
 	}
 }
 
 /* Updates the events that a connection is polled for. */
 static void
-watch(struct peer *p, struct conn *c)
+update_events(struct peer *p, struct conn *c)
 {
 	apr_int16_t want = APR_POLLIN;
 
-	if (c->connecting || c->out_at < c->out.n)
+	if (c->connecting || c->out_pos < c->out.n)
 		want |= APR_POLLOUT;
 	if (c->pfd.reqevents == want)
 		return;
@@ -80,7 +81,7 @@
 
 /* Queues this host's hello frame. */
 static void
-say_hello(struct service *s, struct conn *c, usec now)
+queue_hello(struct service *s, struct conn *c, usec now)
 {
 	const struct conf *conf = kernel_conf(s->kernel);
 	Gspar__Frame f = GSPAR__FRAME__INIT;
@@ -101,7 +102,7 @@
 
 /* Adds a connection; owns the pool.  NULL if out of memory. */
 static struct conn *
-add(struct service *s, apr_socket_t *sock, apr_pool_t *pool, usec now)
+add_conn(struct service *s, apr_socket_t *sock, apr_pool_t *pool, usec now)
 {
 	struct peer *p = s->state;
 	struct conn *c;
@@ -118,7 +119,7 @@
 
 /* Returns the address of a host, or NULL if it is not known. */
 static const char *
-address(const struct peer *p, const char *host)
+host_address(const struct peer *p, const char *host)
 {
 	const struct peers *l;
 	int i;
@@ -133,24 +134,24 @@
 	return (NULL);
 }
 
-/* True if RETRY_AFTER has not passed since the last attempt; else notes one. */
+/* True within CONNECT_RETRY_DELAY of the last attempt; else records one. */
 static int
-too_soon(struct peer *p, const char *host, usec now)
+attempted_recently(struct peer *p, const char *host, usec now)
 {
-	struct tried *t;
+	struct connect_attempt *t;
 	int i;
 
-	for (i = 0; i < p->ntried; i++) {
-		t = &p->tried[i];
+	for (i = 0; i < p->nattempts; i++) {
+		t = &p->attempts[i];
 		if (strcmp(t->host, host) != 0)
 			continue;
-		if (now - t->at < RETRY_AFTER)
+		if (now - t->at < CONNECT_RETRY_DELAY)
 			return (1);
 		t->at = now;
 		return (0);
 	}
-	if (p->ntried < 256) {
-		t = &p->tried[p->ntried++];
+	if (p->nattempts < ATTEMPTS_MAX) {
+		t = &p->attempts[p->nattempts++];
 		name_copy(t->host, sizeof(t->host), host);
 		t->at = now;
 	}
@@ -159,10 +160,10 @@
 
 /* Opens a connection to a host; NULL if that fails at once. */
 static struct conn *
-dial(struct service *s, const char *host, usec now)
+open_conn(struct service *s, const char *host, usec now)
 {
 	struct peer *p = s->state;
-	const char *at = address(p, host);
+	const char *at = host_address(p, host);
 	char ip[ADDR_MAX_GS];
 	apr_pool_t *pool;
 	apr_socket_t *sock;
@@ -172,7 +173,7 @@
 	int port;
 
 	if (at == NULL || addr_split(at, ip, sizeof(ip), &port) != 0 ||
-	    too_soon(p, host, now))
+	    attempted_recently(p, host, now))
 		return (NULL);
 	if (apr_pool_create(&pool, NULL) != APR_SUCCESS)
 		return (NULL);
@@ -183,7 +184,7 @@
 		apr_pool_destroy(pool);
 		return (NULL);
 	}
-	c = add(s, sock, pool, now);
+	c = add_conn(s, sock, pool, now);
 	if (c == NULL)
 		return (NULL);
 	name_copy(c->host, sizeof(c->host), host);
@@ -192,18 +193,18 @@
 	if (st != APR_SUCCESS && !APR_STATUS_IS_EINPROGRESS(st))
 		conn_fail(c, "connection refused");
 	c->connecting = st != APR_SUCCESS;
-	say_hello(s, c, now);
+	queue_hello(s, c, now);
 	return (c);
 }
 
 /* Finds a connection by id; with id 0, the newest this host opened to host. */
 static struct conn *
-find(struct peer *p, const char *host, uint64_t id)
+find_conn(struct peer *p, const char *host, uint64_t id)
 {
 	struct conn *c;
 
 	for (c = p->conns; c != NULL; c = c->next) {
-		if (c->dead)
+		if (c->failed)
 			continue;
 		if (id != 0 ? c->id == id
 			    : c->outgoing && strcmp(c->host, host) == 0)
@@ -214,7 +215,7 @@
 
 /* Tells the router that a request was not sent. */
 static void
-tell_unsent(struct service *s, uint64_t corr)
+notify_unsent(struct service *s, uint64_t corr)
 {
 	struct msg *m;
 
@@ -233,30 +234,30 @@
 	struct peer *p = s->state;
 	struct conn *c;
 
-	c = find(p, m->host, m->conn);
+	c = find_conn(p, m->host, m->conn);
 	if (c == NULL && m->conn == 0)
-		c = dial(s, m->host, now);
-	if (c != NULL && m->state && conn_held_up(c, m->bytes.n)) {
+		c = open_conn(s, m->host, now);
+	if (c != NULL && m->state && conn_is_backlogged(c, m->bytes.n)) {
 		count_add(C_PEER_HELD_UP, 1);
 		return;
 	}
-	if (c != NULL && !c->dead &&
+	if (c != NULL && !c->failed &&
 	    conn_queue(c, m->bytes.p, m->bytes.n, now) == 0) {
 		count_add(C_PEER_OUT, 1);
 		if (!c->connecting)
 			conn_write(c, now);
 		else if (m->corr != 0)
-			conn_wait(c, m->corr);
-		watch(p, c);
+			conn_add_waiting(c, m->corr);
+		update_events(p, c);
 		return;
 	}
 	if (m->corr != 0)
-		tell_unsent(s, m->corr);
+		notify_unsent(s, m->corr);
 }
 
 /* Queues a ping, or the answer to the ping in. */
 static void
-pong(struct conn *c, const Gspar__Ping *in, int answer, usec now)
+queue_ping(struct conn *c, const Gspar__Ping *in, int answer, usec now)
 {
 	Gspar__Frame f = GSPAR__FRAME__INIT;
 	Gspar__Ping ping = GSPAR__PING__INIT;
@@ -286,14 +287,14 @@
 			    c, "hello with wrong version or invalid name");
 		else if (!c->outgoing) {
 			name_copy(c->host, sizeof(c->host), f->hello->host);
-			if (!c->hello)
-				say_hello(s, c, now);
+			if (!c->hello_received)
+				queue_hello(s, c, now);
 		}
-		c->hello = 1;
+		c->hello_received = 1;
 		frame_free(f);
 		return;
 	}
-	if (!c->hello) {
+	if (!c->hello_received) {
 		count_add(C_PEER_BAD, 1);
 		conn_fail(c, "frame before hello");
 		frame_free(f);
@@ -301,7 +302,7 @@
 	}
 	if (f->body_case == GSPAR__FRAME__BODY_PING) {
 		if (!f->ping->answer) {
-			pong(c, f->ping, 1, now);
+			queue_ping(c, f->ping, 1, now);
 			c->first_unanswered = 0;
 		}
 		frame_free(f);
@@ -312,7 +313,7 @@
 
 /* Accepts a connection. */
 static void
-take_in(struct service *s, usec now)
+accept_conn(struct service *s, usec now)
 {
 	struct peer *p = s->state;
 	apr_socket_t *sock;
@@ -325,9 +326,9 @@
 		apr_pool_destroy(pool);
 		return;
 	}
-	c = add(s, sock, pool, now);
+	c = add_conn(s, sock, pool, now);
 	if (c != NULL)
-		watch(p, c);
+		update_events(p, c);
 }
 
 /*
@@ -336,35 +337,35 @@
  * is reported then, and requests on it would wait until their deadlines.
  */
 static void
-check(struct peer *p, struct conn *c, usec now)
+check_timeouts(struct peer *p, struct conn *c, usec now)
 {
 	usec since;
 
 	if (c->connecting) {
-		if (now - c->began > CONNECT_WITHIN)
+		if (now - c->opened_at > CONNECT_TIMEOUT)
 			conn_fail(c, "not connected in time");
 		return;
 	}
 	if (!c->outgoing || c->first_unanswered == 0)
 		return;
 	since = now - c->first_unanswered;
-	if (since > SILENT_AFTER) {
+	if (since > SILENT_TIMEOUT) {
 		count_add(C_PEER_SILENT, 1);
 		conn_fail(c, "silent");
-	} else if (since > PING_AFTER && !c->pinged) {
+	} else if (since > PING_DELAY && !c->pinged) {
 		c->pinged = 1;
-		pong(c, NULL, 0, now);
+		queue_ping(c, NULL, 0, now);
 	}
 }
 
 /* Handles one ready descriptor. */
 static void
-ready(struct service *s, const apr_pollfd_t *d, usec now)
+handle_ready(struct service *s, const apr_pollfd_t *d, usec now)
 {
 	struct conn *c = d->client_data;
 
 	if (c == NULL) {
-		take_in(s, now);
+		accept_conn(s, now);
 		return;
 	}
 	if (c->connecting && (d->rtnevents & (APR_POLLOUT | APR_POLLERR))) {
@@ -380,23 +381,23 @@
 		else
 			c->nwaiting = 0;
 	}
-	if (!c->dead &&
+	if (!c->failed &&
 	    (d->rtnevents & (APR_POLLIN | APR_POLLHUP | APR_POLLERR)))
 		conn_read(c, now, on_frame, s);
-	if (!c->dead)
+	if (!c->failed)
 		conn_write(c, now);
 }
 
 /* Logs a lost connection and its unsent bytes. */
 static void
-note_lost(const struct conn *c)
+log_lost(const struct conn *c)
 {
-	size_t unsent = c->out.n - c->out_at;
+	size_t unsent = c->out.n - c->out_pos;
 
 	count_add(C_PEER_UNSENT, unsent);
-	log_line(unsent < UNSENT_TOLD ? LOG_DEBUG : LOG_NOTICE, "peer",
+	log_line(unsent < UNSENT_NOTICE_MIN ? LOG_DEBUG : LOG_NOTICE, "peer",
 	    "Connection with %s lost: %s, %zu bytes not sent.",
-	    c->host[0] != '\0' ? c->host : "?", c->why, unsent);
+	    c->host[0] != '\0' ? c->host : "?", c->fail_reason, unsent);
 }
 
 /* Closes failed connections, and checks and writes to the others. */
@@ -407,34 +408,34 @@
 	struct conn **at, *c;
 
 	for (at = &p->conns; (c = *at) != NULL;) {
-		if (!c->dead)
-			check(p, c, now);
-		if (!c->dead) {
+		if (!c->failed)
+			check_timeouts(p, c, now);
+		if (!c->failed) {
 			conn_write(c, now);
-			watch(p, c);
+			update_events(p, c);
 		}
-		if (!c->dead) {
+		if (!c->failed) {
 			at = &c->next;
 			continue;
 		}
-		if (c->hello)
+		if (c->hello_received)
 			event_add("peer", 0, "connection with %s lost: %s",
-			    c->host, c->why);
-		note_lost(c);
+			    c->host, c->fail_reason);
+		log_lost(c);
 		*at = c->next;
 		if (c->pfd.reqevents != 0)
 			apr_pollset_remove(p->set, &c->pfd);
 		/* Requests that were never sent certainly have not run. */
 		while (c->nwaiting > 0)
-			tell_unsent(s, c->waiting[--c->nwaiting]);
-		tell_down(s, c);
+			notify_unsent(s, c->waiting_corrs[--c->nwaiting]);
+		notify_down(s, c);
 		conn_free(c);
 	}
 }
 
 /* Handles all waiting messages. */
 static void
-take(struct service *s, usec now)
+handle_messages(struct service *s, usec now)
 {
 	struct peer *p = s->state;
 	struct msg *m;
@@ -464,7 +465,7 @@
 	struct conn *c;
 
 	for (c = p->conns; c != NULL; c = c->next) {
-		if (!c->dead && !c->connecting)
+		if (!c->failed && !c->connecting)
 			conn_write(c, now);
 	}
 }
@@ -480,12 +481,12 @@
 
 	while (!p->stop) {
 		n = 0;
-		apr_pollset_poll(p->set, TICK_US, &n, &d);
+		apr_pollset_poll(p->set, TICK_INTERVAL, &n, &d);
 		now = clock_mono();
 		for (i = 0; i < n; i++)
-			ready(s, &d[i], now);
-		take(s, now);
-		if (n > 0 || now - swept >= TICK_US) {
+			handle_ready(s, &d[i], now);
+		handle_messages(s, now);
+		if (n > 0 || now - swept >= TICK_INTERVAL) {
 			sweep(s, now);
 			swept = now;
 		}
@@ -515,7 +516,7 @@
 		return (-1);
 	s->state = p;
 	if (apr_pool_create(&p->pool, NULL) != APR_SUCCESS ||
-	    apr_pollset_create(&p->set, MAX_CONNS, p->pool,
+	    apr_pollset_create(&p->set, CONNS_MAX, p->pool,
 		APR_POLLSET_WAKEABLE) != APR_SUCCESS)
 		goto bad;
 	addr_split(at, ip, sizeof(ip), &port);
--- a/gspard/router.c
+++ b/gspard/router.c
@@ -10,20 +10,20 @@
 #include "shard.h"
 #include "view.h"
 
-#define TICK_US MS(10)
-#define IDLE_US MS(200)
+#define TICK_INTERVAL MS(10)
+#define IDLE_WAIT MS(200)
 /* Delay between attempts of a held request, unless a view arrives first. */
-#define HOLD_STEP MS(20)
+#define HOLD_RETRY_DELAY MS(20)
 /* Interval between checks whether the caller has closed its connection. */
-#define GONE_EVERY MS(50)
+#define CALLER_CHECK_INTERVAL MS(50)
 /* Retries allowed for each request, and in a burst. */
-#define RETRY_SHARE 0.1
+#define RETRY_RATIO 0.1
 #define RETRY_BURST 20
 /* The dispatcher's deadline is earlier than the router's by this. */
-#define HEAD_START_MS 5
+#define DEADLINE_MARGIN_MS 5
 /* Callers are accepted after this even if views are missing. */
-#define READY_PATIENCE MS(3000)
-#define MAX_VIEWS 32
+#define READY_TIMEOUT MS(3000)
+#define VIEWS_MAX 32
 
 /* A call that awaits its answer. */
 struct pending {
@@ -36,17 +36,17 @@
 	struct route_attempt try;
 	int sent; /* awaits the dispatcher's answer */
 	int held; /* awaits a dispatcher for its key */
-	usec next_try;
-	usec next_look; /* whether its caller is still connected */
+	usec next_attempt;
+	usec next_caller_check; /* whether its caller is still connected */
 };
 
 struct router {
 	apr_pool_t *pool;
 	apr_hash_t *by_corr;
-	struct pending *all;
-	uint64_t corr; /* the last correlation id given */
+	struct pending *calls;
+	uint64_t last_corr;
 	struct shared *catalogue;
-	struct shared *views[MAX_VIEWS];
+	struct shared *views[VIEWS_MAX];
 	int nviews;
 	struct budget budget;
 	usec catalogue_at; /* when the first catalogue was seen */
@@ -56,7 +56,7 @@
 
 /* Returns the catalogue entry of a service, or NULL. */
 static const struct entry *
-entry_of(const struct router *r, const char *service)
+service_entry(const struct router *r, const char *service)
 {
 	const struct catalogue *cat;
 	int i;
@@ -73,7 +73,7 @@
 
 /* Returns the view of a cell, or NULL. */
 static const Gspar__View *
-view_of(const struct router *r, const char *cell)
+cell_view(const struct router *r, const char *cell)
 {
 	const Gspar__View *v;
 	int i;
@@ -88,7 +88,7 @@
 
 /* Returns the host that dispatches for the owner of a shard, or NULL. */
 static const char *
-dispatcher(const Gspar__View *v, const char *service, uint32_t n)
+shard_dispatcher(const Gspar__View *v, const char *service, uint32_t n)
 {
 	const char *target = view_owner(view_service(v, service), n);
 
@@ -109,7 +109,7 @@
 
 /* Ends a pending call with a result code of this host. */
 static void
-finish_code(struct router *r, struct pending *p, int code, int outcome,
+finish_error(struct router *r, struct pending *p, int code, int outcome,
     uint32_t retry_ms)
 {
 	struct answer *a = &p->call->answer;
@@ -122,11 +122,11 @@
 
 /* Gives a pending call a new correlation id; answers to the old are ignored. */
 static void
-renumber(struct router *r, struct pending *p)
+assign_corr(struct router *r, struct pending *p)
 {
 	if (p->corr != 0)
 		apr_hash_set(r->by_corr, &p->corr, sizeof(p->corr), NULL);
-	p->corr = ++r->corr;
+	p->corr = ++r->last_corr;
 	apr_hash_set(r->by_corr, &p->corr, sizeof(p->corr), p);
 }
 
@@ -151,8 +151,8 @@
 	 * The dispatcher knows whether the request ran, so its deadline is to
 	 * expire first.
 	 */
-	if (q.left_ms > 4 * HEAD_START_MS)
-		q.left_ms -= HEAD_START_MS;
+	if (q.left_ms > 4 * DEADLINE_MARGIN_MS)
+		q.left_ms -= DEADLINE_MARGIN_MS;
 	q.body.data = (uint8_t *)c->body.p;
 	q.body.len = c->body.n;
 	q.cell = p->cell;
@@ -178,45 +178,46 @@
 	}
 	p->held = 1;
 	p->sent = 0;
-	p->next_try = now + HOLD_STEP;
+	p->next_attempt = now + HOLD_RETRY_DELAY;
 }
 
 /* Ends, retries or holds a call after a failed attempt. */
-static void after(struct service *, struct pending *, int code, int outcome,
-    uint32_t retry_ms, usec now);
+static void attempt_failed(struct service *, struct pending *, int code,
+    int outcome, uint32_t retry_ms, usec now);
 
 /* Finds the dispatcher of a request's key and sends the request to it. */
 static void
 attempt(struct service *s, struct pending *p, usec now)
 {
 	struct router *r = s->state;
-	const struct entry *e = entry_of(r, p->call->service);
+	const struct entry *e = service_entry(r, p->call->service);
 	const struct cell_conf *cc;
 	const Gspar__View *v;
 	const char *host;
 	uint32_t shard;
 
 	if (e == NULL) {
-		finish_code(r, p, GS_NO_SERVICE, OUT_NOT_RUN, 0);
+		finish_error(r, p, GS_NO_SERVICE, OUT_NOT_RUN, 0);
 		return;
 	}
 	shard =
 	    shard_of(e->name, p->call->key, strlen(p->call->key), e->shards);
 	cc = entry_cell(e, shard);
 	name_copy(p->cell, sizeof(p->cell), cc->name);
-	v = view_of(r, cc->name);
-	host = v == NULL ? NULL : dispatcher(v, e->name, shard - cc->first);
+	v = cell_view(r, cc->name);
+	host =
+	    v == NULL ? NULL : shard_dispatcher(v, e->name, shard - cc->first);
 	if (host == NULL) {
-		after(s, p, GS_MOVED, OUT_NOT_RUN, LOST_RETRY_MS, now);
+		attempt_failed(s, p, GS_MOVED, OUT_NOT_RUN, LOST_RETRY_MS, now);
 		return;
 	}
 	name_copy(p->host, sizeof(p->host), host);
-	renumber(r, p);
+	assign_corr(r, p);
 	send_request(s, p, shard, now);
 }
 
 static void
-after(struct service *s, struct pending *p, int code, int outcome,
+attempt_failed(struct service *s, struct pending *p, int code, int outcome,
     uint32_t retry_ms, usec now)
 {
 	struct router *r = s->state;
@@ -236,15 +237,15 @@
 		code = GS_NO_OWNER;
 		retry_ms = LOST_RETRY_MS;
 	}
-	finish_code(r, p, code, outcome, retry_ms);
+	finish_error(r, p, code, outcome, retry_ms);
 }
 
 /* Handles a call from the door. */
 static void
-take_call(struct service *s, struct call *c, usec now)
+handle_call(struct service *s, struct call *c, usec now)
 {
 	struct router *r = s->state;
-	const struct entry *e = entry_of(r, c->service);
+	const struct entry *e = service_entry(r, c->service);
 	struct pending *p;
 
 	p = calloc(1, sizeof(*p));
@@ -257,19 +258,19 @@
 	p->call = c;
 	p->try.idempotent = c->ticket || (e != NULL && e->class->idempotent);
 	p->try.deadline = now + MS(c->left_ms);
-	p->next_look = now + GONE_EVERY;
-	p->next = r->all;
-	p->link = &r->all;
+	p->next_caller_check = now + CALLER_CHECK_INTERVAL;
+	p->next = r->calls;
+	p->link = &r->calls;
 	if (p->next != NULL)
 		p->next->link = &p->next;
-	r->all = p;
+	r->calls = p;
 	budget_deposit(&r->budget);
 	attempt(s, p, now);
 }
 
 /* Handles an answer from a dispatcher. */
 static void
-take_answer(struct service *s, const struct msg *m, usec now)
+handle_answer(struct service *s, const struct msg *m, usec now)
 {
 	struct router *r = s->state;
 	Gspar__Answer *ans = m->frame->answer;
@@ -287,8 +288,8 @@
 		return;
 	}
 	if (ans->code != GS_OK) {
-		after(s, p, (int)ans->code, (int)ans->outcome, ans->retry_ms,
-		    now);
+		attempt_failed(s, p, (int)ans->code, (int)ans->outcome,
+		    ans->retry_ms, now);
 		return;
 	}
 	a = &p->call->answer;
@@ -304,33 +305,34 @@
 
 /* Fails the attempts sent to a host, after the connection to it was lost. */
 static void
-lose_peer(struct service *s, const char *host, usec now)
+handle_peer_down(struct service *s, const char *host, usec now)
 {
 	struct router *r = s->state;
 	struct pending *p, *next;
 
-	for (p = r->all; p != NULL; p = next) {
+	for (p = r->calls; p != NULL; p = next) {
 		next = p->next;
 		if (p->sent && strcmp(p->host, host) == 0)
-			after(s, p, GS_PEER_LOST, OUT_UNKNOWN, 0, now);
+			attempt_failed(s, p, GS_PEER_LOST, OUT_UNKNOWN, 0, now);
 	}
 }
 
 /* Handles a request that was never sent, and so certainly has not run. */
 static void
-take_unsent(struct service *s, uint64_t corr, usec now)
+handle_unsent(struct service *s, uint64_t corr, usec now)
 {
 	struct router *r = s->state;
 	struct pending *p;
 
 	p = apr_hash_get(r->by_corr, &corr, sizeof(corr));
 	if (p != NULL && p->sent)
-		after(s, p, GS_NO_OWNER, OUT_NOT_RUN, LOST_RETRY_MS, now);
+		attempt_failed(
+		    s, p, GS_NO_OWNER, OUT_NOT_RUN, LOST_RETRY_MS, now);
 }
 
 /* Stores a cell's view, and sends the held requests of the cell. */
 static void
-take_view(struct service *s, struct msg *m, usec now)
+handle_view(struct service *s, struct msg *m, usec now)
 {
 	struct router *r = s->state;
 	struct shared *sh = m->data;
@@ -343,12 +345,12 @@
 		if (strcmp(old->cell, v->cell) == 0)
 			break;
 	}
-	if (i == MAX_VIEWS)
+	if (i == VIEWS_MAX)
 		return;
 	if (i == r->nviews)
 		r->nviews++;
 	msg_keep(m, &r->views[i]);
-	for (p = r->all; p != NULL; p = next) {
+	for (p = r->calls; p != NULL; p = next) {
 		next = p->next;
 		if (p->held && strcmp(p->cell, v->cell) == 0)
 			attempt(s, p, now);
@@ -375,35 +377,37 @@
 	struct router *r = s->state;
 	struct pending *p, *next;
 
-	for (p = r->all; p != NULL; p = next) {
+	for (p = r->calls; p != NULL; p = next) {
 		next = p->next;
 		if (now >= p->try.deadline) {
 			if (p->sent)
 				send_cancel(s, p);
-			finish_code(r, p, p->sent ? GS_DEADLINE : GS_TOO_LATE,
+			finish_error(r, p, p->sent ? GS_DEADLINE : GS_TOO_LATE,
 			    p->sent ? OUT_UNKNOWN : OUT_NOT_RUN, LOST_RETRY_MS);
-		} else if (now >= p->next_look) {
-			p->next_look = now + GONE_EVERY;
+		} else if (now >= p->next_caller_check) {
+			p->next_caller_check = now + CALLER_CHECK_INTERVAL;
 			if (call_gone(p->call)) {
 				if (p->sent)
 					send_cancel(s, p);
-				finish_code(r, p, GS_CANCELLED, OUT_UNKNOWN, 0);
+				finish_error(
+				    r, p, GS_CANCELLED, OUT_UNKNOWN, 0);
 			}
-		} else if (p->held && now >= p->next_try)
+		} else if (p->held && now >= p->next_attempt)
 			attempt(s, p, now);
 	}
 }
 
 /* Returns true if each cell of the catalogue has a view. */
 static int
-sees_all(const struct router *r)
+has_all_views(const struct router *r)
 {
 	const struct catalogue *cat = r->catalogue->p;
 	int i, k;
 
 	for (i = 0; i < cat->n; i++) {
 		for (k = 0; k < cat->entries[i]->ncells; k++) {
-			if (view_of(r, cat->entries[i]->cells[k].name) == NULL)
+			if (cell_view(r, cat->entries[i]->cells[k].name) ==
+			    NULL)
 				return (0);
 		}
 	}
@@ -412,11 +416,11 @@
 
 /*
  * Tells the door to accept callers once all cells have a view, or
- * READY_PATIENCE after the catalogue arrived: a cell that cannot be reached
+ * READY_TIMEOUT after the catalogue arrived: a cell that cannot be reached
  * must not keep this host from serving the others.
  */
 static void
-maybe_ready(struct service *s, usec now)
+check_ready(struct service *s, usec now)
 {
 	struct router *r = s->state;
 
@@ -424,34 +428,34 @@
 		return;
 	if (r->catalogue_at == 0)
 		r->catalogue_at = now;
-	if (!sees_all(r) && now - r->catalogue_at < READY_PATIENCE)
+	if (!has_all_views(r) && now - r->catalogue_at < READY_TIMEOUT)
 		return;
 	r->ready = msg_post(s->kernel, "door", MSG_READY, NULL, NULL) == 0;
 }
 
 /* Handles one message. */
 static void
-take(struct service *s, struct msg *m, usec now)
+handle_message(struct service *s, struct msg *m, usec now)
 {
 	struct router *r = s->state;
 
 	switch (m->kind) {
 	case MSG_CALL:
-		take_call(s, m->data, now);
+		handle_call(s, m->data, now);
 		m->data = NULL;
 		break;
 	case MSG_FRAME:
-		take_answer(s, m, now);
+		handle_answer(s, m, now);
 		break;
 	case MSG_PEER_DOWN:
 		if (m->conn == 0)
-			lose_peer(s, m->host, now);
+			handle_peer_down(s, m->host, now);
 		break;
 	case MSG_UNSENT:
-		take_unsent(s, m->corr, now);
+		handle_unsent(s, m->corr, now);
 		break;
 	case MSG_VIEW:
-		take_view(s, m, now);
+		handle_view(s, m, now);
 		break;
 	case MSG_CATALOGUE:
 		msg_keep(m, &r->catalogue);
@@ -474,19 +478,20 @@
 	usec now, ticked = 0;
 
 	while (!r->stop) {
-		m = ring_wait(s->in, r->all != NULL ? TICK_US : IDLE_US);
+		m = ring_wait(
+		    s->in, r->calls != NULL ? TICK_INTERVAL : IDLE_WAIT);
 		now = clock_mono();
 		if (m != NULL)
-			take(s, m, now);
-		if (now - ticked >= TICK_US) {
+			handle_message(s, m, now);
+		if (now - ticked >= TICK_INTERVAL) {
 			ticked = now;
 			tick(s, now);
-			maybe_ready(s, now);
+			check_ready(s, now);
 		}
 	}
-	while (r->all != NULL)
-		finish_code(r, r->all, GS_STOPPING,
-		    r->all->sent ? OUT_UNKNOWN : OUT_NOT_RUN, LOST_RETRY_MS);
+	while (r->calls != NULL)
+		finish_error(r, r->calls, GS_STOPPING,
+		    r->calls->sent ? OUT_UNKNOWN : OUT_NOT_RUN, LOST_RETRY_MS);
 }
 
 /* Prepares the service. */
@@ -502,8 +507,8 @@
 	}
 	r->by_corr = apr_hash_make(r->pool);
 	/* Correlation ids of an earlier process of this host are not reused. */
-	r->corr = kernel_boot(s->kernel) & ~0xffffffffULL;
-	budget_init(&r->budget, RETRY_SHARE, RETRY_BURST);
+	r->last_corr = kernel_boot(s->kernel) & ~0xffffffffULL;
+	budget_init(&r->budget, RETRY_RATIO, RETRY_BURST);
 	s->state = r;
 	return (0);
 }
--- a/gspard/run.c
+++ b/gspard/run.c
@@ -7,14 +7,14 @@
 #include "view.h"
 
 /* Retry delay after a request over the target's rate limit, milliseconds. */
-#define OVER_RETRY_MS 500
+#define OVER_LIMIT_RETRY_MS 500
 /* In a class of long work, a request with a deadline of at most this counts as
  * short: an item description as opposed to the export of a whole register. */
-#define LONG_AFTER_MS 5000
+#define SHORT_DEADLINE_MAX_MS 5000
 
 /* Sends an answer to one requester. */
 void
-run_answer(struct service *s, const struct asker *a, Gspar__Answer *ans)
+run_answer(struct service *s, const struct requester *a, Gspar__Answer *ans)
 {
 	Gspar__Frame f = GSPAR__FRAME__INIT;
 
@@ -26,7 +26,7 @@
 
 /* Answers a requester with a result code of this host. */
 static void
-refuse(struct service *s, const struct asker *a, int code, int outcome,
+refuse(struct service *s, const struct requester *a, int code, int outcome,
     uint32_t retry_ms)
 {
 	Gspar__Answer ans = GSPAR__ANSWER__INIT;
@@ -52,7 +52,7 @@
 		curl_multi_remove_handle(d->multi, r->easy);
 		curl_easy_cleanup(r->easy);
 	}
-	curl_slist_free_all(r->heads);
+	curl_slist_free_all(r->headers);
 	str_free(&r->body);
 	frame_free(r->frame);
 	free(r);
@@ -60,7 +60,7 @@
 
 /* Answers all requesters of a run with a result code, and frees the run. */
 void
-run_end(
+run_fail(
     struct service *s, struct run *r, int code, int outcome, uint32_t retry_ms)
 {
 	struct target *t = r->target;
@@ -74,14 +74,14 @@
 		keep = calloc(1, sizeof(*keep));
 		once_finish(&t->once, r->ticket, keep);
 	}
-	for (i = 0; i < r->naskers; i++)
-		refuse(s, &r->askers[i], code, outcome, retry_ms);
+	for (i = 0; i < r->nrequesters; i++)
+		refuse(s, &r->requesters[i], code, outcome, retry_ms);
 	run_free(s, r);
 }
 
 /* Returns the target that owns a shard in this host's view, or NULL. */
 static struct target *
-owner_of(
+shard_owner(
     struct dispatch *d, const char *cell, const char *service, uint32_t shard)
 {
 	const char *name;
@@ -104,7 +104,7 @@
 
 /* Answers a request for a ticket. */
 static void
-give_ticket(struct service *s, struct target *t, const struct asker *a)
+issue_ticket(struct service *s, struct target *t, const struct requester *a)
 {
 	Gspar__Answer ans = GSPAR__ANSWER__INIT;
 	char ticket[TICKET_TEXT], text[TICKET_TEXT + 32];
@@ -122,16 +122,16 @@
 
 /* Answers a repeated request with the answer to the first. */
 static void
-replay(struct service *s, const struct asker *a, const struct bytes *kept)
+replay(struct service *s, const struct requester *a, const struct bytes *saved)
 {
 	Gspar__Answer *ans;
 
 	count_add(C_JOINED, 1);
-	if (kept == NULL || kept->p == NULL) {
+	if (saved == NULL || saved->p == NULL) {
 		refuse(s, a, GS_OLD_TICKET, OUT_UNKNOWN, 0);
 		return;
 	}
-	ans = gspar__answer__unpack(NULL, kept->n, kept->p);
+	ans = gspar__answer__unpack(NULL, saved->n, saved->p);
 	if (ans == NULL)
 		return;
 	run_answer(s, a, ans);
@@ -143,8 +143,8 @@
  * run; otherwise its requester has been answered, or added to the first run.
  */
 static int
-first_time(struct service *s, struct target *t, const Gspar__Request *q,
-    const struct asker *a, uint64_t *number)
+check_ticket(struct service *s, struct target *t, const Gspar__Request *q,
+    const struct requester *a, uint64_t *number)
 {
 	struct run *r;
 	void *value = NULL;
@@ -155,8 +155,8 @@
 	case ONCE_JOIN:
 		r = value;
 		count_add(C_JOINED, 1);
-		if (r->naskers < MAX_JOINED)
-			r->askers[r->naskers++] = *a;
+		if (r->nrequesters < JOINED_MAX)
+			r->requesters[r->nrequesters++] = *a;
 		else
 			refuse(s, a, GS_BUSY, OUT_UNKNOWN, 100);
 		return (0);
@@ -178,7 +178,7 @@
 
 /* Hashes a caller's name for fair queueing; never 0. */
 static uint64_t
-caller_number(const char *name)
+caller_hash(const char *name)
 {
 	uint64_t h = 1469598103934665603u;
 
@@ -190,7 +190,7 @@
 /* Queues a request for its target, or refuses it.  Takes the frame over. */
 static void
 enqueue(struct service *s, struct target *t, Gspar__Frame *f,
-    const struct asker *a, uint64_t ticket, usec now)
+    const struct requester *a, uint64_t ticket, usec now)
 {
 	const Gspar__Request *q = f->request;
 	struct run *r;
@@ -205,14 +205,15 @@
 	}
 	r->target = t;
 	r->frame = f;
-	r->askers[0] = *a;
-	r->naskers = 1;
+	r->requesters[0] = *a;
+	r->nrequesters = 1;
 	r->arrived = now;
 	r->answer_max = t->answer_max;
 	r->job.user_data = r;
 	r->job.deadline = now + MS(q->left_ms);
-	r->job.caller = caller_number(q->caller);
-	r->job.is_long = t->class->is_long && q->left_ms > LONG_AFTER_MS;
+	r->job.caller = caller_hash(q->caller);
+	r->job.is_long =
+	    t->class->is_long && q->left_ms > SHORT_DEADLINE_MAX_MS;
 	r->job.shard = (int)(q->shard - t->first);
 	code = queue_add(&t->queue, &r->job, now, &retry);
 	if (code != GS_OK) {
@@ -231,21 +232,22 @@
 
 /* Handles a request frame, and takes the frame over. */
 void
-run_take(struct service *s, const struct msg *m, Gspar__Frame *f, usec now)
+run_handle_request(
+    struct service *s, const struct msg *m, Gspar__Frame *f, usec now)
 {
 	struct dispatch *d = s->state;
 	const Gspar__Request *q = f->request;
 	struct dcell *c;
 	struct target *t;
-	struct asker a;
+	struct requester a;
 	uint64_t ticket = 0;
 
 	name_copy(a.host, sizeof(a.host), m->host);
 	a.conn = m->conn;
 	a.corr = q->corr;
 	c = dcell(d, q->cell);
-	t = owner_of(d, q->cell, q->service, q->shard);
-	if (t == NULL || t->dropping || c->lease_until <= now ||
+	t = shard_owner(d, q->cell, q->service, q->shard);
+	if (t == NULL || t->handing_over || c->lease_until <= now ||
 	    q->shard - t->first >= t->shards ||
 	    t->fence[q->shard - t->first] == 0) {
 		refuse(s, &a, GS_MOVED, OUT_NOT_RUN, 20);
@@ -256,15 +258,15 @@
 		goto drop;
 	}
 	if (q->ticket) {
-		give_ticket(s, t, &a);
+		issue_ticket(s, t, &a);
 		goto drop;
 	}
 	t->arrived++;
 	if (t->limited && !bucket_take(&t->bucket, t->rate / 1000.0, now)) {
-		refuse(s, &a, GS_OVER_LIMIT, OUT_NOT_RUN, OVER_RETRY_MS);
+		refuse(s, &a, GS_OVER_LIMIT, OUT_NOT_RUN, OVER_LIMIT_RETRY_MS);
 		goto drop;
 	}
-	if (!t->class->idempotent && !first_time(s, t, q, &a, &ticket))
+	if (!t->class->idempotent && !check_ticket(s, t, q, &a, &ticket))
 		goto drop;
 	enqueue(s, t, f, &a, ticket, now);
 	return;
@@ -274,7 +276,7 @@
 
 /* Returns true if the shard of a job is served, for queue_next(). */
 static int
-may_start(const struct job *j, void *arg)
+is_served(const struct job *j, void *arg)
 {
 	const struct target *t = arg;
 
@@ -284,7 +286,7 @@
 
 /* Returns true if the shard of a job is no longer this target's. */
 static int
-moved_away(const struct job *j, void *arg)
+is_moved(const struct job *j, void *arg)
 {
 	const struct target *t = arg;
 
@@ -293,7 +295,7 @@
 
 /* Matches any job, for queue_remove(). */
 int
-run_any(const struct job *j, void *arg)
+run_match_any(const struct job *j, void *arg)
 {
 	return (1);
 }
@@ -310,12 +312,12 @@
 	struct job *j;
 
 	while ((j = queue_expired(&t->queue, now)) != NULL)
-		run_end(
+		run_fail(
 		    s, j->user_data, GS_TOO_LATE, OUT_NOT_RUN, LOST_RETRY_MS);
-	while ((j = queue_remove(&t->queue, moved_away, t)) != NULL)
-		run_end(s, j->user_data, GS_MOVED, OUT_NOT_RUN, 20);
+	while ((j = queue_remove(&t->queue, is_moved, t)) != NULL)
+		run_fail(s, j->user_data, GS_MOVED, OUT_NOT_RUN, 20);
 	while (may_send(s, t, now)) {
-		j = queue_next(&t->queue, now, may_start, t);
+		j = queue_next(&t->queue, now, is_served, t);
 		if (j == NULL)
 			break;
 		run_send(s, j->user_data, now);
@@ -330,31 +332,31 @@
 {
 	struct job *j;
 
-	while ((j = queue_remove(&t->queue, run_any, NULL)) != NULL)
-		run_end(s, j->user_data, code, OUT_NOT_RUN,
+	while ((j = queue_remove(&t->queue, run_match_any, NULL)) != NULL)
+		run_fail(s, j->user_data, code, OUT_NOT_RUN,
 		    code == GS_MOVED ? 20 : LOST_RETRY_MS);
 }
 
 /* Removes requesters from a run (corr 0: any); true if none is left. */
 static int
-unasked(struct run *r, const char *host, uint64_t conn, uint64_t corr)
+remove_requester(struct run *r, const char *host, uint64_t conn, uint64_t corr)
 {
-	struct asker *a;
+	struct requester *a;
 	int i;
 
-	for (i = 0; i < r->naskers; i++) {
-		a = &r->askers[i];
+	for (i = 0; i < r->nrequesters; i++) {
+		a = &r->requesters[i];
 		if (a->conn != conn || strcmp(a->host, host) != 0 ||
 		    (corr != 0 && a->corr != corr))
 			continue;
-		*a = r->askers[--r->naskers];
+		*a = r->requesters[--r->nrequesters];
 		i--;
 	}
-	return (r->naskers == 0);
+	return (r->nrequesters == 0);
 }
 
 /* The requester that run_cancel() looks for in a queue. */
-struct wanted {
+struct requester_id {
 	const char *host;
 	uint64_t conn;
 	uint64_t corr;
@@ -362,11 +364,11 @@
 
 /* Returns true if a queued job has lost its last requester. */
 static int
-job_unasked(const struct job *j, void *arg)
+remove_job_requester(const struct job *j, void *arg)
 {
-	struct wanted *w = arg;
+	struct requester_id *w = arg;
 
-	return (unasked(j->user_data, w->host, w->conn, w->corr));
+	return (remove_requester(j->user_data, w->host, w->conn, w->corr));
 }
 
 /*
@@ -378,17 +380,18 @@
     struct service *s, const char *host, uint64_t conn, uint64_t corr, usec now)
 {
 	struct dispatch *d = s->state;
-	struct wanted w = {host, conn, corr};
+	struct requester_id w = {host, conn, corr};
 	struct target *t;
 	struct run *r;
 	struct job *j;
 
 	for (t = d->targets; t != NULL; t = t->next) {
-		while ((j = queue_remove(&t->queue, job_unasked, &w)) != NULL)
-			run_end(s, j->user_data, GS_CANCELLED, OUT_NOT_RUN, 0);
+		while ((j = queue_remove(
+			    &t->queue, remove_job_requester, &w)) != NULL)
+			run_fail(s, j->user_data, GS_CANCELLED, OUT_NOT_RUN, 0);
 		for (r = t->runs; r != NULL; r = r->next) {
 			if (r->ticket != 0 || r->cancelled ||
-			    !unasked(r, host, conn, corr))
+			    !remove_requester(r, host, conn, corr))
 				continue;
 			r->cancelled = 1;
 			note_cancel(s, t, r->id);
@@ -398,7 +401,7 @@
 
 /* Cancels all requests that came on a peer's connection that was lost. */
 void
-run_gone(struct service *s, const char *host, uint64_t conn, usec now)
+run_peer_down(struct service *s, const char *host, uint64_t conn, usec now)
 {
 	if (conn != 0)
 		run_cancel(s, host, conn, 0, now);
--- a/gspard/send.c
+++ b/gspard/send.c
@@ -25,7 +25,7 @@
 
 /* Reads the content type and the outcome from the answer's headers. */
 static size_t
-on_head(char *p, size_t size, size_t n, void *arg)
+on_header(char *p, size_t size, size_t n, void *arg)
 {
 	static const char type[] = "Content-Type:";
 	static const char outcome[] = "Gspar-Outcome:";
@@ -50,45 +50,45 @@
 
 /* Adds one header to the request. */
 static void
-head(struct run *r, const char *name, const char *value)
+add_header(struct run *r, const char *name, const char *value)
 {
 	char line[400];
 
 	snprintf(line, sizeof(line), "%s: %s", name, value);
-	r->heads = curl_slist_append(r->heads, line);
+	r->headers = curl_slist_append(r->headers, line);
 }
 
 /* Adds one numeric header to the request. */
 static void
-head_num(struct run *r, const char *name, long long value)
+add_number_header(struct run *r, const char *name, long long value)
 {
 	char text[32];
 
 	snprintf(text, sizeof(text), "%lld", value);
-	head(r, name, text);
+	add_header(r, name, text);
 }
 
 /* Sets the request's headers: shard, fence, deadline, id, the caller's. */
 static void
-set_heads(struct run *r, usec now)
+set_headers(struct run *r, usec now)
 {
 	const Gspar__Request *q = r->frame->request;
 	const struct target *t = r->target;
 
-	head_num(r, "Gspar-Shard", q->shard);
-	head_num(r, "Gspar-Fence", (long long)t->fence[r->job.shard]);
+	add_number_header(r, "Gspar-Shard", q->shard);
+	add_number_header(r, "Gspar-Fence", (long long)t->fence[r->job.shard]);
 	/* In the target's clock, so that a request that waited in the socket
 	 * of a frozen target is refused instead of run too late. */
-	head_num(r, "Gspar-Deadline",
+	add_number_header(r, "Gspar-Deadline",
 	    (long long)(t->grant.target_clock + r->job.deadline -
 		t->grant.last_heard));
-	head_num(r, "Gspar-Id", (long long)r->id);
+	add_number_header(r, "Gspar-Id", (long long)r->id);
 	if (q->idkey[0] != '\0')
-		head(r, "Idempotency-Key", q->idkey);
+		add_header(r, "Idempotency-Key", q->idkey);
 	if (q->type[0] != '\0')
-		head(r, "Content-Type", q->type);
-	head(r, "Expect", "");
-	curl_easy_setopt(r->easy, CURLOPT_HTTPHEADER, r->heads);
+		add_header(r, "Content-Type", q->type);
+	add_header(r, "Expect", "");
+	curl_easy_setopt(r->easy, CURLOPT_HTTPHEADER, r->headers);
 }
 
 /*
@@ -109,7 +109,7 @@
 
 /* Starts the transfer of a run; returns 0, or -1 if out of memory. */
 static int
-transfer(struct service *s, struct run *r, usec now)
+start_transfer(struct service *s, struct run *r, usec now)
 {
 	struct dispatch *d = s->state;
 	struct target *t = r->target;
@@ -133,7 +133,7 @@
 	    (long)((r->job.deadline - now) / 1000 + 1));
 	curl_easy_setopt(r->easy, CURLOPT_WRITEFUNCTION, on_body);
 	curl_easy_setopt(r->easy, CURLOPT_WRITEDATA, r);
-	curl_easy_setopt(r->easy, CURLOPT_HEADERFUNCTION, on_head);
+	curl_easy_setopt(r->easy, CURLOPT_HEADERFUNCTION, on_header);
 	curl_easy_setopt(r->easy, CURLOPT_HEADERDATA, r);
 	curl_easy_setopt(r->easy, CURLOPT_CUSTOMREQUEST, q->method);
 	if (strcmp(q->method, "GET") != 0) {
@@ -154,7 +154,7 @@
 		curl_easy_setopt(r->easy, CURLOPT_FRESH_CONNECT, 1L);
 		curl_easy_setopt(r->easy, CURLOPT_FORBID_REUSE, 1L);
 	}
-	set_heads(r, now);
+	set_headers(r, now);
 	curl_multi_add_handle(d->multi, r->easy);
 	return (0);
 }
@@ -165,9 +165,9 @@
 {
 	struct target *t = r->target;
 
-	if (transfer(s, r, now) != 0) {
+	if (start_transfer(s, r, now) != 0) {
 		queue_done(&t->queue, &r->job, 0);
-		run_end(s, r, GS_NOMEM, OUT_NOT_RUN, 0);
+		run_fail(s, r, GS_NOMEM, OUT_NOT_RUN, 0);
 		return;
 	}
 	r->sent = now;
@@ -184,7 +184,7 @@
 
 /* True if a run may be on a dead connection and may be sent again. */
 static int
-stuck(const struct run *r, usec now)
+may_resend(const struct run *r, usec now)
 {
 	const struct target *t = r->target;
 	usec typical = t->queue.mean[r->job.is_long != 0];
@@ -196,23 +196,23 @@
 
 /* Replaces a run's transfer by a new one; returns true if it was started. */
 static int
-send_again(struct service *s, struct run *r, usec now)
+resend(struct service *s, struct run *r, usec now)
 {
 	struct dispatch *d = s->state;
-	struct curl_slist *heads = r->heads;
+	struct curl_slist *headers = r->headers;
 	CURL *easy = r->easy;
 	uint64_t id = r->id;
 
-	r->heads = NULL;
+	r->headers = NULL;
 	r->again = 1;
-	if (transfer(s, r, now) != 0) {
+	if (start_transfer(s, r, now) != 0) {
 		r->easy = easy;
-		r->heads = heads;
+		r->headers = headers;
 		return (0);
 	}
 	curl_multi_remove_handle(d->multi, easy);
 	curl_easy_cleanup(easy);
-	curl_slist_free_all(heads);
+	curl_slist_free_all(headers);
 	note_cancel(s, r->target, id);
 	r->refused = 0;
 	r->type[0] = '\0';
@@ -244,10 +244,10 @@
 	int n = 0;
 
 	for (r = t->runs; r != NULL; r = r->next) {
-		if (stuck(r, now) && now < r->job.deadline &&
+		if (may_resend(r, now) && now < r->job.deadline &&
 		    t->fence[r->job.shard] != 0 && may_send(s, t, now) &&
 		    budget_withdraw(&t->again))
-			n += send_again(s, r, now);
+			n += resend(s, r, now);
 	}
 	if (n > 0)
 		event_add("dispatch", 0,
@@ -257,23 +257,23 @@
 
 /* Stores a run's answer for repeated requests with its ticket. */
 static void
-remember(struct run *r, const Gspar__Answer *ans)
+save_answer(struct run *r, const Gspar__Answer *ans)
 {
-	struct bytes *kept;
-
-	kept = calloc(1, sizeof(*kept));
-	if (kept != NULL) {
-		kept->n = gspar__answer__get_packed_size(ans);
-		kept->p = malloc(kept->n + 1);
-		if (kept->p != NULL)
-			gspar__answer__pack(ans, kept->p);
+	struct bytes *saved;
+
+	saved = calloc(1, sizeof(*saved));
+	if (saved != NULL) {
+		saved->n = gspar__answer__get_packed_size(ans);
+		saved->p = malloc(saved->n + 1);
+		if (saved->p != NULL)
+			gspar__answer__pack(ans, saved->p);
 	}
-	once_finish(&r->target->once, r->ticket, kept);
+	once_finish(&r->target->once, r->ticket, saved);
 }
 
 /* Sends a complete answer to all requesters, and frees the run. */
 static void
-end_whole(struct service *s, struct run *r, long status)
+finish_answered(struct service *s, struct run *r, long status)
 {
 	Gspar__Answer ans = GSPAR__ANSWER__INIT;
 	int i;
@@ -286,9 +286,9 @@
 	ans.target = r->target->name;
 	ans.fence = r->target->fence[r->job.shard];
 	if (r->ticket != 0)
-		remember(r, &ans);
-	for (i = 0; i < r->naskers; i++)
-		run_answer(s, &r->askers[i], &ans);
+		save_answer(r, &ans);
+	for (i = 0; i < r->nrequesters; i++)
+		run_answer(s, &r->requesters[i], &ans);
 	run_free(s, r);
 }
 
@@ -310,7 +310,7 @@
 
 /* Ends a run whose transfer failed. */
 static void
-end_failed(struct service *s, struct run *r, CURLcode res)
+finish_failed(struct service *s, struct run *r, CURLcode res)
 {
 	long sent = 0;
 	int code;
@@ -321,25 +321,25 @@
 		note_cancel(s, r->target, r->id);
 	/* No byte was sent, so the request certainly has not run. */
 	if (sent == 0)
-		run_end(s, r, code == GS_DEADLINE ? GS_TOO_LATE : GS_NO_OWNER,
+		run_fail(s, r, code == GS_DEADLINE ? GS_TOO_LATE : GS_NO_OWNER,
 		    OUT_NOT_RUN, LOST_RETRY_MS);
 	else
-		run_end(s, r, code, OUT_UNKNOWN, 0);
+		run_fail(s, r, code, OUT_UNKNOWN, 0);
 }
 
 /* Ends a run that the target refused without running it. */
 static void
-end_refused(struct service *s, struct run *r, long status)
+finish_refused(struct service *s, struct run *r, long status)
 {
 	switch (status) {
 	case 409:
-		run_end(s, r, GS_MOVED, OUT_NOT_RUN, 20);
+		run_fail(s, r, GS_MOVED, OUT_NOT_RUN, 20);
 		break;
 	case 504:
-		run_end(s, r, GS_TOO_LATE, OUT_NOT_RUN, LOST_RETRY_MS);
+		run_fail(s, r, GS_TOO_LATE, OUT_NOT_RUN, LOST_RETRY_MS);
 		break;
 	default:
-		run_end(s, r, GS_SHED, OUT_NOT_RUN,
+		run_fail(s, r, GS_SHED, OUT_NOT_RUN,
 		    (uint32_t)(queue_expected_wait(
 				   &r->target->queue, r->job.is_long) /
 			    1000 +
@@ -364,11 +364,11 @@
 	if (res == CURLE_OK)
 		silence_request_answered(&t->silence, r->sent);
 	if (res != CURLE_OK)
-		end_failed(s, r, res);
+		finish_failed(s, r, res);
 	else if (r->refused)
-		end_refused(s, r, status);
+		finish_refused(s, r, status);
 	else
-		end_whole(s, r, status);
+		finish_answered(s, r, status);
 	if (t->nmoving > 0)
 		target_sets(t);
 	run_pump(s, t, now);
--- a/regress/unit/t_conn.c
+++ b/regress/unit/t_conn.c
@@ -10,7 +10,7 @@
 #include "conn.h"
 #include "unit.h"
 
-#define LARGE 1000000u
+#define LARGE_FRAME 1000000u
 
 /* Makes a connection with a small send buffer; *other is its other end. */
 static struct conn *
@@ -33,9 +33,9 @@
 static void
 fill(struct conn *c, usec now)
 {
-	uint8_t *p = calloc(1, LARGE);
+	uint8_t *p = calloc(1, LARGE_FRAME);
 
-	CU_ASSERT_EQUAL(conn_queue(c, p, LARGE, now), 0);
+	CU_ASSERT_EQUAL(conn_queue(c, p, LARGE_FRAME, now), 0);
 	conn_write(c, now);
 	free(p);
 }
@@ -46,7 +46,7 @@
  * is closed with the frame half sent.
  */
 static void
-slow_is_not_silent(void)
+slow_link_is_alive(void)
 {
 	char buf[65536];
 	struct conn *c;
@@ -54,7 +54,7 @@
 
 	c = open_conn(&other);
 	fill(c, MS(1000));
-	CU_ASSERT(c->out_at < c->out.n);
+	CU_ASSERT(c->out_pos < c->out.n);
 	CU_ASSERT_EQUAL(c->first_unanswered, MS(1000));
 	CU_ASSERT(read(other, buf, sizeof(buf)) > 0);
 	conn_write(c, MS(1600));
@@ -69,22 +69,22 @@
 /* A large frame of state is not queued behind another that is still being
  * sent; small frames, such as heartbeats, are. */
 static void
-copies_do_not_pile_up(void)
+state_does_not_accumulate(void)
 {
 	struct conn *c;
 	int other;
 
 	c = open_conn(&other);
-	CU_ASSERT(!conn_held_up(c, LARGE));
+	CU_ASSERT(!conn_is_backlogged(c, LARGE_FRAME));
 	fill(c, MS(1000));
-	CU_ASSERT(conn_held_up(c, LARGE));
-	CU_ASSERT(!conn_held_up(c, 500));
+	CU_ASSERT(conn_is_backlogged(c, LARGE_FRAME));
+	CU_ASSERT(!conn_is_backlogged(c, 500));
 	close(other);
 	conn_free(c);
 }
 
 static const struct unit_test tests[] = {
-    {"slow link is not taken for dead", slow_is_not_silent},
-    {"state frames do not accumulate", copies_do_not_pile_up},
+    {"slow is not silent", slow_link_is_alive},
+    {"copies do not pile up", state_does_not_accumulate},
 };
 UNIT_MAIN("conn", tests)
