--- a/gspard/conn.c
+++ b/gspard/conn.c
@@ -11,7 +11,7 @@
 #define LARGE_FRAME_MIN 16384
 #define BACKLOG_MAX 65536
 
-/* Makes a connection, which owns the socket and its pool; NULL if no memory. */
+/* Makes a connection that owns socket and pool; NULL if out of memory. */
 struct conn *
 conn_new(apr_socket_t *sock, apr_pool_t *pool, uint64_t id, usec now)
 {
@@ -43,7 +43,7 @@
 	free(c);
 }
 
-/* Marks a connection to be closed; why, a static string, goes to the log. */
+/* Marks a connection to be closed; the reason, a static string, is logged. */
 void
 conn_fail(struct conn *c, const char *fail_reason)
 {
--- a/gspard/dispatch.c
+++ b/gspard/dispatch.c
@@ -77,8 +77,7 @@
 		target_view(t, c->view->p, current_view(c));
 }
 
-/* Applies a renewed lease and its duties; targets without a duty are released.
- */
+/* Applies a renewed lease; targets that it has no duty for are handed over. */
 static void
 apply_lease(struct service *s, struct lease *l, usec now)
 {
--- a/gspard/dispatch.h
+++ b/gspard/dispatch.h
@@ -48,7 +48,7 @@
 	size_t answer_max;
 	int too_large;
 	int cancelled;
-	int again;     /* sent a second time */
+	int resent;    /* sent a second time */
 	int refused;   /* the target says that it did not run it */
 	char type[96]; /* content type of the answer */
 };
--- a/gspard/door.c
+++ b/gspard/door.c
@@ -55,7 +55,7 @@
 }
 
 /*
- * Called with the raw URI, before the library decodes it.  Allocates the call
+ * Called by the library with the raw URI, before decoding.  Allocates the call
  * of the request.
  */
 static void *
--- a/gspard/peer.c
+++ b/gspard/peer.c
@@ -102,7 +102,7 @@
 
 /* Adds a connection; owns the pool.  NULL if out of memory. */
 static struct conn *
-add_conn(struct service *s, apr_socket_t *sock, apr_pool_t *pool, usec now)
+add(struct service *s, apr_socket_t *sock, apr_pool_t *pool, usec now)
 {
 	struct peer *p = s->state;
 	struct conn *c;
@@ -184,7 +184,7 @@
 		apr_pool_destroy(pool);
 		return (NULL);
 	}
-	c = add_conn(s, sock, pool, now);
+	c = add(s, sock, pool, now);
 	if (c == NULL)
 		return (NULL);
 	name_copy(c->host, sizeof(c->host), host);
@@ -326,7 +326,7 @@
 		apr_pool_destroy(pool);
 		return;
 	}
-	c = add_conn(s, sock, pool, now);
+	c = add(s, sock, pool, now);
 	if (c != NULL)
 		update_events(p, c);
 }
--- a/gspard/run.c
+++ b/gspard/run.c
@@ -302,7 +302,7 @@
 
 /*
  * Sends the queued requests that may be sent, and ends those that are too late
- * or whose shard has moved.
+ * or whose shard has moved; all of them if the host's lease has lapsed.
  */
 void
 run_pump(struct service *s, struct target *t, usec now)
--- a/gspard/send.c
+++ b/gspard/send.c
@@ -143,7 +143,7 @@
 		    q->body.data == NULL ? "" : (char *)q->body.data);
 	}
 	conn_age(t, r->easy, now);
-	if (r->again)
+	if (r->resent)
 		curl_easy_setopt(r->easy, CURLOPT_FRESH_CONNECT, 1L);
 	if (!t->class->idempotent) {
 		/*
@@ -189,7 +189,7 @@
 	const struct target *t = r->target;
 	usec typical = t->queue.mean[r->job.is_long != 0];
 
-	return (t->class->idempotent && !r->again && !r->cancelled &&
+	return (t->class->idempotent && !r->resent && !r->cancelled &&
 	    r->body.n == 0 &&
 	    silence_suspects(&t->silence, now, r->sent, typical));
 }
@@ -204,7 +204,7 @@
 	uint64_t id = r->id;
 
 	r->headers = NULL;
-	r->again = 1;
+	r->resent = 1;
 	if (start_transfer(s, r, now) != 0) {
 		r->easy = easy;
 		r->headers = headers;
