--- a/gspard/conn.h
+++ b/gspard/conn.h
@@ -20,7 +20,7 @@
 	char host[NAME_MAX_GS];
 	int outgoing;
 	int connecting;
-	int hello_received; /* the peer's hello was received */
+	int hello_received;
 	int failed;
 	const char *fail_reason;
 	struct str in;
