--- a/gspard/conn.c
+++ b/gspard/conn.c
@@ -4,11 +4,14 @@
 #include "conn.h"
 
 #define READ_CHUNK 65536
-/* Frames larger than this wait until less than that is unsent before them. */
-#define FRAME_LARGE 16384
-#define UNSENT_MOST 65536
+/*
+ * Frames of state larger than LARGE_FRAME_MIN are not queued while more than
+ * BACKLOG_MAX bytes are unsent.
+ */
+#define LARGE_FRAME_MIN 16384
+#define BACKLOG_MAX 65536
 
-/* Wraps a socket; the connection owns it and its pool. */
+/* Makes a connection that owns socket and pool; NULL if out of memory. */
 struct conn *
 conn_new(apr_socket_t *sock, apr_pool_t *pool, uint64_t id, usec now)
 {
@@ -20,41 +23,41 @@
 	c->sock = sock;
 	c->pool = pool;
 	c->id = id;
-	c->began = now;
-	c->last_in = now;
+	c->opened_at = now;
+	c->last_recv = now;
 	apr_socket_opt_set(sock, APR_SO_NONBLOCK, 1);
 	apr_socket_opt_set(sock, APR_TCP_NODELAY, 1);
 	apr_socket_timeout_set(sock, 0);
 	return (c);
 }
 
-/* Closes and frees. */
+/* Closes the socket and frees the connection. */
 void
 conn_free(struct conn *c)
 {
 	apr_socket_close(c->sock);
 	str_free(&c->in);
 	str_free(&c->out);
-	free(c->waiting);
+	free(c->waiting_corrs);
 	apr_pool_destroy(c->pool);
 	free(c);
 }
 
-/* Marks the connection as one to close, with the reason for the log. */
+/* Marks a connection to be closed; the reason, a static string, is logged. */
 void
-conn_fail(struct conn *c, const char *why)
+conn_fail(struct conn *c, const char *fail_reason)
 {
-	if (c->dead)
+	if (c->failed)
 		return;
-	c->dead = 1;
-	c->why = why;
+	c->failed = 1;
+	c->fail_reason = fail_reason;
 }
 
-/* Adds a packed frame to what waits to be sent; 0, or -1. */
+/* Queues a packed frame; returns 0, or -1 if the buffer is full. */
 int
 conn_queue(struct conn *c, const uint8_t *p, size_t n, usec now)
 {
-	if (c->out.n - c->out_at + n > CONN_OUT_MAX ||
+	if (c->out.n - c->out_pos + n > CONN_OUT_MAX ||
 	    str_add(&c->out, p, n) != 0)
 		return (-1);
 	if (c->first_unanswered == 0)
@@ -62,35 +65,36 @@
 	return (0);
 }
 
-/* Notes a request that is queued while the connection does not stand yet. */
+/* Notes a request that was queued before the connection was established. */
 void
-conn_wait(struct conn *c, uint64_t corr)
+conn_add_waiting(struct conn *c, uint64_t corr)
 {
 	uint64_t *p;
 
-	p = realloc(c->waiting, (c->nwaiting + 1) * sizeof(*p));
+	p = realloc(c->waiting_corrs, (c->nwaiting + 1) * sizeof(*p));
 	if (p == NULL)
 		return;
-	c->waiting = p;
-	c->waiting[c->nwaiting++] = corr;
+	c->waiting_corrs = p;
+	c->waiting_corrs[c->nwaiting++] = corr;
 }
 
 /*
- * True where a copy of what this host knows should not be queued now: whoever
- * sends it sends it again on a timer, and on a link that needs longer for one
- * than the timer runs, copies would pile up until none gets through in time.
+ * Returns true if a frame of state of n bytes should not be queued now.  State
+ * is sent again on a timer; on a link that needs longer than that for one copy,
+ * the queue would grow until no copy arrives in time.
  */
 int
-conn_held_up(const struct conn *c, size_t n)
+conn_is_backlogged(const struct conn *c, size_t n)
 {
-	return (n > FRAME_LARGE && c->out.n - c->out_at > UNSENT_MOST);
+	return (n > LARGE_FRAME_MIN && c->out.n - c->out_pos > BACKLOG_MAX);
 }
 
 /*
- * Sends what it can.  Where the link was full and takes bytes again, the other
- * end has taken those before them: it is not silent, though its answer comes
- * only after all that is queued.  Taken for silent, a connection on a slow link
- * is closed in the middle of each large frame, and none ever arrives.
+ * Writes queued bytes until the socket takes no more.  If a full socket takes
+ * bytes again, the peer has received earlier ones and is alive, though it can
+ * answer only after all that is queued.  Without this, a connection on a slow
+ * link would be closed in the middle of each large frame, and none would
+ * arrive.
  */
 void
 conn_write(struct conn *c, usec now)
@@ -98,11 +102,11 @@
 	apr_status_t st;
 	apr_size_t n;
 
-	while (c->out_at < c->out.n) {
-		n = c->out.n - c->out_at;
-		st = apr_socket_send(c->sock, c->out.p + c->out_at, &n);
+	while (c->out_pos < c->out.n) {
+		n = c->out.n - c->out_pos;
+		st = apr_socket_send(c->sock, c->out.p + c->out_pos, &n);
 		if (APR_STATUS_IS_EAGAIN(st)) {
-			c->full = 1;
+			c->blocked = 1;
 			return;
 		}
 		if (st != APR_SUCCESS) {
@@ -110,28 +114,28 @@
 			return;
 		}
 		count_add(C_PEER_OUT_BYTES, n);
-		c->out_at += n;
-		if (c->full && c->first_unanswered != 0)
+		c->out_pos += n;
+		if (c->blocked && c->first_unanswered != 0)
 			c->first_unanswered = now;
-		c->full = 0;
+		c->blocked = 0;
 	}
 	c->out.n = 0;
-	c->out_at = 0;
+	c->out_pos = 0;
 }
 
-/* Takes one whole frame out of what was read; 0 where there is none yet. */
+/* Passes on one complete frame of the input; returns 0 if there is none. */
 static int
-one_frame(struct conn *c, conn_frame_fn fn, void *arg)
+read_frame(struct conn *c, conn_frame_fn fn, void *arg)
 {
-	const uint8_t *p = (const uint8_t *)c->in.p + c->in_at;
-	size_t have = c->in.n - c->in_at, n;
+	const uint8_t *p = (const uint8_t *)c->in.p + c->in_pos;
+	size_t have = c->in.n - c->in_pos, n;
 	Gspar__Frame *f;
 
 	if (have < FRAME_HEAD)
 		return (0);
 	if (frame_size(p, &n) != 0) {
 		count_add(C_PEER_BAD, 1);
-		conn_fail(c, "frame of a length that is not allowed");
+		conn_fail(c, "frame length out of range");
 		return (0);
 	}
 	if (have < FRAME_HEAD + n)
@@ -139,10 +143,10 @@
 	f = frame_unpack(p + FRAME_HEAD, n);
 	if (f == NULL) {
 		count_add(C_PEER_BAD, 1);
-		conn_fail(c, "malformed frame or of unknown kind");
+		conn_fail(c, "malformed frame or unknown kind");
 		return (0);
 	}
-	c->in_at += FRAME_HEAD + n;
+	c->in_pos += FRAME_HEAD + n;
 	count_add(C_PEER_IN, 1);
 	if (frame_is_control(f)) {
 		count_add(C_CONTROL_FRAMES, 1);
@@ -152,7 +156,7 @@
 	return (1);
 }
 
-/* Reads what there is and calls fn for each whole frame, which fn frees. */
+/* Reads available bytes; calls fn for each complete frame, which fn frees. */
 void
 conn_read(struct conn *c, usec now, conn_frame_fn fn, void *arg)
 {
@@ -166,11 +170,11 @@
 		if (APR_STATUS_IS_EAGAIN(st))
 			break;
 		if (st != APR_SUCCESS || n == 0) {
-			conn_fail(c, "closed by the other end");
+			conn_fail(c, "closed by the peer");
 			break;
 		}
 		count_add(C_PEER_IN_BYTES, n);
-		c->last_in = now;
+		c->last_recv = now;
 		c->first_unanswered = 0;
 		c->pinged = 0;
 		if (str_add(&c->in, buf, n) != 0) {
@@ -180,14 +184,14 @@
 		if (n < sizeof(buf))
 			break;
 	}
-	while (one_frame(c, fn, arg) && !c->dead)
+	while (read_frame(c, fn, arg) && !c->failed)
 		;
-	if (c->in_at == c->in.n) {
+	if (c->in_pos == c->in.n) {
 		c->in.n = 0;
-		c->in_at = 0;
-	} else if (c->in_at > READ_CHUNK) {
-		memmove(c->in.p, c->in.p + c->in_at, c->in.n - c->in_at);
-		c->in.n -= c->in_at;
-		c->in_at = 0;
+		c->in_pos = 0;
+	} else if (c->in_pos > READ_CHUNK) {
+		memmove(c->in.p, c->in.p + c->in_pos, c->in.n - c->in_pos);
+		c->in.n -= c->in_pos;
+		c->in_pos = 0;
 	}
 }
--- a/gspard/conn.h
+++ b/gspard/conn.h
@@ -1,4 +1,4 @@
-/* One connection between hosts: buffers and frames, without the polling. */
+/* A connection between two hosts: its buffers and frames, without polling. */
 #ifndef CONN_H
 #define CONN_H
 
@@ -8,7 +8,7 @@
 
 #include "gspard.h"
 
-/* Bytes waiting to be sent on one connection before frames are refused. */
+/* Unsent bytes of a connection beyond which frames are refused. */
 #define CONN_OUT_MAX (64u * 1024 * 1024)
 
 struct conn {
@@ -20,20 +20,20 @@
 	char host[NAME_MAX_GS];
 	int outgoing;
 	int connecting;
-	int hello; /* the other end has said who it is */
-	int dead;
-	const char *why;
+	int hello_received;
+	int failed;
+	const char *fail_reason;
 	struct str in;
-	size_t in_at;
+	size_t in_pos;
 	struct str out;
-	size_t out_at;
-	usec began;
-	usec last_in;
-	usec first_unanswered; /* sent since the last receipt; 0 is none */
+	size_t out_pos;
+	usec opened_at;
+	usec last_recv;
+	usec first_unanswered; /* first send since the last receipt; 0: none */
 	int pinged;
-	int full; /* the link took no more when it was written to last */
-	/* Requests queued before the connection stood. */
-	uint64_t *waiting;
+	int blocked; /* the last write did not fit into the socket buffer */
+	/* Requests queued before the connection was established. */
+	uint64_t *waiting_corrs;
 	size_t nwaiting;
 };
 
@@ -42,10 +42,10 @@
 struct conn *conn_new(apr_socket_t *, apr_pool_t *, uint64_t id, usec now);
 void conn_free(struct conn *);
 int conn_queue(struct conn *, const uint8_t *, size_t, usec now);
-void conn_wait(struct conn *, uint64_t corr);
+void conn_add_waiting(struct conn *, uint64_t corr);
 void conn_read(struct conn *, usec now, conn_frame_fn, void *);
-int conn_held_up(const struct conn *, size_t);
+int conn_is_backlogged(const struct conn *, size_t);
 void conn_write(struct conn *, usec now);
-void conn_fail(struct conn *, const char *why);
+void conn_fail(struct conn *, const char *fail_reason);
 
 #endif
--- a/gspard/door.c
+++ b/gspard/door.c
@@ -1,4 +1,4 @@
-/* The service that callers speak to. */
+/* The service "door": the HTTP server for callers. */
 #include <arpa/inet.h>
 #include <fcntl.h>
 #include <stdatomic.h>
@@ -18,42 +18,48 @@
 #include "door_ops.h"
 #include "slow.h"
 
-/* A connection that says nothing for so many seconds is closed. */
-#define IDLE_SECONDS 10u
+/* Idle timeout of a connection until the site configuration gives one. */
+#define IDLE_TIMEOUT_S 10u
 #define CONNECTIONS_MAX 4096u
 #define LISTEN_BACKLOG 512
-/* Between looks for requests that are read too slowly. */
-#define LOOK_EVERY MS(500)
-/* Bytes over the limit that are still read, to answer instead of cutting. */
-#define SPILL_MAX (1u << 20)
+/* Interval between checks for requests that arrive too slowly. */
+#define SLOW_CHECK_INTERVAL MS(500)
+/*
+ * Bytes over the limit of a body that are still read, so that the caller gets
+ * an answer instead of a closed connection.
+ */
+#define OVERSIZE_READ_MAX (1u << 20)
 
 struct door {
 	struct MHD_Daemon *daemon;
 	apr_pool_t *pool;
 	apr_thread_mutex_t *lock;
 	const struct door_ops *ops;
-	struct shared *in_force; /* catalogue, or configuration */
-	unsigned idle_s;
+	struct shared *active; /* catalogue or site configuration in use */
+	unsigned idle_timeout_s;
 	struct slow *slow;
 	struct callers *callers;
 	int sock;
 	int stop;
-	int stopping;
-	int closed;
+	int stopping; /* answers carry Connection: close */
+	int refusing; /* requests are refused */
 };
 
 static _Atomic int inflight;
 
-/* How many calls wait for their answer. */
+/* Returns the number of calls that wait for their answer. */
 int
 door_inflight(void)
 {
 	return (atomic_load(&inflight));
 }
 
-/* Keeps the request line as it was sent, before the library decodes it. */
+/*
+ * Called by the library with the raw URI, before decoding.  Allocates the call
+ * of the request.
+ */
 static void *
-keep_uri(void *cls, const char *uri, struct MHD_Connection *conn)
+on_request_line(void *cls, const char *uri, struct MHD_Connection *conn)
 {
 	struct door *d = cls;
 	const union MHD_ConnectionInfo *info;
@@ -67,13 +73,13 @@
 	info = MHD_get_connection_info(conn, MHD_CONNECTION_INFO_CONNECTION_FD);
 	c->fd = info == NULL ? -1 : info->connect_fd;
 	slow_add(d->slow, c, clock_mono());
-	c->ended = callers_busy(d->callers, conn, 1);
+	c->read_shut = callers_busy(d->callers, conn, 1);
 	return (c);
 }
 
-/* Frees a call when the library is done with it. */
+/* Called when the library has finished a request; frees the call. */
 static void
-completed(void *cls, struct MHD_Connection *conn, void **state,
+on_completed(void *cls, struct MHD_Connection *conn, void **state,
     enum MHD_RequestTerminationCode why)
 {
 	struct door *d = cls;
@@ -86,7 +92,7 @@
 	slow_remove(d->slow, c);
 	if (c->submitted && why != MHD_REQUEST_TERMINATED_COMPLETED_OK)
 		count_add(C_CALLER_GONE, 1);
-	/* Broken off, or malformed and answered by the library. */
+	/* Aborted by the caller, or malformed and answered by the library. */
 	if (slow_is_reading(c))
 		count_add(why == MHD_REQUEST_TERMINATED_CLIENT_ABORT
 			? C_CALLER_GONE
@@ -103,11 +109,11 @@
 }
 
 /*
- * How long to stay away, in milliseconds.  Spread over half as much again:
- * callers refused together would otherwise all come back together.
+ * Adds up to half of a retry delay (milliseconds) at random, so that callers
+ * that were refused at the same time do not all retry at the same time.
  */
 static uint32_t
-spread_retry(uint32_t ms)
+add_retry_jitter(uint32_t ms)
 {
 	uint16_t r = 0;
 
@@ -115,9 +121,9 @@
 	return (ms + (uint32_t)((uint64_t)ms * r / 0x20000));
 }
 
-/* The JSON body of an answer of our own. */
+/* Builds the response for an error of this host, with a JSON body. */
 static struct MHD_Response *
-own_answer(const struct door *d, const struct call *c)
+error_response(const struct door *d, const struct call *c)
 {
 	const struct answer *a = &c->answer;
 	struct MHD_Response *r;
@@ -126,19 +132,19 @@
 	int n;
 
 	if (result_again(a->code))
-		ms =
-		    spread_retry(a->retry_ms > 0 ? a->retry_ms : LOST_RETRY_MS);
+		ms = add_retry_jitter(
+		    a->retry_ms > 0 ? a->retry_ms : LOST_RETRY_MS);
 	n = result_json(text, sizeof(text), a->code, a->outcome, ms);
 	r = MHD_create_response_from_buffer(
 	    (size_t)n, text, MHD_RESPMEM_MUST_COPY);
 	MHD_add_response_header(r, "Content-Type", "application/json");
-	d->ops->own_heads(r, a->code, ms);
+	d->ops->error_headers(r, a->code, ms);
 	return (r);
 }
 
-/* The target's answer as it came. */
+/* Builds the response that passes on the target's answer unchanged. */
 static struct MHD_Response *
-target_answer(const struct door *d, struct call *c)
+target_response(const struct door *d, struct call *c)
 {
 	struct answer *a = &c->answer;
 	struct MHD_Response *r;
@@ -147,11 +153,11 @@
 	    a->body.p == NULL ? "" : a->body.p,
 	    a->body.p == NULL ? MHD_RESPMEM_PERSISTENT : MHD_RESPMEM_MUST_FREE);
 	a->body.p = NULL;
-	d->ops->target_heads(r, a);
+	d->ops->target_headers(r, a);
 	return (r);
 }
 
-/* Counts an answer by its kind. */
+/* Counts an answer in the metric of its outcome. */
 static void
 count_answer(const struct answer *a)
 {
@@ -165,7 +171,7 @@
 		count_add(C_CALLER_UNKNOWN, 1);
 }
 
-/* Gives the caller the answer. */
+/* Queues the response to a call. */
 static enum MHD_Result
 respond(struct door *d, struct call *c)
 {
@@ -177,10 +183,10 @@
 		return (MHD_NO);
 	count_answer(&c->answer);
 	if (c->answer.code == GS_OK) {
-		r = target_answer(d, c);
+		r = target_response(d, c);
 		status = c->answer.status;
 	} else {
-		r = own_answer(d, c);
+		r = error_response(d, c);
 		status = result_http(c->answer.code);
 	}
 	if (__atomic_load_n(&d->stopping, __ATOMIC_RELAXED))
@@ -190,7 +196,7 @@
 	return (res);
 }
 
-/* Answers with a code of ours. */
+/* Answers a call with a result code of this host. */
 static enum MHD_Result
 refuse(struct door *d, struct call *c, int code)
 {
@@ -199,9 +205,9 @@
 	return (respond(d, c));
 }
 
-/* Answers the balancer's probe: no more work once the host is stopping. */
+/* Answers the load balancer's health check: 200, or 503 once stopping. */
 static enum MHD_Result
-health(struct door *d, struct call *c)
+answer_health(struct door *d, struct call *c)
 {
 	static char ok[] = "ok\n", leaving[] = "stopping\n";
 	int stopping = __atomic_load_n(&d->stopping, __ATOMIC_RELAXED);
@@ -218,31 +224,31 @@
 	return (res);
 }
 
-/* Reads the head of a request; a code to refuse it with is kept. */
+/* Parses the head of a request; a code to refuse it with goes into the call. */
 static void
-begin(struct door *d, struct call *c, const char *method)
+parse_head(struct door *d, struct call *c, const char *method)
 {
 	const union MHD_ConnectionInfo *info;
 	struct shared *sh;
 	char ip[INET6_ADDRSTRLEN];
 
-	c->started = 1;
+	c->head_parsed = 1;
 	if (name_copy(c->method, sizeof(c->method), method) != 0) {
-		c->refused = GS_BAD_METHOD;
+		c->refusal = GS_BAD_METHOD;
 		return;
 	}
 	apr_thread_mutex_lock(d->lock);
-	sh = d->in_force == NULL ? NULL : shared_ref(d->in_force);
+	sh = d->active == NULL ? NULL : shared_ref(d->active);
 	apr_thread_mutex_unlock(d->lock);
-	c->refused = d->ops->parse(c, sh == NULL ? NULL : sh->p);
-	/* Its rule is part of what was in force: kept as long as the call. */
+	c->refusal = d->ops->parse(c, sh == NULL ? NULL : sh->p);
+	/* The rule belongs to the configuration, which the call then holds. */
 	if (c->rule != NULL)
 		c->site = sh;
 	else
 		shared_unref(sh);
-	if (d->idle_s > 0)
+	if (d->idle_timeout_s > 0)
 		MHD_set_connection_option(
-		    c->conn, MHD_CONNECTION_OPTION_TIMEOUT, d->idle_s);
+		    c->conn, MHD_CONNECTION_OPTION_TIMEOUT, d->idle_timeout_s);
 	info = MHD_get_connection_info(
 	    c->conn, MHD_CONNECTION_INFO_CLIENT_ADDRESS);
 	if (c->caller[0] == '\0' && info != NULL &&
@@ -255,7 +261,7 @@
 	}
 }
 
-/* Hands a whole request to the router, and sleeps until its answer. */
+/* Sends a complete request to the router, and suspends its connection. */
 static enum MHD_Result
 submit(struct service *s, struct call *c)
 {
@@ -275,7 +281,7 @@
 	return (MHD_YES);
 }
 
-/* Wakes the connection of a call whose answer is filled in. */
+/* Resumes the connection of a call whose answer is complete. */
 void
 call_end(struct call *c)
 {
@@ -285,25 +291,26 @@
 }
 
 /*
- * True where the caller has closed its connection.  Not where a stop of this
- * host closed it for reading, just before the request came: taken for gone, the
- * caller would lose an answer that its target is at work on.
+ * Returns true if the caller has closed its connection.  A connection that this
+ * host shut down for reading while stopping, just before the request arrived,
+ * also reads as closed; it is not reported, or the caller would lose an answer
+ * that its target is working on.
  */
 int
 call_gone(const struct call *c)
 {
 	char b;
 
-	return (c->fd >= 0 && !c->ended &&
+	return (c->fd >= 0 && !c->read_shut &&
 	    recv(c->fd, &b, 1, MSG_PEEK | MSG_DONTWAIT) == 0);
 }
 
 /*
- * Lets in who is connected but not accepted yet.  The kernel would reset those
- * connections, requests in them included, when the socket is closed.
+ * Accepts the connections in the listen backlog.  The kernel would reset them,
+ * with the requests in them, when the listening socket is closed.
  */
 static void
-let_in_rest(struct door *d, int fd)
+accept_backlog(struct door *d, int fd)
 {
 	struct sockaddr_storage from;
 	socklen_t n = sizeof(from);
@@ -319,9 +326,9 @@
 }
 
 /*
- * Takes no new connections.  Calls on those there are go on being served, for
- * refusing whom we let in would fail a caller in a planned stop; they have been
- * told to close with each answer since the stop began.
+ * Closes the listening socket.  Requests on open connections are still served,
+ * because refusing them would fail callers during a planned stop; since the
+ * stop began each answer asks the caller to close its connection.
  */
 void
 door_shut(struct kernel *k)
@@ -334,11 +341,11 @@
 	fd = MHD_quiesce_daemon(d->daemon);
 	if (fd == MHD_INVALID_SOCKET)
 		return;
-	let_in_rest(d, fd);
+	accept_backlog(d, fd);
 	close(fd);
 }
 
-/* Ends the connections of callers that have no request under way. */
+/* Closes callers' connections that have no request in progress. */
 void
 door_end_idle(struct kernel *k)
 {
@@ -347,7 +354,7 @@
 	callers_end_idle(d->callers);
 }
 
-/* How many callers are connected. */
+/* Returns the number of open connections of callers. */
 int
 door_connections(struct kernel *k)
 {
@@ -361,16 +368,19 @@
 	return (info == NULL ? 0 : (int)info->num_connections);
 }
 
-/* Takes no new calls either. */
+/* Refuses all further requests with GS_STOPPING. */
 void
 door_bar(struct kernel *k)
 {
 	struct door *d = kernel_find(k, "door")->state;
 
-	__atomic_store_n(&d->closed, 1, __ATOMIC_RELAXED);
+	__atomic_store_n(&d->refusing, 1, __ATOMIC_RELAXED);
 }
 
-/* Called by the library for each step of each request. */
+/*
+ * Called by the library for a request's head, for each piece of its body, at
+ * its end, and after its connection was resumed.
+ */
 static enum MHD_Result
 handle(void *cls, struct MHD_Connection *conn, const char *url,
     const char *method, const char *version, const char *data, size_t *size,
@@ -384,19 +394,20 @@
 		return (MHD_NO);
 	if (__atomic_load_n(&c->answered, __ATOMIC_ACQUIRE))
 		return (respond(d, c));
-	if (!c->started) {
-		if (d->ops->health != NULL &&
-		    strcmp(c->uri, d->ops->health) == 0)
-			return (health(d, c));
-		begin(d, c, method);
-		if (c->refused != GS_OK)
-			return (refuse(d, c, c->refused));
+	if (!c->head_parsed) {
+		if (d->ops->health_path != NULL &&
+		    strcmp(c->uri, d->ops->health_path) == 0)
+			return (answer_health(d, c));
+		parse_head(d, c, method);
+		if (c->refusal != GS_OK)
+			return (refuse(d, c, c->refusal));
 		return (MHD_YES);
 	}
 	if (*size > 0) {
 		if (c->body.n + *size > c->body_max)
 			c->too_large = 1;
-		if (c->too_large && c->body.n + *size > c->body_max + SPILL_MAX)
+		if (c->too_large &&
+		    c->body.n + *size > c->body_max + OVERSIZE_READ_MAX)
 			return (MHD_NO);
 		if (!c->too_large && str_add(&c->body, data, *size) != 0)
 			return (MHD_NO);
@@ -405,14 +416,14 @@
 	}
 	if (c->too_large)
 		return (refuse(d, c, GS_TOO_LARGE));
-	if (__atomic_load_n(&d->closed, __ATOMIC_RELAXED))
+	if (__atomic_load_n(&d->refusing, __ATOMIC_RELAXED))
 		return (refuse(d, c, GS_STOPPING));
 	return (submit(s, c));
 }
 
-/* Starts serving on the socket bound at the start. */
+/* Starts the HTTP server on the socket that door_open() bound. */
 static void
-start_serving(struct service *s)
+start_server(struct service *s)
 {
 	struct door *d = s->state;
 
@@ -421,34 +432,35 @@
 	d->daemon = MHD_start_daemon(
 	    MHD_USE_EPOLL_INTERNAL_THREAD | MHD_ALLOW_SUSPEND_RESUME, 0, NULL,
 	    NULL, handle, s, MHD_OPTION_LISTEN_SOCKET, d->sock,
-	    MHD_OPTION_URI_LOG_CALLBACK, keep_uri, d,
-	    MHD_OPTION_NOTIFY_COMPLETED, completed, d,
+	    MHD_OPTION_URI_LOG_CALLBACK, on_request_line, d,
+	    MHD_OPTION_NOTIFY_COMPLETED, on_completed, d,
 	    MHD_OPTION_NOTIFY_CONNECTION, callers_changed, d->callers,
-	    MHD_OPTION_CONNECTION_TIMEOUT, IDLE_SECONDS,
+	    MHD_OPTION_CONNECTION_TIMEOUT, IDLE_TIMEOUT_S,
 	    MHD_OPTION_CONNECTION_LIMIT, CONNECTIONS_MAX, MHD_OPTION_END);
 	if (d->daemon == NULL)
-		log_line(LOG_ERR, "door", "Cannot serve callers.");
+		log_line(LOG_ERR, "door",
+		    "Cannot start the HTTP server for callers.");
 	else
 		log_line(LOG_INFO, "door", "Serving callers.");
 }
 
-/* Puts the snapshot of a message in force. */
+/* Replaces the catalogue or configuration in use by that of a message. */
 static void
-put_in_force(struct door *d, struct msg *m)
+set_active(struct door *d, struct msg *m)
 {
 	apr_thread_mutex_lock(d->lock);
-	msg_keep(m, &d->in_force);
+	msg_keep(m, &d->active);
 	apr_thread_mutex_unlock(d->lock);
 }
 
-/* The configuration that a message carries. */
+/* Returns the site configuration that a message carries. */
 static const struct site *
 site_of(const struct msg *m)
 {
 	return (((const struct shared *)m->data)->p);
 }
 
-/* The thread: takes the catalogue, and the orders to start and stop. */
+/* The service's thread. */
 static void
 door_run(struct service *s)
 {
@@ -456,24 +468,24 @@
 	struct msg *m;
 
 	while (!d->stop) {
-		m = ring_wait(s->in, LOOK_EVERY);
+		m = ring_wait(s->in, SLOW_CHECK_INTERVAL);
 		slow_tick(d->slow, clock_mono());
 		if (m == NULL)
 			continue;
 		switch (m->kind) {
 		case MSG_CATALOGUE:
-			put_in_force(d, m);
+			set_active(d, m);
 			break;
 		case MSG_SITE:
-			/* Rounded up: closing sooner would cut callers that
-			 * come back within the time they were told. */
-			d->idle_s = (unsigned)((site_of(m)->idle_time +
-						   US_PER_SEC - 1) /
+			/* Rounded up: callers may reuse a connection until
+			 * the configured time is over. */
+			d->idle_timeout_s = (unsigned)((site_of(m)->idle_time +
+							   US_PER_SEC - 1) /
 			    US_PER_SEC);
-			put_in_force(d, m);
+			set_active(d, m);
 			break;
 		case MSG_READY:
-			start_serving(s);
+			start_server(s);
 			break;
 		case MSG_STOP:
 			__atomic_store_n(&d->stopping, 1, __ATOMIC_RELAXED);
@@ -489,9 +501,9 @@
 }
 
 /*
- * Takes the callers' address.  It is only listened on once the router knows
- * its way: a host that answers before that would refuse what others could
- * serve, and the balancer would go on sending.
+ * Binds the callers' address.  The host listens only after MSG_READY, when the
+ * router has its routes: before that it would refuse requests that other hosts
+ * could serve, and the load balancer would keep sending them.
  */
 static int
 door_open(struct service *s)
@@ -522,7 +534,7 @@
 	return (-1);
 }
 
-/* Closes all connections; the router has ended every call before. */
+/* Stops the server.  The router has ended every call by now. */
 static void
 door_close(struct service *s)
 {
@@ -532,7 +544,7 @@
 		MHD_stop_daemon(d->daemon);
 	else
 		close(d->sock);
-	shared_unref(d->in_force);
+	shared_unref(d->active);
 	slow_free(d->slow);
 	callers_free(d->callers);
 	apr_pool_destroy(d->pool);
--- a/gspard/router.c
+++ b/gspard/router.c
@@ -1,4 +1,4 @@
-/* The service that finds a request's dispatcher and sees it to its end. */
+/* The service "router": sends each request to the dispatcher of its key. */
 #include <stdlib.h>
 #include <string.h>
 
@@ -10,52 +10,53 @@
 #include "shard.h"
 #include "view.h"
 
-#define TICK_US MS(10)
-#define IDLE_US MS(200)
-/* Between tries of a held request, unless a view comes first. */
-#define HOLD_STEP MS(20)
-/* Between looks whether a caller is still there. */
-#define GONE_EVERY MS(50)
-/* Retries allowed for each first try, and in a burst. */
-#define RETRY_SHARE 0.1
+#define TICK_INTERVAL MS(10)
+#define IDLE_WAIT MS(200)
+/* Delay between attempts of a held request, unless a view arrives first. */
+#define HOLD_RETRY_DELAY MS(20)
+/* Interval between checks whether the caller has closed its connection. */
+#define CALLER_CHECK_INTERVAL MS(50)
+/* Retries allowed for each request, and in a burst. */
+#define RETRY_RATIO 0.1
 #define RETRY_BURST 20
-/* How much earlier a deadline passes at the dispatcher. */
-#define HEAD_START_MS 5
-#define READY_PATIENCE MS(3000)
-#define MAX_VIEWS 32
+/* The dispatcher's deadline is earlier than the router's by this. */
+#define DEADLINE_MARGIN_MS 5
+/* Callers are accepted after this even if views are missing. */
+#define READY_TIMEOUT MS(3000)
+#define VIEWS_MAX 32
 
-/* One call under way. */
+/* A call that awaits its answer. */
 struct pending {
 	struct pending *next;
 	struct pending **link;
-	uint64_t corr;
+	uint64_t corr; /* correlation id of the current attempt */
 	struct call *call;
 	char host[NAME_MAX_GS];
 	char cell[CELL_NAME_MAX];
 	struct route_attempt try;
-	int sent;
-	int held;
-	usec next_try;
-	usec next_look;
+	int sent; /* awaits the dispatcher's answer */
+	int held; /* awaits a dispatcher for its key */
+	usec next_attempt;
+	usec next_caller_check; /* whether its caller is still connected */
 };
 
 struct router {
 	apr_pool_t *pool;
 	apr_hash_t *by_corr;
-	struct pending *all;
-	uint64_t corr;
+	struct pending *calls;
+	uint64_t last_corr;
 	struct shared *catalogue;
-	struct shared *views[MAX_VIEWS];
+	struct shared *views[VIEWS_MAX];
 	int nviews;
 	struct budget budget;
-	usec catalogue_at;
-	int ready;
+	usec catalogue_at; /* when the first catalogue was seen */
+	int ready;	   /* the door was told to accept callers */
 	int stop;
 };
 
-/* The entry of a service, or NULL. */
+/* Returns the catalogue entry of a service, or NULL. */
 static const struct entry *
-entry_of(const struct router *r, const char *service)
+service_entry(const struct router *r, const char *service)
 {
 	const struct catalogue *cat;
 	int i;
@@ -70,9 +71,9 @@
 	return (NULL);
 }
 
-/* The view of a cell, or NULL. */
+/* Returns the view of a cell, or NULL. */
 static const Gspar__View *
-view_of(const struct router *r, const char *cell)
+cell_view(const struct router *r, const char *cell)
 {
 	const Gspar__View *v;
 	int i;
@@ -85,16 +86,16 @@
 	return (NULL);
 }
 
-/* The host that dispatches for the owner of a shard, or NULL. */
+/* Returns the host that dispatches for the owner of a shard, or NULL. */
 static const char *
-dispatcher(const Gspar__View *v, const char *service, uint32_t n)
+shard_dispatcher(const Gspar__View *v, const char *service, uint32_t n)
 {
 	const char *target = view_owner(view_service(v, service), n);
 
 	return (target == NULL ? NULL : view_dispatcher(v, target));
 }
 
-/* Ends a pending call with the answer already filled in. */
+/* Ends a pending call whose answer is complete. */
 static void
 finish(struct router *r, struct pending *p)
 {
@@ -106,9 +107,9 @@
 	free(p);
 }
 
-/* Ends a pending call with a code of ours, at once. */
+/* Ends a pending call with a result code of this host. */
 static void
-finish_code(struct router *r, struct pending *p, int code, int outcome,
+finish_error(struct router *r, struct pending *p, int code, int outcome,
     uint32_t retry_ms)
 {
 	struct answer *a = &p->call->answer;
@@ -119,17 +120,17 @@
 	finish(r, p);
 }
 
-/* Gives the pending call a new correlation id: answers to the old are late. */
+/* Gives a pending call a new correlation id; answers to the old are ignored. */
 static void
-renumber(struct router *r, struct pending *p)
+assign_corr(struct router *r, struct pending *p)
 {
 	if (p->corr != 0)
 		apr_hash_set(r->by_corr, &p->corr, sizeof(p->corr), NULL);
-	p->corr = ++r->corr;
+	p->corr = ++r->last_corr;
 	apr_hash_set(r->by_corr, &p->corr, sizeof(p->corr), p);
 }
 
-/* Sends the request to its dispatcher. */
+/* Sends a request to its dispatcher. */
 static void
 send_request(struct service *s, struct pending *p, uint32_t shard, usec now)
 {
@@ -146,9 +147,12 @@
 	q.idkey = (char *)c->idkey;
 	q.caller = (char *)c->caller;
 	q.left_ms = (uint32_t)((p->try.deadline - now) / 1000);
-	/* The dispatcher knows better what became of it: it speaks first. */
-	if (q.left_ms > 4 * HEAD_START_MS)
-		q.left_ms -= HEAD_START_MS;
+	/*
+	 * The dispatcher knows whether the request ran, so its deadline is to
+	 * expire first.
+	 */
+	if (q.left_ms > 4 * DEADLINE_MARGIN_MS)
+		q.left_ms -= DEADLINE_MARGIN_MS;
 	q.body.data = (uint8_t *)c->body.p;
 	q.body.len = c->body.n;
 	q.cell = p->cell;
@@ -164,7 +168,7 @@
 	send_frame(s->kernel, p->host, 0, &f);
 }
 
-/* Holds a request a little: its key has no dispatcher at this moment. */
+/* Holds a request whose key has no dispatcher at the moment. */
 static void
 hold(struct pending *p, usec now)
 {
@@ -174,45 +178,46 @@
 	}
 	p->held = 1;
 	p->sent = 0;
-	p->next_try = now + HOLD_STEP;
+	p->next_attempt = now + HOLD_RETRY_DELAY;
 }
 
-/* Ends, repeats or holds a call after an attempt that gave no answer. */
-static void after(struct service *, struct pending *, int code, int outcome,
-    uint32_t retry_ms, usec now);
+/* Ends, retries or holds a call after a failed attempt. */
+static void attempt_failed(struct service *, struct pending *, int code,
+    int outcome, uint32_t retry_ms, usec now);
 
-/* Finds the way for a request and sends it. */
+/* Finds the dispatcher of a request's key and sends the request to it. */
 static void
 attempt(struct service *s, struct pending *p, usec now)
 {
 	struct router *r = s->state;
-	const struct entry *e = entry_of(r, p->call->service);
+	const struct entry *e = service_entry(r, p->call->service);
 	const struct cell_conf *cc;
 	const Gspar__View *v;
 	const char *host;
 	uint32_t shard;
 
 	if (e == NULL) {
-		finish_code(r, p, GS_NO_SERVICE, OUT_NOT_RUN, 0);
+		finish_error(r, p, GS_NO_SERVICE, OUT_NOT_RUN, 0);
 		return;
 	}
 	shard =
 	    shard_of(e->name, p->call->key, strlen(p->call->key), e->shards);
 	cc = entry_cell(e, shard);
 	name_copy(p->cell, sizeof(p->cell), cc->name);
-	v = view_of(r, cc->name);
-	host = v == NULL ? NULL : dispatcher(v, e->name, shard - cc->first);
+	v = cell_view(r, cc->name);
+	host =
+	    v == NULL ? NULL : shard_dispatcher(v, e->name, shard - cc->first);
 	if (host == NULL) {
-		after(s, p, GS_MOVED, OUT_NOT_RUN, LOST_RETRY_MS, now);
+		attempt_failed(s, p, GS_MOVED, OUT_NOT_RUN, LOST_RETRY_MS, now);
 		return;
 	}
 	name_copy(p->host, sizeof(p->host), host);
-	renumber(r, p);
+	assign_corr(r, p);
 	send_request(s, p, shard, now);
 }
 
 static void
-after(struct service *s, struct pending *p, int code, int outcome,
+attempt_failed(struct service *s, struct pending *p, int code, int outcome,
     uint32_t retry_ms, usec now)
 {
 	struct router *r = s->state;
@@ -232,15 +237,15 @@
 		code = GS_NO_OWNER;
 		retry_ms = LOST_RETRY_MS;
 	}
-	finish_code(r, p, code, outcome, retry_ms);
+	finish_error(r, p, code, outcome, retry_ms);
 }
 
-/* Takes a call from the door. */
+/* Handles a call from the door. */
 static void
-take_call(struct service *s, struct call *c, usec now)
+handle_call(struct service *s, struct call *c, usec now)
 {
 	struct router *r = s->state;
-	const struct entry *e = entry_of(r, c->service);
+	const struct entry *e = service_entry(r, c->service);
 	struct pending *p;
 
 	p = calloc(1, sizeof(*p));
@@ -253,19 +258,19 @@
 	p->call = c;
 	p->try.idempotent = c->ticket || (e != NULL && e->class->idempotent);
 	p->try.deadline = now + MS(c->left_ms);
-	p->next_look = now + GONE_EVERY;
-	p->next = r->all;
-	p->link = &r->all;
+	p->next_caller_check = now + CALLER_CHECK_INTERVAL;
+	p->next = r->calls;
+	p->link = &r->calls;
 	if (p->next != NULL)
 		p->next->link = &p->next;
-	r->all = p;
+	r->calls = p;
 	budget_deposit(&r->budget);
 	attempt(s, p, now);
 }
 
-/* Takes an answer frame. */
+/* Handles an answer from a dispatcher. */
 static void
-take_answer(struct service *s, const struct msg *m, usec now)
+handle_answer(struct service *s, const struct msg *m, usec now)
 {
 	struct router *r = s->state;
 	Gspar__Answer *ans = m->frame->answer;
@@ -274,8 +279,8 @@
 
 	p = apr_hash_get(r->by_corr, &ans->corr, sizeof(ans->corr));
 	/*
-	 * Late, crossed or double: dropped.  Given to whoever waits under a
-	 * number used again it would be another caller's answer.
+	 * A late or duplicate answer, or one from another host, is dropped:
+	 * under a reused correlation id it would reach the wrong caller.
 	 */
 	if (p == NULL || !p->sent || m->conn != 0 ||
 	    strcmp(p->host, m->host) != 0) {
@@ -283,8 +288,8 @@
 		return;
 	}
 	if (ans->code != GS_OK) {
-		after(s, p, (int)ans->code, (int)ans->outcome, ans->retry_ms,
-		    now);
+		attempt_failed(s, p, (int)ans->code, (int)ans->outcome,
+		    ans->retry_ms, now);
 		return;
 	}
 	a = &p->call->answer;
@@ -298,35 +303,36 @@
 	finish(r, p);
 }
 
-/* A connection to a host was lost with the answers that were to come on it. */
+/* Fails the attempts sent to a host, after the connection to it was lost. */
 static void
-lose_peer(struct service *s, const char *host, usec now)
+handle_peer_down(struct service *s, const char *host, usec now)
 {
 	struct router *r = s->state;
 	struct pending *p, *next;
 
-	for (p = r->all; p != NULL; p = next) {
+	for (p = r->calls; p != NULL; p = next) {
 		next = p->next;
 		if (p->sent && strcmp(p->host, host) == 0)
-			after(s, p, GS_PEER_LOST, OUT_UNKNOWN, 0, now);
+			attempt_failed(s, p, GS_PEER_LOST, OUT_UNKNOWN, 0, now);
 	}
 }
 
-/* A request could not be sent at all: it has not run for sure. */
+/* Handles a request that was never sent, and so certainly has not run. */
 static void
-take_unsent(struct service *s, uint64_t corr, usec now)
+handle_unsent(struct service *s, uint64_t corr, usec now)
 {
 	struct router *r = s->state;
 	struct pending *p;
 
 	p = apr_hash_get(r->by_corr, &corr, sizeof(corr));
 	if (p != NULL && p->sent)
-		after(s, p, GS_NO_OWNER, OUT_NOT_RUN, LOST_RETRY_MS, now);
+		attempt_failed(
+		    s, p, GS_NO_OWNER, OUT_NOT_RUN, LOST_RETRY_MS, now);
 }
 
-/* Takes a view where it is newer, and sends what was held. */
+/* Stores a cell's view, and sends the held requests of the cell. */
 static void
-take_view(struct service *s, struct msg *m, usec now)
+handle_view(struct service *s, struct msg *m, usec now)
 {
 	struct router *r = s->state;
 	struct shared *sh = m->data;
@@ -339,19 +345,19 @@
 		if (strcmp(old->cell, v->cell) == 0)
 			break;
 	}
-	if (i == MAX_VIEWS)
+	if (i == VIEWS_MAX)
 		return;
 	if (i == r->nviews)
 		r->nviews++;
 	msg_keep(m, &r->views[i]);
-	for (p = r->all; p != NULL; p = next) {
+	for (p = r->calls; p != NULL; p = next) {
 		next = p->next;
 		if (p->held && strcmp(p->cell, v->cell) == 0)
 			attempt(s, p, now);
 	}
 }
 
-/* Tells the dispatcher that the caller went away. */
+/* Asks the dispatcher to cancel a request. */
 static void
 send_cancel(struct service *s, const struct pending *p)
 {
@@ -364,42 +370,44 @@
 	send_frame(s->kernel, p->host, 0, &f);
 }
 
-/* Looks after each call: deadline, hold, caller gone. */
+/* Checks the deadline and the caller of each call, and retries held ones. */
 static void
 tick(struct service *s, usec now)
 {
 	struct router *r = s->state;
 	struct pending *p, *next;
 
-	for (p = r->all; p != NULL; p = next) {
+	for (p = r->calls; p != NULL; p = next) {
 		next = p->next;
 		if (now >= p->try.deadline) {
 			if (p->sent)
 				send_cancel(s, p);
-			finish_code(r, p, p->sent ? GS_DEADLINE : GS_TOO_LATE,
+			finish_error(r, p, p->sent ? GS_DEADLINE : GS_TOO_LATE,
 			    p->sent ? OUT_UNKNOWN : OUT_NOT_RUN, LOST_RETRY_MS);
-		} else if (now >= p->next_look) {
-			p->next_look = now + GONE_EVERY;
+		} else if (now >= p->next_caller_check) {
+			p->next_caller_check = now + CALLER_CHECK_INTERVAL;
 			if (call_gone(p->call)) {
 				if (p->sent)
 					send_cancel(s, p);
-				finish_code(r, p, GS_CANCELLED, OUT_UNKNOWN, 0);
+				finish_error(
+				    r, p, GS_CANCELLED, OUT_UNKNOWN, 0);
 			}
-		} else if (p->held && now >= p->next_try)
+		} else if (p->held && now >= p->next_attempt)
 			attempt(s, p, now);
 	}
 }
 
-/* True where each cell of the catalogue has a view. */
+/* Returns true if each cell of the catalogue has a view. */
 static int
-sees_all(const struct router *r)
+has_all_views(const struct router *r)
 {
 	const struct catalogue *cat = r->catalogue->p;
 	int i, k;
 
 	for (i = 0; i < cat->n; i++) {
 		for (k = 0; k < cat->entries[i]->ncells; k++) {
-			if (view_of(r, cat->entries[i]->cells[k].name) == NULL)
+			if (cell_view(r, cat->entries[i]->cells[k].name) ==
+			    NULL)
 				return (0);
 		}
 	}
@@ -407,12 +415,12 @@
 }
 
 /*
- * Tells the door to let callers in: once all cells are known, or some while
- * after the catalogue is, for a cell that is cut off must not keep this host
- * from serving the others.
+ * Tells the door to accept callers once all cells have a view, or
+ * READY_TIMEOUT after the catalogue arrived: a cell that cannot be reached
+ * must not keep this host from serving the others.
  */
 static void
-maybe_ready(struct service *s, usec now)
+check_ready(struct service *s, usec now)
 {
 	struct router *r = s->state;
 
@@ -420,34 +428,34 @@
 		return;
 	if (r->catalogue_at == 0)
 		r->catalogue_at = now;
-	if (!sees_all(r) && now - r->catalogue_at < READY_PATIENCE)
+	if (!has_all_views(r) && now - r->catalogue_at < READY_TIMEOUT)
 		return;
 	r->ready = msg_post(s->kernel, "door", MSG_READY, NULL, NULL) == 0;
 }
 
-/* Takes one message. */
+/* Handles one message. */
 static void
-take(struct service *s, struct msg *m, usec now)
+handle_message(struct service *s, struct msg *m, usec now)
 {
 	struct router *r = s->state;
 
 	switch (m->kind) {
 	case MSG_CALL:
-		take_call(s, m->data, now);
+		handle_call(s, m->data, now);
 		m->data = NULL;
 		break;
 	case MSG_FRAME:
-		take_answer(s, m, now);
+		handle_answer(s, m, now);
 		break;
 	case MSG_PEER_DOWN:
 		if (m->conn == 0)
-			lose_peer(s, m->host, now);
+			handle_peer_down(s, m->host, now);
 		break;
 	case MSG_UNSENT:
-		take_unsent(s, m->corr, now);
+		handle_unsent(s, m->corr, now);
 		break;
 	case MSG_VIEW:
-		take_view(s, m, now);
+		handle_view(s, m, now);
 		break;
 	case MSG_CATALOGUE:
 		msg_keep(m, &r->catalogue);
@@ -461,7 +469,7 @@
 	msg_free(m);
 }
 
-/* The thread. */
+/* The service's thread. */
 static void
 router_run(struct service *s)
 {
@@ -470,22 +478,23 @@
 	usec now, ticked = 0;
 
 	while (!r->stop) {
-		m = ring_wait(s->in, r->all != NULL ? TICK_US : IDLE_US);
+		m = ring_wait(
+		    s->in, r->calls != NULL ? TICK_INTERVAL : IDLE_WAIT);
 		now = clock_mono();
 		if (m != NULL)
-			take(s, m, now);
-		if (now - ticked >= TICK_US) {
+			handle_message(s, m, now);
+		if (now - ticked >= TICK_INTERVAL) {
 			ticked = now;
 			tick(s, now);
-			maybe_ready(s, now);
+			check_ready(s, now);
 		}
 	}
-	while (r->all != NULL)
-		finish_code(r, r->all, GS_STOPPING,
-		    r->all->sent ? OUT_UNKNOWN : OUT_NOT_RUN, LOST_RETRY_MS);
+	while (r->calls != NULL)
+		finish_error(r, r->calls, GS_STOPPING,
+		    r->calls->sent ? OUT_UNKNOWN : OUT_NOT_RUN, LOST_RETRY_MS);
 }
 
-/* Makes the service ready. */
+/* Prepares the service. */
 static int
 router_open(struct service *s)
 {
@@ -497,14 +506,14 @@
 		return (-1);
 	}
 	r->by_corr = apr_hash_make(r->pool);
-	/* Numbers of an earlier process of this host do not come back. */
-	r->corr = kernel_boot(s->kernel) & ~0xffffffffULL;
-	budget_init(&r->budget, RETRY_SHARE, RETRY_BURST);
+	/* Correlation ids of an earlier process of this host are not reused. */
+	r->last_corr = kernel_boot(s->kernel) & ~0xffffffffULL;
+	budget_init(&r->budget, RETRY_RATIO, RETRY_BURST);
 	s->state = r;
 	return (0);
 }
 
-/* Frees all. */
+/* Frees the service's state. */
 static void
 router_close(struct service *s)
 {
--- a/gspard/send.c
+++ b/gspard/send.c
@@ -1,4 +1,4 @@
-/* Requests between the dispatcher and its targets: one transfer each. */
+/* Requests from the dispatcher to its targets: one HTTP transfer each. */
 #include <stdio.h>
 #include <stdlib.h>
 #include <string.h>
@@ -7,10 +7,10 @@
 #include "call.h"
 #include "dispatch.h"
 
-/* A key may grow threefold when escaped. */
+/* Percent-encoding makes a key at most three times as long. */
 #define URL_MAX_GS (3 * KEY_MAX_GS + REST_MAX + 256)
 
-/* Collects the answer's body, up to its limit. */
+/* Collects the answer's body; fails the transfer beyond the limit. */
 static size_t
 on_body(char *p, size_t size, size_t n, void *arg)
 {
@@ -23,9 +23,9 @@
 	return (str_add(&r->body, p, size * n) == 0 ? size * n : 0);
 }
 
-/* Picks out of the answer's head what matters here. */
+/* Reads the content type and the outcome from the answer's headers. */
 static size_t
-on_head(char *p, size_t size, size_t n, void *arg)
+on_header(char *p, size_t size, size_t n, void *arg)
 {
 	static const char type[] = "Content-Type:";
 	static const char outcome[] = "Gspar-Outcome:";
@@ -48,52 +48,53 @@
 	return (size * n);
 }
 
-/* Adds one header of the request to the target. */
+/* Adds one header to the request. */
 static void
-head(struct run *r, const char *name, const char *value)
+add_header(struct run *r, const char *name, const char *value)
 {
 	char line[400];
 
 	snprintf(line, sizeof(line), "%s: %s", name, value);
-	r->heads = curl_slist_append(r->heads, line);
+	r->headers = curl_slist_append(r->headers, line);
 }
 
-/* Adds one numeric header. */
+/* Adds one numeric header to the request. */
 static void
-head_num(struct run *r, const char *name, long long value)
+add_number_header(struct run *r, const char *name, long long value)
 {
 	char text[32];
 
 	snprintf(text, sizeof(text), "%lld", value);
-	head(r, name, text);
+	add_header(r, name, text);
 }
 
-/* Sets the request's headers: who orders, until when, and the caller's. */
+/* Sets the request's headers: shard, fence, deadline, id, the caller's. */
 static void
-set_heads(struct run *r, usec now)
+set_headers(struct run *r, usec now)
 {
 	const Gspar__Request *q = r->frame->request;
 	const struct target *t = r->target;
 
-	head_num(r, "Gspar-Shard", q->shard);
-	head_num(r, "Gspar-Fence", (long long)t->fence[r->job.shard]);
-	/* In the target's clock: a request that waited in a frozen target's
-	 * socket is then refused instead of run. */
-	head_num(r, "Gspar-Deadline",
+	add_number_header(r, "Gspar-Shard", q->shard);
+	add_number_header(r, "Gspar-Fence", (long long)t->fence[r->job.shard]);
+	/* In the target's clock, so that a request that waited in the socket
+	 * of a frozen target is refused instead of run too late. */
+	add_number_header(r, "Gspar-Deadline",
 	    (long long)(t->grant.target_clock + r->job.deadline -
 		t->grant.last_heard));
-	head_num(r, "Gspar-Id", (long long)r->id);
+	add_number_header(r, "Gspar-Id", (long long)r->id);
 	if (q->idkey[0] != '\0')
-		head(r, "Idempotency-Key", q->idkey);
+		add_header(r, "Idempotency-Key", q->idkey);
 	if (q->type[0] != '\0')
-		head(r, "Content-Type", q->type);
-	head(r, "Expect", "");
-	curl_easy_setopt(r->easy, CURLOPT_HTTPHEADER, r->heads);
+		add_header(r, "Content-Type", q->type);
+	add_header(r, "Expect", "");
+	curl_easy_setopt(r->easy, CURLOPT_HTTPHEADER, r->headers);
 }
 
 /*
- * Allows a transfer only connections that are not suspected of silence.  Kept
- * ones that died without a sign would swallow one request after the other.
+ * Lets a transfer use only connections that are not suspected to be dead.  On
+ * idle connections that died unnoticed, one request after the other would be
+ * lost.
  */
 void
 conn_age(const struct target *t, CURL *easy, usec now)
@@ -106,9 +107,9 @@
 		curl_easy_setopt(easy, CURLOPT_MAXLIFETIME_CONN, age);
 }
 
-/* Starts the transfer of a run; 0, or -1 without memory. */
+/* Starts the transfer of a run; returns 0, or -1 if out of memory. */
 static int
-transfer(struct service *s, struct run *r, usec now)
+start_transfer(struct service *s, struct run *r, usec now)
 {
 	struct dispatch *d = s->state;
 	struct target *t = r->target;
@@ -132,7 +133,7 @@
 	    (long)((r->job.deadline - now) / 1000 + 1));
 	curl_easy_setopt(r->easy, CURLOPT_WRITEFUNCTION, on_body);
 	curl_easy_setopt(r->easy, CURLOPT_WRITEDATA, r);
-	curl_easy_setopt(r->easy, CURLOPT_HEADERFUNCTION, on_head);
+	curl_easy_setopt(r->easy, CURLOPT_HEADERFUNCTION, on_header);
 	curl_easy_setopt(r->easy, CURLOPT_HEADERDATA, r);
 	curl_easy_setopt(r->easy, CURLOPT_CUSTOMREQUEST, q->method);
 	if (strcmp(q->method, "GET") != 0) {
@@ -142,31 +143,31 @@
 		    q->body.data == NULL ? "" : (char *)q->body.data);
 	}
 	conn_age(t, r->easy, now);
-	if (r->again)
+	if (r->resent)
 		curl_easy_setopt(r->easy, CURLOPT_FRESH_CONNECT, 1L);
 	if (!t->class->idempotent) {
 		/*
-		 * On a kept connection that dies without an answer the library
-		 * sends the request a second time by itself; the target may
-		 * have run the first.  A new connection it never repeats on.
+		 * If a reused connection dies without an answer, libcurl sends
+		 * the request a second time, though the target may have run
+		 * the first.  On a new connection it never does.
 		 */
 		curl_easy_setopt(r->easy, CURLOPT_FRESH_CONNECT, 1L);
 		curl_easy_setopt(r->easy, CURLOPT_FORBID_REUSE, 1L);
 	}
-	set_heads(r, now);
+	set_headers(r, now);
 	curl_multi_add_handle(d->multi, r->easy);
 	return (0);
 }
 
-/* Sends a run to its target, or ends it where that cannot be. */
+/* Sends a run to its target, or ends it if out of memory. */
 void
 run_send(struct service *s, struct run *r, usec now)
 {
 	struct target *t = r->target;
 
-	if (transfer(s, r, now) != 0) {
+	if (start_transfer(s, r, now) != 0) {
 		queue_done(&t->queue, &r->job, 0);
-		run_end(s, r, GS_NOMEM, OUT_NOT_RUN, 0);
+		run_fail(s, r, GS_NOMEM, OUT_NOT_RUN, 0);
 		return;
 	}
 	r->sent = now;
@@ -181,37 +182,37 @@
 	budget_deposit(&t->again);
 }
 
-/* True where a run may be on a silent connection, and may be sent again. */
+/* True if a run may be on a dead connection and may be sent again. */
 static int
-stuck(const struct run *r, usec now)
+may_resend(const struct run *r, usec now)
 {
 	const struct target *t = r->target;
 	usec typical = t->queue.mean[r->job.is_long != 0];
 
-	return (t->class->idempotent && !r->again && !r->cancelled &&
+	return (t->class->idempotent && !r->resent && !r->cancelled &&
 	    r->body.n == 0 &&
 	    silence_suspects(&t->silence, now, r->sent, typical));
 }
 
-/* Replaces a run's transfer by a new one; true where that could be made. */
+/* Replaces a run's transfer by a new one; returns true if it was started. */
 static int
-send_again(struct service *s, struct run *r, usec now)
+resend(struct service *s, struct run *r, usec now)
 {
 	struct dispatch *d = s->state;
-	struct curl_slist *heads = r->heads;
+	struct curl_slist *headers = r->headers;
 	CURL *easy = r->easy;
 	uint64_t id = r->id;
 
-	r->heads = NULL;
-	r->again = 1;
-	if (transfer(s, r, now) != 0) {
+	r->headers = NULL;
+	r->resent = 1;
+	if (start_transfer(s, r, now) != 0) {
 		r->easy = easy;
-		r->heads = heads;
+		r->headers = headers;
 		return (0);
 	}
 	curl_multi_remove_handle(d->multi, easy);
 	curl_easy_cleanup(easy);
-	curl_slist_free_all(heads);
+	curl_slist_free_all(headers);
 	note_cancel(s, r->target, id);
 	r->refused = 0;
 	r->type[0] = '\0';
@@ -220,9 +221,9 @@
 }
 
 /*
- * True where this host may order the target now; looked at just before each
- * send.  A dispatcher that was paused past its lease would otherwise send to a
- * target that another serves for.
+ * Returns true if this host's lease and grant allow it to send to the target;
+ * checked just before each send.  A dispatcher that was paused past its lease
+ * would otherwise send to a target that another host dispatches for.
  */
 int
 may_send(struct service *s, const struct target *t, usec now)
@@ -232,9 +233,9 @@
 }
 
 /*
- * Sends again what may wait on silent connections, each once and within a
- * budget: a target that was only slow must not get all its work twice.  The
- * first is cancelled, in case it arrived.
+ * Sends runs that may be on dead connections again, each once and within a
+ * budget: a target that is only slow must not get all its work twice.  The
+ * first transfer is cancelled at the target, in case it arrived.
  */
 void
 runs_again(struct service *s, struct target *t, usec now)
@@ -243,36 +244,36 @@
 	int n = 0;
 
 	for (r = t->runs; r != NULL; r = r->next) {
-		if (stuck(r, now) && now < r->job.deadline &&
+		if (may_resend(r, now) && now < r->job.deadline &&
 		    t->fence[r->job.shard] != 0 && may_send(s, t, now) &&
 		    budget_withdraw(&t->again))
-			n += send_again(s, r, now);
+			n += resend(s, r, now);
 	}
 	if (n > 0)
 		event_add("dispatch", 0,
-		    "%s: a connection is silent, %d requests sent again",
+		    "%s: connection not responding, %d requests sent again",
 		    t->name, n);
 }
 
-/* Keeps an ended run's answer for repeats of its ticket. */
+/* Stores a run's answer for repeated requests with its ticket. */
 static void
-remember(struct run *r, const Gspar__Answer *ans)
+save_answer(struct run *r, const Gspar__Answer *ans)
 {
-	struct bytes *kept;
-
-	kept = calloc(1, sizeof(*kept));
-	if (kept != NULL) {
-		kept->n = gspar__answer__get_packed_size(ans);
-		kept->p = malloc(kept->n + 1);
-		if (kept->p != NULL)
-			gspar__answer__pack(ans, kept->p);
+	struct bytes *saved;
+
+	saved = calloc(1, sizeof(*saved));
+	if (saved != NULL) {
+		saved->n = gspar__answer__get_packed_size(ans);
+		saved->p = malloc(saved->n + 1);
+		if (saved->p != NULL)
+			gspar__answer__pack(ans, saved->p);
 	}
-	once_finish(&r->target->once, r->ticket, kept);
+	once_finish(&r->target->once, r->ticket, saved);
 }
 
-/* Passes a whole answer on to all who wait for it. */
+/* Sends a complete answer to all requesters, and frees the run. */
 static void
-end_whole(struct service *s, struct run *r, long status)
+finish_answered(struct service *s, struct run *r, long status)
 {
 	Gspar__Answer ans = GSPAR__ANSWER__INIT;
 	int i;
@@ -285,13 +286,13 @@
 	ans.target = r->target->name;
 	ans.fence = r->target->fence[r->job.shard];
 	if (r->ticket != 0)
-		remember(r, &ans);
-	for (i = 0; i < r->naskers; i++)
-		run_answer(s, &r->askers[i], &ans);
+		save_answer(r, &ans);
+	for (i = 0; i < r->nrequesters; i++)
+		run_answer(s, &r->requesters[i], &ans);
 	run_free(s, r);
 }
 
-/* The code for a transfer that failed. */
+/* Returns the result code for a failed transfer. */
 static int
 failure_code(const struct run *r, CURLcode res)
 {
@@ -309,7 +310,7 @@
 
 /* Ends a run whose transfer failed. */
 static void
-end_failed(struct service *s, struct run *r, CURLcode res)
+finish_failed(struct service *s, struct run *r, CURLcode res)
 {
 	long sent = 0;
 	int code;
@@ -318,27 +319,27 @@
 	code = failure_code(r, res);
 	if (code == GS_DEADLINE && sent > 0)
 		note_cancel(s, r->target, r->id);
-	/* No byte left this host, so it has not run for sure. */
+	/* No byte was sent, so the request certainly has not run. */
 	if (sent == 0)
-		run_end(s, r, code == GS_DEADLINE ? GS_TOO_LATE : GS_NO_OWNER,
+		run_fail(s, r, code == GS_DEADLINE ? GS_TOO_LATE : GS_NO_OWNER,
 		    OUT_NOT_RUN, LOST_RETRY_MS);
 	else
-		run_end(s, r, code, OUT_UNKNOWN, 0);
+		run_fail(s, r, code, OUT_UNKNOWN, 0);
 }
 
-/* Ends a run that the target refused before running it. */
+/* Ends a run that the target refused without running it. */
 static void
-end_refused(struct service *s, struct run *r, long status)
+finish_refused(struct service *s, struct run *r, long status)
 {
 	switch (status) {
 	case 409:
-		run_end(s, r, GS_MOVED, OUT_NOT_RUN, 20);
+		run_fail(s, r, GS_MOVED, OUT_NOT_RUN, 20);
 		break;
 	case 504:
-		run_end(s, r, GS_TOO_LATE, OUT_NOT_RUN, LOST_RETRY_MS);
+		run_fail(s, r, GS_TOO_LATE, OUT_NOT_RUN, LOST_RETRY_MS);
 		break;
 	default:
-		run_end(s, r, GS_SHED, OUT_NOT_RUN,
+		run_fail(s, r, GS_SHED, OUT_NOT_RUN,
 		    (uint32_t)(queue_expected_wait(
 				   &r->target->queue, r->job.is_long) /
 			    1000 +
@@ -347,7 +348,7 @@
 	}
 }
 
-/* Takes the outcome of a transfer. */
+/* Handles the end of a transfer. */
 void
 run_done(struct service *s, struct run *r, CURLcode res, usec now)
 {
@@ -363,11 +364,11 @@
 	if (res == CURLE_OK)
 		silence_request_answered(&t->silence, r->sent);
 	if (res != CURLE_OK)
-		end_failed(s, r, res);
+		finish_failed(s, r, res);
 	else if (r->refused)
-		end_refused(s, r, status);
+		finish_refused(s, r, status);
 	else
-		end_whole(s, r, status);
+		finish_answered(s, r, status);
 	if (t->nmoving > 0)
 		target_sets(t);
 	run_pump(s, t, now);
--- a/regress/unit/t_conn.c
+++ b/regress/unit/t_conn.c
@@ -1,4 +1,4 @@
-/* One connection between hosts whose link is slow, or gone. */
+/* A connection between hosts over a slow or dead link. */
 #include <stdlib.h>
 #include <string.h>
 #include <sys/socket.h>
@@ -10,9 +10,9 @@
 #include "conn.h"
 #include "unit.h"
 
-#define LARGE 1000000u
+#define LARGE_FRAME 1000000u
 
-/* A connection whose other end is the descriptor; its buffers are small. */
+/* Makes a connection with a small send buffer; *other is its other end. */
 static struct conn *
 open_conn(int *other)
 {
@@ -29,24 +29,24 @@
 	return (conn_new(sock, pool, 1, MS(1000)));
 }
 
-/* Queues a large frame and writes what the link takes. */
+/* Queues a large frame and writes what the socket takes. */
 static void
 fill(struct conn *c, usec now)
 {
-	uint8_t *p = calloc(1, LARGE);
+	uint8_t *p = calloc(1, LARGE_FRAME);
 
-	CU_ASSERT_EQUAL(conn_queue(c, p, LARGE, now), 0);
+	CU_ASSERT_EQUAL(conn_queue(c, p, LARGE_FRAME, now), 0);
 	conn_write(c, now);
 	free(p);
 }
 
 /*
- * A large frame takes longer than the time after which a connection without an
- * answer is silent.  The other end takes bytes: that it was heard must count
- * from then, or the connection is closed with the frame half sent.
+ * Sending a large frame may take longer than the timeout for an answer.  As
+ * long as the peer receives bytes, the timeout must restart, or the connection
+ * is closed with the frame half sent.
  */
 static void
-slow_is_not_silent(void)
+slow_link_is_alive(void)
 {
 	char buf[65536];
 	struct conn *c;
@@ -54,37 +54,37 @@
 
 	c = open_conn(&other);
 	fill(c, MS(1000));
-	CU_ASSERT(c->out_at < c->out.n);
+	CU_ASSERT(c->out_pos < c->out.n);
 	CU_ASSERT_EQUAL(c->first_unanswered, MS(1000));
 	CU_ASSERT(read(other, buf, sizeof(buf)) > 0);
 	conn_write(c, MS(1600));
 	CU_ASSERT_EQUAL(c->first_unanswered, MS(1600));
-	/* Nothing is taken any more: silence counts from the last bytes. */
+	/* No more bytes are taken: the timeout runs from the last ones. */
 	conn_write(c, MS(2200));
 	CU_ASSERT_EQUAL(c->first_unanswered, MS(1600));
 	close(other);
 	conn_free(c);
 }
 
-/* A copy of state is not queued behind one that is on its way; small frames,
- * signs of life among them, are. */
+/* A large frame of state is not queued behind another that is still being
+ * sent; small frames, such as heartbeats, are. */
 static void
-copies_do_not_pile_up(void)
+state_does_not_accumulate(void)
 {
 	struct conn *c;
 	int other;
 
 	c = open_conn(&other);
-	CU_ASSERT(!conn_held_up(c, LARGE));
+	CU_ASSERT(!conn_is_backlogged(c, LARGE_FRAME));
 	fill(c, MS(1000));
-	CU_ASSERT(conn_held_up(c, LARGE));
-	CU_ASSERT(!conn_held_up(c, 500));
+	CU_ASSERT(conn_is_backlogged(c, LARGE_FRAME));
+	CU_ASSERT(!conn_is_backlogged(c, 500));
 	close(other);
 	conn_free(c);
 }
 
 static const struct unit_test tests[] = {
-    {"slow is not silent", slow_is_not_silent},
-    {"copies do not pile up", copies_do_not_pile_up},
+    {"slow is not silent", slow_link_is_alive},
+    {"copies do not pile up", state_does_not_accumulate},
 };
 UNIT_MAIN("conn", tests)
