--- a/gspard/admin.c
+++ b/gspard/admin.c
@@ -1,4 +1,4 @@
-/* The service that operators' tools and collectors read. */
+/* The admin service: status, events and metrics for operators' tools. */
 #include <arpa/inet.h>
 #include <stdio.h>
 #include <stdlib.h>
@@ -11,31 +11,34 @@
 #include "control.h"
 #include "metrics.h"
 
-#define ANSWER_WITHIN MS(1000)
+#define QUERY_TIMEOUT MS(1000)
 
 struct admin {
 	struct MHD_Daemon *daemon;
 	int stop;
 };
 
-/* Asks the control thread; JSON that the caller frees, or NULL in time. */
+/*
+ * Sends a query to the control thread.  Returns JSON that the caller frees, or
+ * NULL if there is no answer within QUERY_TIMEOUT.
+ */
 static char *
-ask(struct service *s, const char *what, const char *service, const char *key)
+query_control(
+    struct service *s, const char *what, const char *service, const char *key)
 {
-	struct question *q;
-	usec until = clock_mono() + ANSWER_WITHIN;
+	struct query *q;
+	usec until = clock_mono() + QUERY_TIMEOUT;
 	char *text = NULL;
 
 	q = calloc(1, sizeof(*q));
 	if (q == NULL)
 		return (NULL);
-	q->what = what;
+	q->kind = what;
 	q->service = service;
 	q->key = key;
 	q->refs = 2;
-	if (msg_post(s->kernel, "control", MSG_STATUS, q, question_unref) !=
-	    0) {
-		question_unref(q);
+	if (msg_post(s->kernel, "control", MSG_STATUS, q, query_unref) != 0) {
+		query_unref(q);
 		return (NULL);
 	}
 	while (!__atomic_load_n(&q->done, __ATOMIC_ACQUIRE) &&
@@ -45,7 +48,7 @@
 		text = q->text;
 		q->text = NULL;
 	}
-	question_unref(q);
+	query_unref(q);
 	return (text);
 }
 
@@ -60,7 +63,7 @@
 		e->part, "text", e->text));
 }
 
-/* The kept events from a number on. */
+/* The stored events from a sequence number on; the caller frees the text. */
 static char *
 events(struct service *s, const char *from)
 {
@@ -77,16 +80,16 @@
 	return (text);
 }
 
-/* The answer to one path, or NULL where there is none. */
+/* The response body for a path, or NULL; the caller frees it. */
 static char *
-page(struct service *s, struct MHD_Connection *conn, const char *url)
+response_text(struct service *s, struct MHD_Connection *conn, const char *url)
 {
 	const char *service, *key;
 
 	if (strcmp(url, "/v1/status") == 0)
-		return (ask(s, "status", NULL, NULL));
+		return (query_control(s, "status", NULL, NULL));
 	if (strcmp(url, "/v1/catalogue") == 0)
-		return (ask(s, "catalogue", NULL, NULL));
+		return (query_control(s, "catalogue", NULL, NULL));
 	if (strcmp(url, "/v1/events") == 0)
 		return (events(s,
 		    MHD_lookup_connection_value(
@@ -102,25 +105,25 @@
 	key = MHD_lookup_connection_value(conn, MHD_GET_ARGUMENT_KIND, "key");
 	if (service == NULL || key == NULL)
 		return (NULL);
-	return (ask(s, "owner", service, key));
+	return (query_control(s, "owner", service, key));
 }
 
-/* Called by the library for each request; only reads are allowed. */
+/* Request handler of libmicrohttpd; only GET is allowed. */
 static enum MHD_Result
 handle(void *cls, struct MHD_Connection *conn, const char *url,
     const char *method, const char *version, const char *data, size_t *size,
     void **state)
 {
-	static char none[] = "no such page, or no answer in time\n";
+	static char not_found[] = "no such page, or no answer in time\n";
 	struct MHD_Response *r;
 	enum MHD_Result res;
 	char *text = NULL;
 
 	if (strcmp(method, "GET") == 0)
-		text = page(cls, conn, url);
+		text = response_text(cls, conn, url);
 	if (text == NULL)
 		r = MHD_create_response_from_buffer(
-		    strlen(none), none, MHD_RESPMEM_PERSISTENT);
+		    strlen(not_found), not_found, MHD_RESPMEM_PERSISTENT);
 	else
 		r = MHD_create_response_from_buffer(
 		    strlen(text), text, MHD_RESPMEM_MUST_FREE);
@@ -129,7 +132,7 @@
 	return (res);
 }
 
-/* The thread only waits for the end: the library has its own. */
+/* Waits for MSG_QUIT: libmicrohttpd serves requests in its own threads. */
 static void
 admin_run(struct service *s)
 {
@@ -144,11 +147,11 @@
 	}
 }
 
-/* Listens for operators' tools. */
+/* Starts the HTTP server on the admin address. */
 static int
 admin_open(struct service *s)
 {
-	const char *at = kernel_conf(s->kernel)->admin;
+	const char *address = kernel_conf(s->kernel)->admin;
 	struct sockaddr_in sin = {.sin_family = AF_INET};
 	char ip[ADDR_MAX_GS];
 	struct admin *a;
@@ -157,7 +160,7 @@
 	a = calloc(1, sizeof(*a));
 	if (a == NULL)
 		return (-1);
-	addr_split(at, ip, sizeof(ip), &port);
+	addr_split(address, ip, sizeof(ip), &port);
 	inet_pton(AF_INET, ip, &sin.sin_addr);
 	sin.sin_port = htons((uint16_t)port);
 	a->daemon = MHD_start_daemon(MHD_USE_THREAD_PER_CONNECTION |
@@ -167,7 +170,7 @@
 	    MHD_OPTION_CONNECTION_TIMEOUT, 10u, MHD_OPTION_CONNECTION_LIMIT,
 	    64u, MHD_OPTION_END);
 	if (a->daemon == NULL) {
-		log_line(LOG_ERR, "admin", "Cannot listen on %s.", at);
+		log_line(LOG_ERR, "admin", "Cannot listen on %s.", address);
 		free(a);
 		return (-1);
 	}
@@ -175,7 +178,7 @@
 	return (0);
 }
 
-/* Closes all connections. */
+/* Stops the HTTP server and closes its connections. */
 static void
 admin_close(struct service *s)
 {
--- a/gspard/control.c
+++ b/gspard/control.c
@@ -1,4 +1,4 @@
-/* The control service: its messages, the list of hosts, stopping. */
+/* The control service: its thread, its messages and the list of hosts. */
 #include <stdio.h>
 #include <stdlib.h>
 #include <string.h>
@@ -6,13 +6,13 @@
 #include "control.h"
 #include "view.h"
 
-#define TICK_US MS(20)
-#define HOSTS_EVERY MS(10000)
-#define HOSTS_RETRY MS(300)
+#define TICK_INTERVAL MS(20)
+#define HOSTS_INTERVAL MS(10000)
+#define HOSTS_RETRY_DELAY MS(300)
 
-/* A cell by name, or NULL. */
-struct ccell *
-ccell_find(struct control *c, const char *name)
+/* Returns the cell with a name, or NULL. */
+struct local_cell *
+local_cell_find(struct control *c, const char *name)
 {
 	int i;
 
@@ -33,7 +33,7 @@
 	free(l);
 }
 
-/* Puts a list of hosts in force here and in the peer service. */
+/* Applies a list of hosts here and in the peer service. */
 static void
 set_peers(struct service *s, struct peers *l)
 {
@@ -46,11 +46,11 @@
 }
 
 /*
- * Reads the platform's list of hosts: a line each with name, data centre,
+ * Parses the platform's list of hosts.  Each line holds a name, data centre,
  * peer address, admin address and "live" or "leaving".
  */
 static void
-read_hosts(struct service *s, const struct str *body)
+parse_hosts(struct service *s, const struct str *body)
 {
 	struct peers *l;
 	struct peer_addr *p;
@@ -79,11 +79,11 @@
 }
 
 /*
- * Learns a host's address from a view: a new host may be dispatching before
- * the platform's list, which lags, shows it here.
+ * Adds a host's address from a view.  A new host may dispatch before it appears
+ * in the platform's list, which lags behind.
  */
 static void
-learn_host(struct service *s, const char *host, const char *addr)
+add_host(struct service *s, const char *host, const char *addr)
 {
 	struct control *c = s->state;
 	const struct peers *old = c->peers == NULL ? NULL : c->peers->p;
@@ -109,7 +109,7 @@
 	set_peers(s, l);
 }
 
-/* Frees a view held here. */
+/* Frees a view. */
 static void
 free_view(void *arg)
 {
@@ -117,12 +117,12 @@
 }
 
 /*
- * True where a view names this host for a target that it does not hold yet.
- * Routers already send here: waiting for the next ask in turn would refuse
- * them for a quarter of a lease.
+ * True if a view assigns this host a target that it does not hold yet.  Routers
+ * already send that target's requests here.  If the host waited for its next
+ * regular lease request, they would be refused for a quarter of a lease.
  */
 static int
-has_new_duty(const struct ccell *c, const Gspar__View *v)
+has_new_duty(const struct local_cell *c, const Gspar__View *v)
 {
 	const char *self = kernel_conf(c->s->kernel)->host;
 	size_t i;
@@ -138,11 +138,11 @@
 }
 
 /*
- * Takes a view over, which is newer than the one held or NULL, and passes it to
- * router and dispatcher.
+ * Adopts a view, which is newer than the current one or NULL, and passes it to
+ * the router and the dispatcher.  Takes ownership of v.
  */
 void
-ccell_view(struct ccell *c, Gspar__View *v)
+local_cell_set_view(struct local_cell *c, Gspar__View *v)
 {
 	size_t i;
 
@@ -153,86 +153,87 @@
 	c->view_number = view_number(v);
 	if (hostlease_hint(&c->lease, v->controller, v->term) ||
 	    has_new_duty(c, v))
-		c->ask_now = 1;
-	learn_host(c->s, v->controller, v->controller_addr);
+		c->request_now = 1;
+	add_host(c->s, v->controller, v->controller_addr);
 	for (i = 0; i < v->n_dispatch; i++)
-		learn_host(c->s, v->dispatch[i]->host, v->dispatch[i]->addr);
+		add_host(c->s, v->dispatch[i]->host, v->dispatch[i]->addr);
 	msg_post(c->s->kernel, "router", MSG_VIEW, shared_ref(c->view),
 	    shared_unref);
 	msg_post(c->s->kernel, "dispatch", MSG_VIEW, shared_ref(c->view),
 	    shared_unref);
 }
 
-/* The cell that a frame is about, or NULL. */
-static struct ccell *
+/* Returns the cell that a frame concerns, or NULL. */
+static struct local_cell *
 frame_cell(struct control *c, const Gspar__Frame *f)
 {
 	switch (f->body_case) {
 	case GSPAR__FRAME__BODY_LEASE_ASK:
-		return (ccell_find(c, f->lease_ask->cell));
+		return (local_cell_find(c, f->lease_ask->cell));
 	case GSPAR__FRAME__BODY_LEASE_GIVE:
-		return (ccell_find(c, f->lease_give->cell));
+		return (local_cell_find(c, f->lease_give->cell));
 	case GSPAR__FRAME__BODY_PROMISE_ASK:
-		return (ccell_find(c, f->promise_ask->cell));
+		return (local_cell_find(c, f->promise_ask->cell));
 	case GSPAR__FRAME__BODY_PROMISE:
-		return (ccell_find(c, f->promise->cell));
+		return (local_cell_find(c, f->promise->cell));
 	case GSPAR__FRAME__BODY_VIEW:
-		return (ccell_find(c, f->view->cell));
+		return (local_cell_find(c, f->view->cell));
 	case GSPAR__FRAME__BODY_VIEW_ASK:
-		return (ccell_find(c, f->view_ask->cell));
+		return (local_cell_find(c, f->view_ask->cell));
 	default:
 		return (NULL);
 	}
 }
 
-/* Takes a frame from a peer. */
+/* Handles a frame from a peer. */
 static void
-take_frame(struct service *s, const struct msg *m, usec now)
+handle_frame(struct service *s, const struct msg *m, usec now)
 {
-	struct ccell *cell;
+	struct local_cell *cell;
 
 	if (m->frame->body_case == GSPAR__FRAME__BODY_CATALOGUE_ASK)
-		cat_asked(s, m);
+		catalogue_handle_request(s, m);
 	else if (m->frame->body_case == GSPAR__FRAME__BODY_CATALOGUE_ENTRY)
-		cat_entry(s, m->frame->catalogue_entry, now);
+		catalogue_handle_entry(s, m->frame->catalogue_entry, now);
 	else if ((cell = frame_cell(s->state, m->frame)) != NULL)
-		ccell_frame(cell, m, now);
+		local_cell_handle_frame(cell, m, now);
 }
 
-/* Takes a platform call's outcome. */
+/* Handles the outcome of a platform call. */
 static void
-take_stored(struct service *s, struct store *st, usec now)
+handle_store_done(struct service *s, struct store *st, usec now)
 {
 	struct control *c = s->state;
-	struct ccell *cell;
+	struct local_cell *cell;
 	char name[CELL_NAME_MAX], word[16];
 
 	if (st->op == STORE_HOSTS) {
-		c->hosts_open = 0;
+		c->hosts_pending = 0;
 		if (st->status == 200)
-			read_hosts(s, &st->body);
-		c->next_hosts = now +
-		    (c->peers == NULL ? HOSTS_RETRY
-				      : HOSTS_EVERY + now % MS(2000));
+			parse_hosts(s, &st->body);
+		c->next_hosts_request = now +
+		    (c->peers == NULL ? HOSTS_RETRY_DELAY
+				      : HOSTS_INTERVAL + now % MS(2000));
 		return;
 	}
 	if (sscanf(st->tag, "%15s %255s", word, name) == 2 &&
 	    strcmp(word, "cat") != 0) {
-		cell = ccell_find(c, name);
+		cell = local_cell_find(c, name);
 		if (cell != NULL)
-			ccell_stored(cell, st, now);
+			local_cell_store_done(cell, st, now);
 		return;
 	}
-	cat_stored(s, st, now);
+	catalogue_store_done(s, st, now);
 }
 
 /*
- * Carries loads that were not told yet over into a newer report.  They come
- * once a second and asks go out less often than reports come in: some would
- * never reach the controller, which would balance by what is left.
+ * Moves loads that have not been sent yet into a newer report.  Loads come once
+ * a second, and lease requests are sent less often than reports arrive. Without
+ * this some loads would never reach the controller, which would balance by the
+ * rest.
  */
 static void
-keep_loads(Gspar__LeaseAsk *old, Gspar__LeaseAsk *new)
+carry_loads(Gspar__LeaseAsk *old, Gspar__LeaseAsk *new)
 {
 	Gspar__TargetState *a, *b;
 	size_t i, k;
@@ -254,49 +255,49 @@
 	}
 }
 
-/* Takes the dispatcher's report; a change is told to the controller soon. */
+/* Handles the dispatcher's report; an urgent one is sent without delay. */
 static void
-take_report(struct control *c, struct msg *m)
+handle_report(struct control *c, struct msg *m)
 {
 	struct report *r = m->data;
-	struct ccell *cell = ccell_find(c, r->ask->cell);
+	struct local_cell *cell = local_cell_find(c, r->ask->cell);
 
 	if (cell == NULL)
 		return;
 	if (cell->report != NULL) {
-		keep_loads(cell->report, r->ask);
+		carry_loads(cell->report, r->ask);
 		gspar__lease_ask__free_unpacked(cell->report, NULL);
 	}
 	cell->report = r->ask;
 	r->ask = NULL;
 	if (r->urgent)
-		cell->ask_now = 1;
+		cell->request_now = 1;
 }
 
-/* Takes one message. */
+/* Handles one message. */
 static void
-take(struct service *s, struct msg *m, usec now)
+handle_msg(struct service *s, struct msg *m, usec now)
 {
 	struct control *c = s->state;
 
 	switch (m->kind) {
 	case MSG_FRAME:
-		take_frame(s, m, now);
+		handle_frame(s, m, now);
 		break;
 	case MSG_STORED:
-		take_stored(s, m->data, now);
+		handle_store_done(s, m->data, now);
 		break;
 	case MSG_TARGETS:
-		take_report(c, m);
+		handle_report(c, m);
 		break;
 	case MSG_STATUS:
-		question_answer(s, m->data, now);
+		query_answer(s, m->data, now);
 		break;
 	case MSG_STOP:
 		stop_begin(c, now);
 		break;
 	case MSG_QUIT:
-		c->stop = 1;
+		c->quit = 1;
 		break;
 	default:
 		break;
@@ -304,44 +305,44 @@
 	msg_free(m);
 }
 
-/* Asks for the list of hosts when it is due. */
+/* Requests the list of hosts when it is due. */
 static void
-ask_hosts(struct service *s, usec now)
+request_hosts(struct service *s, usec now)
 {
 	struct control *c = s->state;
 
-	if (c->hosts_open || now < c->next_hosts)
+	if (c->hosts_pending || now < c->next_hosts_request)
 		return;
-	c->hosts_open = 1;
+	c->hosts_pending = 1;
 	store_send(s->kernel, store_new(STORE_HOSTS, "control", ""));
 }
 
-/* The thread. */
+/* The service's thread. */
 static void
 control_run(struct service *s)
 {
 	struct control *c = s->state;
 	struct msg *m;
-	usec now, ticked = 0;
+	usec now, last_tick = 0;
 	int i;
 
-	while (!c->stop) {
-		m = ring_wait(s->in, TICK_US);
+	while (!c->quit) {
+		m = ring_wait(s->in, TICK_INTERVAL);
 		now = clock_mono();
 		if (m != NULL)
-			take(s, m, now);
-		if (m != NULL && now - ticked < TICK_US)
+			handle_msg(s, m, now);
+		if (m != NULL && now - last_tick < TICK_INTERVAL)
 			continue;
-		ticked = now;
-		ask_hosts(s, now);
-		cat_tick(s, now);
+		last_tick = now;
+		request_hosts(s, now);
+		catalogue_tick(s, now);
 		for (i = 0; i < c->ncells; i++)
-			ccell_tick(c->cells[i], now);
+			local_cell_tick(c->cells[i], now);
 		stop_tick(s, now);
 	}
 }
 
-/* Makes the service ready. */
+/* Allocates the service's state. */
 static int
 control_open(struct service *s)
 {
@@ -349,7 +350,7 @@
 	return (s->state == NULL ? -1 : 0);
 }
 
-/* Frees all. */
+/* Frees the service's state. */
 static void
 control_close(struct service *s)
 {
@@ -357,8 +358,8 @@
 	int i;
 
 	for (i = 0; i < c->ncells; i++)
-		ccell_free(c->cells[i]);
-	cat_free(c);
+		local_cell_free(c->cells[i]);
+	catalogue_free(c);
 	shared_unref(c->peers);
 	free(c);
 }
--- a/gspard/control.h
+++ b/gspard/control.h
@@ -1,4 +1,7 @@
-/* The control service: host leases, control of cells, the catalogue. */
+/*
+ * The control service: holds this host's leases, runs the controllers of cells
+ * and distributes the catalogue.
+ */
 #ifndef CONTROL_H
 #define CONTROL_H
 
@@ -7,20 +10,20 @@
 #include "hostlease.h"
 #include "term.h"
 
-#define MAX_CELLS 32
-#define ASKED_KEPT 64
+#define CELLS_MAX 32
+#define PROMISE_REQUESTS_MAX 64
 
-/* One service's entry as held here. */
-struct held {
+/* The catalogue entry of one service, as this host holds it. */
+struct catalogue_entry {
 	char service[NAME_MAX_GS];
 	uint64_t version;
-	uint64_t tried; /* newest version asked for or refused */
+	uint64_t last_requested; /* newest version requested or rejected */
 	struct str json;
 	struct entry *entry;
 };
 
-/* A cell as this host sees it, and controls it where it holds the term. */
-struct ccell {
+/* A cell as this host sees it; the host controls it while it holds the term. */
+struct local_cell {
 	struct service *s;
 	char name[CELL_NAME_MAX];
 	int member;
@@ -30,34 +33,37 @@
 	struct shared *view;
 	uint64_t view_number;
 	Gspar__LeaseAsk *report;
-	int ask_now;
+	int request_now;
 	uint64_t promise_seq;
-	usec asked_at[ASKED_KEPT];
-	usec next_view_ask;
-	uint64_t took; /* event of taking control: cause of what follows */
+	usec promise_sent[PROMISE_REQUESTS_MAX];
+	usec next_view_request;
+	uint64_t control_event; /* latest one; the cause of later events */
 };
 
 struct control {
-	struct ccell *cells[MAX_CELLS];
+	struct local_cell *cells[CELLS_MAX];
 	int ncells;
-	struct held held[CELL_SERVICES * 2];
-	int nheld;
+	struct catalogue_entry entries[CELL_SERVICES * 2];
+	int nentries;
 	uint64_t digest;
 	struct shared *peers;
-	int list_open;
-	usec last_list;
-	int hosts_open;
-	usec next_hosts;
+	int list_pending;
+	usec list_requested_at;
+	int hosts_pending;
+	usec next_hosts_request;
 	int stopping;
-	int told_stop;
-	usec alone_since;
+	int stop_reported;
+	usec isolated_since;
 	usec stop_since;
-	int stop;
+	int quit;
 };
 
-/* A question of the admin service, answered by the control thread. */
-struct question {
-	const char *what; /* "status", "owner", "catalogue" */
+/*
+ * A query from the admin service, answered by the control thread.  Both hold a
+ * reference, as the admin service may stop waiting.
+ */
+struct query {
+	const char *kind; /* "status", "owner", "catalogue" */
 	const char *service;
 	const char *key;
 	char *text; /* JSON, malloced */
@@ -66,41 +72,45 @@
 };
 
 /* control.c */
-struct ccell *ccell_find(struct control *, const char *name);
-void ccell_view(struct ccell *, Gspar__View *);
+struct local_cell *local_cell_find(struct control *, const char *name);
+void local_cell_set_view(struct local_cell *, Gspar__View *);
 
 /* ctl_cell.c */
-struct ccell *ccell_new(struct service *, const char *name, int member);
-void ccell_free(struct ccell *);
-void ccell_tick(struct ccell *, usec now);
-void ccell_frame(struct ccell *, const struct msg *, usec now);
-int ccell_controls(const struct ccell *);
+struct local_cell *local_cell_new(
+    struct service *, const char *name, int member);
+void local_cell_free(struct local_cell *);
+void local_cell_tick(struct local_cell *, usec now);
+void local_cell_handle_frame(struct local_cell *, const struct msg *, usec now);
+int local_cell_is_controller(const struct local_cell *);
 
 /* ctl_store.c */
-void cell_read_record(void *);
-void cell_write_record(void *, uint64_t base, const struct control_record *);
-void cell_read_assignment(void *, const char *service);
-void cell_write_assignment(
+void local_cell_read_record(void *);
+void local_cell_write_record(
+    void *, uint64_t base, const struct control_record *);
+void local_cell_read_assignment(void *, const char *service);
+void local_cell_write_assignment(
     void *, const char *service, uint64_t base, char *json);
-void ccell_stored(struct ccell *, const struct store *, usec now);
+void local_cell_store_done(struct local_cell *, const struct store *, usec now);
 
 /* ctl_view.c */
-void cell_spread_view(void *);
+void local_cell_broadcast_view(void *);
 
 /* ctl_catalogue.c */
-void cat_tick(struct service *, usec now);
-void cat_stored(struct service *, const struct store *, usec now);
-void cat_asked(struct service *, const struct msg *);
-void cat_entry(struct service *, const Gspar__CatalogueEntry *, usec now);
-void cat_differs(struct service *, const char *host, uint64_t digest);
-void cat_free(struct control *);
+void catalogue_tick(struct service *, usec now);
+void catalogue_store_done(struct service *, const struct store *, usec now);
+void catalogue_handle_request(struct service *, const struct msg *);
+void catalogue_handle_entry(
+    struct service *, const Gspar__CatalogueEntry *, usec now);
+void catalogue_check_digest(
+    struct service *, const char *host, uint64_t digest);
+void catalogue_free(struct control *);
 
 /* ctl_stop.c */
 void stop_begin(struct control *, usec now);
 void stop_tick(struct service *, usec now);
 
 /* ctl_status.c */
-void question_answer(struct service *, struct question *, usec now);
-void question_unref(void *);
+void query_answer(struct service *, struct query *, usec now);
+void query_unref(void *);
 
 #endif
--- a/gspard/ctl_catalogue.c
+++ b/gspard/ctl_catalogue.c
@@ -1,64 +1,67 @@
-/* The catalogue: from the platform or a peer, checked, applied upwards. */
+/*
+ * The catalogue: entries read from the platform or received from a peer are
+ * validated, and applied only if their version is newer.
+ */
 #include <stdio.h>
 #include <stdlib.h>
 #include <string.h>
 
 #include "control.h"
 
-/* Between looks by a controller, and by a host that has nothing yet. */
-#define LOOK_EVERY MS(500)
-/* Between looks by a host that a controller tells of changes. */
-#define LOOK_RARELY MS(60000)
-#define PATH "catalogue/"
+/* Poll interval of a controller, and of a host that has no entry yet. */
+#define LIST_INTERVAL MS(500)
+/* Poll interval of a host that learns of changes from a controller. */
+#define LIST_INTERVAL_LONG MS(60000)
+#define CATALOGUE_PREFIX "catalogue/"
 
-/* What is held of a service; NULL where nothing is. */
-static struct held *
-held_of(struct control *c, const char *service)
+/* Returns a service's entry, or NULL if there is none. */
+static struct catalogue_entry *
+find_entry(struct control *c, const char *service)
 {
 	int i;
 
-	for (i = 0; i < c->nheld; i++) {
-		if (strcmp(c->held[i].service, service) == 0)
-			return (&c->held[i]);
+	for (i = 0; i < c->nentries; i++) {
+		if (strcmp(c->entries[i].service, service) == 0)
+			return (&c->entries[i]);
 	}
 	return (NULL);
 }
 
-/* What is held of a service, made where there is none; NULL without room. */
-static struct held *
-held_make(struct control *c, const char *service)
+/* Returns a service's entry, added if missing; NULL if the table is full. */
+static struct catalogue_entry *
+add_entry(struct control *c, const char *service)
 {
-	struct held *h = held_of(c, service);
+	struct catalogue_entry *h = find_entry(c, service);
 
-	if (h != NULL || c->nheld == CELL_SERVICES * 2 ||
+	if (h != NULL || c->nentries == CELL_SERVICES * 2 ||
 	    !name_ok(service, strlen(service)))
 		return (h);
-	h = &c->held[c->nheld++];
+	h = &c->entries[c->nentries++];
 	memset(h, 0, sizeof(*h));
 	name_copy(h->service, sizeof(h->service), service);
 	return (h);
 }
 
-/* A number that differs where any version does, in whatever order. */
+/* A digest of all names and versions that does not depend on their order. */
 static uint64_t
-digest(const struct control *c)
+catalogue_digest(const struct control *c)
 {
 	uint64_t sum = 0, h;
 	const char *p;
 	int i;
 
-	for (i = 0; i < c->nheld; i++) {
-		if (c->held[i].entry == NULL)
+	for (i = 0; i < c->nentries; i++) {
+		if (c->entries[i].entry == NULL)
 			continue;
-		h = 1469598103934665603u ^ c->held[i].version;
-		for (p = c->held[i].service; *p != '\0'; p++)
+		h = 1469598103934665603u ^ c->entries[i].version;
+		for (p = c->entries[i].service; *p != '\0'; p++)
 			h = (h ^ (unsigned char)*p) * 1099511628211u;
 		sum += h * 0x9e3779b97f4a7c15u;
 	}
 	return (sum);
 }
 
-/* Frees a catalogue that no service uses any more. */
+/* Frees a catalogue once no service uses it. */
 static void
 free_catalogue(void *arg)
 {
@@ -71,11 +74,11 @@
 	free(cat);
 }
 
-/* Gives each service of the daemon the entries in force. */
+/* Sends the current entries to the daemon's other services. */
 static void
 publish(struct service *s)
 {
-	static const char *const whom[] = {"router", "dispatch", "door"};
+	static const char *const receivers[] = {"router", "dispatch", "door"};
 	struct control *c = s->state;
 	struct catalogue *cat;
 	struct shared *sh;
@@ -84,25 +87,25 @@
 	int i;
 
 	cat = calloc(1, sizeof(*cat));
-	cat->entries = calloc((size_t)c->nheld + 1, sizeof(*cat->entries));
-	for (i = 0; i < c->nheld; i++) {
-		if (c->held[i].entry == NULL)
+	cat->entries = calloc((size_t)c->nentries + 1, sizeof(*cat->entries));
+	for (i = 0; i < c->nentries; i++) {
+		if (c->entries[i].entry == NULL)
 			continue;
-		cat->entries[cat->n] = entry_parse(
-		    c->held[i].json.p, c->held[i].json.n, why, sizeof(why));
+		cat->entries[cat->n] = entry_parse(c->entries[i].json.p,
+		    c->entries[i].json.n, why, sizeof(why));
 		if (cat->entries[cat->n] != NULL)
-			cat->entries[cat->n++]->version = c->held[i].version;
+			cat->entries[cat->n++]->version = c->entries[i].version;
 	}
-	c->digest = digest(c);
+	c->digest = catalogue_digest(c);
 	cat->digest = c->digest;
 	sh = shared_new(cat, free_catalogue);
-	for (k = 0; k < sizeof(whom) / sizeof(whom[0]); k++)
-		msg_post(s->kernel, whom[k], MSG_CATALOGUE, shared_ref(sh),
+	for (k = 0; k < sizeof(receivers) / sizeof(receivers[0]); k++)
+		msg_post(s->kernel, receivers[k], MSG_CATALOGUE, shared_ref(sh),
 		    shared_unref);
 	shared_unref(sh);
 }
 
-/* True where this host's data centre is one of the cell's. */
+/* True if the cell covers this host's data centre. */
 static int
 is_member(const struct conf *conf, const struct cell_conf *cc)
 {
@@ -115,46 +118,47 @@
 	return (0);
 }
 
-/* Makes the cells that the entry names, and configures them. */
+/* Creates the cells that an entry names, and configures them. */
 static void
-configure(struct service *s, const struct entry *e)
+configure_cells(struct service *s, const struct entry *e)
 {
 	struct control *c = s->state;
-	struct ccell *cell;
+	struct local_cell *cell;
 	int i;
 
 	for (i = 0; i < e->ncells; i++) {
-		cell = ccell_find(c, e->cells[i].name);
-		if (cell == NULL && c->ncells < MAX_CELLS) {
-			cell = ccell_new(s, e->cells[i].name,
+		cell = local_cell_find(c, e->cells[i].name);
+		if (cell == NULL && c->ncells < CELLS_MAX) {
+			cell = local_cell_new(s, e->cells[i].name,
 			    is_member(kernel_conf(s->kernel), &e->cells[i]));
 			if (cell != NULL)
 				c->cells[c->ncells++] = cell;
 		}
 		if (cell == NULL || cell_configure(cell->cell, e) != 0)
 			log_line(LOG_ERR, "catalogue",
-			    "Entry %s asks for what cell %s cannot take.",
-			    e->name, e->cells[i].name);
+			    "Entry %s cannot be applied to cell %s.", e->name,
+			    e->cells[i].name);
 	}
 }
 
 /*
- * Takes a version of an entry.  Only upwards: a peer that missed a change, or
- * a read that was long on its way, would otherwise bring an old one back.
+ * Adopts a version of an entry if it is newer than the current one.  A peer
+ * that missed a change, or a delayed read, would otherwise bring an old version
+ * back.
  */
 static void
 adopt(struct service *s, const char *service, uint64_t version, const void *p,
     size_t n, usec now)
 {
 	struct control *c = s->state;
-	struct held *h = held_make(c, service);
+	struct catalogue_entry *h = add_entry(c, service);
 	struct entry *e;
 	char why[300];
 
 	if (h == NULL || version <= h->version)
 		return;
-	if (version > h->tried)
-		h->tried = version;
+	if (version > h->last_requested)
+		h->last_requested = version;
 	e = entry_parse(p, n, why, sizeof(why));
 	if (e != NULL && strcmp(e->name, service) != 0) {
 		snprintf(why, sizeof(why), "entry.name: allowed: %s", service);
@@ -180,29 +184,29 @@
 	log_line(LOG_INFO, "catalogue", "Entry %s version %llu in force.",
 	    service, (unsigned long long)version);
 	publish(s);
-	configure(s, e);
+	configure_cells(s, e);
 }
 
-/* Asks the platform for one entry. */
+/* Requests one entry from the platform. */
 static void
-fetch(struct service *s, struct held *h, uint64_t version)
+request_entry(struct service *s, struct catalogue_entry *h, uint64_t version)
 {
 	struct store *st;
 	char path[NAME_MAX_GS + 16];
 
-	h->tried = version;
-	snprintf(path, sizeof(path), PATH "%s", h->service);
+	h->last_requested = version;
+	snprintf(path, sizeof(path), CATALOGUE_PREFIX "%s", h->service);
 	st = store_new(STORE_GET, "control", path);
 	snprintf(st->tag, sizeof(st->tag), "cat %s", h->service);
 	store_send(s->kernel, st);
 }
 
-/* Reads the list of entries and asks for those that are newer. */
+/* Parses the list of entries and requests those that are newer. */
 static void
-read_list(struct service *s, struct str *body)
+parse_list(struct service *s, struct str *body)
 {
 	struct control *c = s->state;
-	struct held *h;
+	struct catalogue_entry *h;
 	char *line, *rest, name[NAME_MAX_GS];
 	unsigned long long version;
 
@@ -210,36 +214,38 @@
 		return;
 	for (line = strtok_r(body->p, "\n", &rest); line != NULL;
 	     line = strtok_r(NULL, "\n", &rest)) {
-		if (sscanf(line, "%llu " PATH "%63s", &version, name) != 2)
+		if (sscanf(line, "%llu " CATALOGUE_PREFIX "%63s", &version,
+			name) != 2)
 			continue;
-		h = held_make(c, name);
-		if (h != NULL && version > h->version && version > h->tried)
-			fetch(s, h, version);
+		h = add_entry(c, name);
+		if (h != NULL && version > h->version &&
+		    version > h->last_requested)
+			request_entry(s, h, version);
 	}
 }
 
-/* Takes the outcome of a call about the catalogue. */
+/* Handles the outcome of a platform call for the catalogue. */
 void
-cat_stored(struct service *s, const struct store *st, usec now)
+catalogue_store_done(struct service *s, const struct store *st, usec now)
 {
 	struct control *c = s->state;
-	struct held *h;
+	struct catalogue_entry *h;
 	const char *name = st->tag + 4;
 
 	if (st->op == STORE_LIST) {
-		c->list_open = 0;
+		c->list_pending = 0;
 		if (st->status == 200)
-			read_list(s, (struct str *)&st->body);
+			parse_list(s, (struct str *)&st->body);
 		return;
 	}
-	h = held_of(c, name);
+	h = find_entry(c, name);
 	if (st->status == 200)
 		adopt(s, name, st->version, st->body.p, st->body.n, now);
 	else if (h != NULL)
-		h->tried = h->version;
+		h->last_requested = h->version;
 }
 
-/* True where this host controls some cell. */
+/* True if this host controls any cell. */
 static int
 controls_any(const struct control *c)
 {
@@ -253,57 +259,59 @@
 }
 
 /*
- * Between looks at the list.  Controllers look often and tell their hosts; the
- * others look rarely, each at its own time, or calls to the platform would
- * grow with the hosts.
+ * The interval between reads of the list.  Controllers read it often and inform
+ * their hosts.  Other hosts read it rarely, each at its own interval; otherwise
+ * calls to the platform would grow with the number of hosts.
  */
 static usec
-look_every(const struct service *s)
+list_interval(const struct service *s)
 {
 	const struct control *c = s->state;
 
 	if (controls_any(c) || c->ncells == 0)
-		return (LOOK_EVERY);
-	return (
-	    LOOK_RARELY + (usec)(kernel_boot(s->kernel) % (LOOK_RARELY / 5)));
+		return (LIST_INTERVAL);
+	return (LIST_INTERVAL_LONG +
+	    (usec)(kernel_boot(s->kernel) % (LIST_INTERVAL_LONG / 5)));
 }
 
 /*
- * Looks for changes when it is due, by what this host is now: one that has
- * just taken control must not wait for the look it planned as a plain host.
+ * Reads the list when it is due.  The interval depends on this host's present
+ * role, as a host that has just taken control must not wait out the long
+ * interval of other hosts.
  */
 void
-cat_tick(struct service *s, usec now)
+catalogue_tick(struct service *s, usec now)
 {
 	struct control *c = s->state;
 	struct store *st;
 
-	if (c->list_open ||
-	    (c->last_list != 0 && now - c->last_list < look_every(s)))
+	if (c->list_pending ||
+	    (c->list_requested_at != 0 &&
+		now - c->list_requested_at < list_interval(s)))
 		return;
-	c->last_list = now;
-	c->list_open = 1;
-	st = store_new(STORE_LIST, "control", PATH);
+	c->list_requested_at = now;
+	c->list_pending = 1;
+	st = store_new(STORE_LIST, "control", CATALOGUE_PREFIX);
 	snprintf(st->tag, sizeof(st->tag), "cat ");
 	store_send(s->kernel, st);
 }
 
-/* Answers a host that lacks some entries. */
+/* Sends a host the entries that it lacks. */
 void
-cat_asked(struct service *s, const struct msg *m)
+catalogue_handle_request(struct service *s, const struct msg *m)
 {
 	const Gspar__CatalogueAsk *ask = m->frame->catalogue_ask;
 	struct control *c = s->state;
 	Gspar__Frame f = GSPAR__FRAME__INIT;
 	Gspar__CatalogueEntry e = GSPAR__CATALOGUE_ENTRY__INIT;
-	struct held *h;
+	struct catalogue_entry *h;
 	size_t k;
 	int i;
 
 	f.body_case = GSPAR__FRAME__BODY_CATALOGUE_ENTRY;
 	f.catalogue_entry = &e;
-	for (i = 0; i < c->nheld; i++) {
-		h = &c->held[i];
+	for (i = 0; i < c->nentries; i++) {
+		h = &c->entries[i];
 		for (k = 0; k < ask->n_seen; k++) {
 			if (strcmp(ask->seen[k]->service, h->service) == 0)
 				break;
@@ -319,16 +327,17 @@
 	}
 }
 
-/* Takes an entry from a peer. */
+/* Handles an entry from a peer. */
 void
-cat_entry(struct service *s, const Gspar__CatalogueEntry *e, usec now)
+catalogue_handle_entry(
+    struct service *s, const Gspar__CatalogueEntry *e, usec now)
 {
 	adopt(s, e->service, e->version, e->json.data, e->json.len, now);
 }
 
-/* Asks the controller for what it has and this host lacks. */
+/* Requests what this host lacks if the controller's digest is different. */
 void
-cat_differs(struct service *s, const char *host, uint64_t other)
+catalogue_check_digest(struct service *s, const char *host, uint64_t other)
 {
 	struct control *c = s->state;
 	Gspar__Frame f = GSPAR__FRAME__INIT;
@@ -339,27 +348,27 @@
 	if (other == c->digest || other == 0 ||
 	    strcmp(host, kernel_conf(s->kernel)->host) == 0)
 		return;
-	for (i = 0; i < c->nheld; i++) {
+	for (i = 0; i < c->nentries; i++) {
 		gspar__catalogue_seen__init(&seen[i]);
-		seen[i].service = c->held[i].service;
-		seen[i].version = c->held[i].version;
+		seen[i].service = c->entries[i].service;
+		seen[i].version = c->entries[i].version;
 		list[i] = &seen[i];
 	}
 	ask.seen = list;
-	ask.n_seen = (size_t)c->nheld;
+	ask.n_seen = (size_t)c->nentries;
 	f.body_case = GSPAR__FRAME__BODY_CATALOGUE_ASK;
 	f.catalogue_ask = &ask;
 	send_frame(s->kernel, host, 0, &f);
 }
 
-/* Frees what is held. */
+/* Frees all entries. */
 void
-cat_free(struct control *c)
+catalogue_free(struct control *c)
 {
 	int i;
 
-	for (i = 0; i < c->nheld; i++) {
-		entry_free(c->held[i].entry);
-		str_free(&c->held[i].json);
+	for (i = 0; i < c->nentries; i++) {
+		entry_free(c->entries[i].entry);
+		str_free(&c->entries[i].json);
 	}
 }
--- a/gspard/ctl_cell.c
+++ b/gspard/ctl_cell.c
@@ -1,4 +1,7 @@
-/* One cell: carries messages between hosts and the rules in decide/. */
+/*
+ * One cell on this host: connects messages and platform calls to the decisions
+ * in decide/.
+ */
 #include <stdio.h>
 #include <stdlib.h>
 #include <string.h>
@@ -9,32 +12,33 @@
 #include "view.h"
 #include "viewdelta.h"
 
-#define VIEW_ASK_EVERY MS(1000)
-/* How often a host asks within a lease: two answers may be lost.  Each ask
- * costs its controller some 350 bytes, heads included. */
-#define ASKS_A_LEASE 4
-/* Unanswered for so many asks, a host looks for another controller. */
-#define LONELY_ASKS 2
+#define VIEW_REQUEST_INTERVAL MS(1000)
+/* Lease requests in the length of a lease: two replies in a row may be lost.
+ * Each request costs its controller about 350 bytes, with headers. */
+#define REQUESTS_PER_LEASE 4
+/* After so many request intervals without a reply, a host assumes that there is
+ * no controller. */
+#define NO_CONTROLLER_REQUESTS 2
 
-/* The settings of this host. */
+/* Returns this host's settings. */
 static const struct conf *
-conf_of(const struct ccell *c)
+conf_of(const struct local_cell *c)
 {
 	return (kernel_conf(c->s->kernel));
 }
 
-/* Between a host's asks for its lease. */
+/* The interval between a host's lease requests. */
 static usec
-ask_every(const struct conf *conf)
+request_interval(const struct conf *conf)
 {
-	return (MS(conf->host_lease_ms) / ASKS_A_LEASE);
+	return (MS(conf->host_lease_ms) / REQUESTS_PER_LEASE);
 }
 
-/* Asks a standby for its promise. */
+/* Requests a promise from a standby. */
 static void
-term_ask(void *arg, const struct member *m, uint64_t term)
+send_promise_request(void *arg, const struct member *m, uint64_t term)
 {
-	struct ccell *c = arg;
+	struct local_cell *c = arg;
 	Gspar__Frame f = GSPAR__FRAME__INIT;
 	Gspar__PromiseAsk ask = GSPAR__PROMISE_ASK__INIT;
 
@@ -42,46 +46,50 @@
 	ask.term = term;
 	ask.seq = ++c->promise_seq;
 	ask.boot = m->boot;
-	c->asked_at[ask.seq % ASKED_KEPT] = clock_mono();
+	c->promise_sent[ask.seq % PROMISE_REQUESTS_MAX] = clock_mono();
 	f.body_case = GSPAR__FRAME__BODY_PROMISE_ASK;
 	f.promise_ask = &ask;
 	send_frame(c->s->kernel, m->host, 0, &f);
 }
 
-/* Records what happened to control of the cell. */
+/* Records an event of the cell's election. */
 static void
-term_event(void *arg, const char *what)
+on_term_event(void *arg, const char *what)
 {
-	struct ccell *c = arg;
+	struct local_cell *c = arg;
 
-	c->took = event_add("control", c->took, "%s: %s", c->name, what);
+	c->control_event =
+	    event_add("control", c->control_event, "%s: %s", c->name, what);
 	log_line(LOG_NOTICE, "control", "Cell %s: %s.", c->name, what);
 }
 
-static const struct term_callbacks term_callbacks = {
-    cell_read_record, cell_write_record, term_ask, term_event};
+static const struct term_callbacks term_callbacks = {local_cell_read_record,
+    local_cell_write_record, send_promise_request, on_term_event};
 
-/* Records what the controller decided. */
+/* Records a decision of the controller. */
 static void
-cell_event(void *arg, const char *what)
+on_cell_event(void *arg, const char *what)
 {
-	struct ccell *c = arg;
+	struct local_cell *c = arg;
 
-	event_add("control", c->took, "%s: %s", c->name, what);
+	event_add("control", c->control_event, "%s: %s", c->name, what);
 	log_line(LOG_INFO, "control", "Cell %s: %s.", c->name, what);
 }
 
-static const struct cell_callbacks cell_callbacks = {
-    cell_read_assignment, cell_write_assignment, cell_spread_view, cell_event};
+static const struct cell_callbacks cell_callbacks = {local_cell_read_assignment,
+    local_cell_write_assignment, local_cell_broadcast_view, on_cell_event};
 
-/* A cell as seen from here; member where this host is one of its own. */
-struct ccell *
-ccell_new(struct service *s, const char *name, int member)
+/*
+ * Returns a new cell, or NULL; member is true if this host belongs to the cell.
+ */
+struct local_cell *
+local_cell_new(struct service *s, const char *name, int member)
 {
 	const struct conf *conf = kernel_conf(s->kernel);
-	struct cell_times times = {MS(conf->host_lease_ms), ask_every(conf)};
+	struct cell_times times = {
+	    MS(conf->host_lease_ms), request_interval(conf)};
 	struct term_conf tc;
-	struct ccell *c;
+	struct local_cell *c;
 	uint64_t seed;
 
 	c = calloc(1, sizeof(*c));
@@ -106,7 +114,7 @@
 
 /* Frees a cell. */
 void
-ccell_free(struct ccell *c)
+local_cell_free(struct local_cell *c)
 {
 	cell_free(c->cell);
 	free(c->cell);
@@ -116,16 +124,16 @@
 	free(c);
 }
 
-/* True while this host controls the cell and may say so. */
+/* True while this host controls the cell and its control lease is valid. */
 int
-ccell_controls(const struct ccell *c)
+local_cell_is_controller(const struct local_cell *c)
 {
 	return (c->cell->active && term_may_renew(&c->term, clock_mono()));
 }
 
-/* Loads that have been told are not told again: they count once. */
+/* Removes loads that have been sent, so that they count once. */
 static void
-drop_loads(Gspar__LeaseAsk *report)
+clear_loads(Gspar__LeaseAsk *report)
 {
 	Gspar__TargetState *t;
 	size_t i;
@@ -139,15 +147,15 @@
 	}
 }
 
-/* Asks the controller to renew this host's lease, and reports. */
+/* Requests renewal of this host's lease; the request carries its report. */
 static void
-ask_lease(struct ccell *c, usec now)
+request_lease(struct local_cell *c, usec now)
 {
 	struct control *ctl = c->s->state;
 	Gspar__Frame f = GSPAR__FRAME__INIT;
 	Gspar__LeaseAsk ask = GSPAR__LEASE_ASK__INIT;
 
-	c->ask_now = 0;
+	c->request_now = 0;
 	if (c->report != NULL) {
 		ask.targets = c->report->targets;
 		ask.n_targets = c->report->n_targets;
@@ -160,16 +168,17 @@
 	ask.boot = kernel_boot(c->s->kernel);
 	ask.dc = (char *)conf_of(c)->dc;
 	ask.addr = (char *)conf_of(c)->reached;
-	ask.seq = hostlease_request(&c->lease, now, ask_every(conf_of(c)));
+	ask.seq =
+	    hostlease_request(&c->lease, now, request_interval(conf_of(c)));
 	f.body_case = GSPAR__FRAME__BODY_LEASE_ASK;
 	f.lease_ask = &ask;
 	send_frame(c->s->kernel, c->lease.controller, 0, &f);
-	drop_loads(c->report);
+	clear_loads(c->report);
 }
 
-/* Asks a host, or whoever is on a connection, for a view newer than ours. */
+/* Requests a view newer than ours from a host, or on connection conn if set. */
 static void
-send_view_ask(struct ccell *c, const char *host, uint64_t conn)
+send_view_request(struct local_cell *c, const char *host, uint64_t conn)
 {
 	Gspar__Frame f = GSPAR__FRAME__INIT;
 	Gspar__ViewAsk ask = GSPAR__VIEW_ASK__INIT;
@@ -182,34 +191,34 @@
 	send_frame(c->s->kernel, host, conn, &f);
 }
 
-/* Asks some host of the cell for a newer view. */
+/* Requests a newer view from the cell's hosts in turn. */
 static void
-ask_view(struct ccell *c, usec now)
+request_view(struct local_cell *c, usec now)
 {
 	struct control *ctl = c->s->state;
 	const struct peers *l = ctl->peers == NULL ? NULL : ctl->peers->p;
 	int i, n, start;
 	char dcs[CELL_NAME_MAX + 2], dc[NAME_MAX_GS + 2];
 
-	c->next_view_ask = now + VIEW_ASK_EVERY;
+	c->next_view_request = now + VIEW_REQUEST_INTERVAL;
 	if (l == NULL || l->n == 0)
 		return;
 	snprintf(dcs, sizeof(dcs), "+%s+", c->name);
-	start = (int)(now / VIEW_ASK_EVERY % l->n);
+	start = (int)(now / VIEW_REQUEST_INTERVAL % l->n);
 	for (i = 0; i < l->n; i++) {
 		n = (start + i) % l->n;
 		snprintf(dc, sizeof(dc), "+%s+", l->list[n].dc);
 		if (strstr(dcs, dc) == NULL ||
 		    strcmp(l->list[n].host, conf_of(c)->host) == 0)
 			continue;
-		send_view_ask(c, l->list[n].host, 0);
+		send_view_request(c, l->list[n].host, 0);
 		return;
 	}
 }
 
-/* Follows the term: begins or ends controlling the cell. */
+/* Starts or ends control of the cell according to the election. */
 static void
-follow_term(struct ccell *c, usec now)
+follow_term(struct local_cell *c, usec now)
 {
 	struct term *t = &c->term;
 
@@ -221,27 +230,27 @@
 	if (t->role == TERM_FOLLOWER && t->known &&
 	    t->rec.holder.host[0] != '\0' &&
 	    hostlease_hint(&c->lease, t->rec.holder.host, t->rec.term))
-		c->ask_now = 1;
+		c->request_now = 1;
 }
 
-/* Does what is due. */
+/* Runs the cell's timers. */
 void
-ccell_tick(struct ccell *c, usec now)
+local_cell_tick(struct local_cell *c, usec now)
 {
-	struct member want[STANDBYS_MAX];
+	struct member standbys[STANDBYS_MAX];
 	int n;
 
 	if (!c->member) {
-		if (now >= c->next_view_ask)
-			ask_view(c, now);
+		if (now >= c->next_view_request)
+			request_view(c, now);
 		return;
 	}
-	c->term.no_controller =
-	    now - c->lease.last_heard > LONELY_ASKS * ask_every(conf_of(c));
+	c->term.no_controller = now - c->lease.last_heard >
+	    NO_CONTROLLER_REQUESTS * request_interval(conf_of(c));
 	if (c->cell->active) {
 		n = cell_choose_standbys(c->cell, now, conf_of(c)->host,
-		    conf_of(c)->dc, &c->term.rec, want);
-		term_set_standbys(&c->term, want, n);
+		    conf_of(c)->dc, &c->term.rec, standbys);
+		term_set_standbys(&c->term, standbys, n);
 	}
 	term_tick(&c->term, now);
 	follow_term(c, now);
@@ -249,15 +258,15 @@
 		cell_tick(c->cell, now, term_old_leases_lapsed(&c->term, now),
 		    term_may_dispatch(&c->term, now));
 	if (c->lease.controller[0] != '\0' &&
-	    (c->ask_now || now >= c->lease.next_request))
-		ask_lease(c, now);
-	if (now >= c->next_view_ask)
-		ask_view(c, now);
+	    (c->request_now || now >= c->lease.next_request))
+		request_lease(c, now);
+	if (now >= c->next_view_request)
+		request_view(c, now);
 }
 
-/* Answers a host that asks for its lease. */
+/* Handles a host's lease request. */
 static void
-on_lease_ask(struct ccell *c, const struct msg *m, usec now)
+on_lease_request(struct local_cell *c, const struct msg *m, usec now)
 {
 	const Gspar__LeaseAsk *ask = m->frame->lease_ask;
 	struct control *ctl = c->s->state;
@@ -278,8 +287,8 @@
 		cell_tick(c->cell, now, term_old_leases_lapsed(&c->term, now),
 		    term_may_dispatch(&c->term, now));
 		/*
-		 * Read the clock once more: a controller paused since `now`
-		 * must not give a lease that outlives its own.
+		 * Read the clock again: a controller that was paused since
+		 * `now` must not grant a lease that outlives its own.
 		 */
 		now = clock_mono();
 		n = term_may_renew(&c->term, now)
@@ -301,9 +310,9 @@
 	free(list);
 }
 
-/* Passes a renewed lease on to the dispatcher. */
+/* Sends a renewed lease to the dispatcher. */
 static void
-pass_lease(struct ccell *c, const Gspar__LeaseGive *give)
+forward_lease(struct local_cell *c, const Gspar__LeaseGive *give)
 {
 	struct lease *l;
 	size_t i;
@@ -327,19 +336,19 @@
 	msg_post(c->s->kernel, "dispatch", MSG_LEASE, l, lease_free);
 }
 
-/* Asks the sender of a message for its whole view, but not all the time. */
+/* Requests the whole view from a message's sender, with a limit on the rate. */
 static void
-ask_view_of(struct ccell *c, const struct msg *m, usec now)
+request_whole_view(struct local_cell *c, const struct msg *m, usec now)
 {
-	if (now + MS(50) >= c->next_view_ask)
+	if (now + MS(50) >= c->next_view_request)
 		return;
-	c->next_view_ask = now + VIEW_ASK_EVERY / 4;
-	send_view_ask(c, m->host, m->conn);
+	c->next_view_request = now + VIEW_REQUEST_INTERVAL / 4;
+	send_view_request(c, m->host, m->conn);
 }
 
-/* Takes a view that came, whole or as a difference to the one held. */
+/* Handles a view, sent whole or as a difference to the current one. */
 static void
-on_view(struct ccell *c, const struct msg *m, usec now)
+on_view(struct local_cell *c, const struct msg *m, usec now)
 {
 	const Gspar__View *v = m->frame->view;
 	Gspar__View *whole;
@@ -351,33 +360,33 @@
 	else
 		whole = viewdelta_apply(c->view == NULL ? NULL : c->view->p, v);
 	if (whole == NULL)
-		ask_view_of(c, m, now);
-	ccell_view(c, whole);
+		request_whole_view(c, m, now);
+	local_cell_set_view(c, whole);
 }
 
-/* Takes the answer to an ask. */
+/* Handles the reply to a lease request. */
 static void
-on_lease_give(struct ccell *c, const struct msg *m, usec now)
+on_lease_reply(struct local_cell *c, const struct msg *m, usec now)
 {
 	const Gspar__LeaseGive *give = m->frame->lease_give;
 
 	if (!give->given) {
 		if (hostlease_hint(&c->lease, give->controller, give->term))
-			c->ask_now = 1;
+			c->request_now = 1;
 		return;
 	}
 	if (!hostlease_reply(&c->lease, now, m->host, give->term, give->seq,
 		MS(give->lease_ms)))
 		return;
-	pass_lease(c, give);
+	forward_lease(c, give);
 	if (give->view > c->view_number)
-		ask_view_of(c, m, now);
-	cat_differs(c->s, m->host, give->catalogue);
+		request_whole_view(c, m, now);
+	catalogue_check_digest(c->s, m->host, give->catalogue);
 }
 
-/* Answers a holder that asks for a promise. */
+/* Handles a promise request of the control lease's holder. */
 static void
-on_promise_ask(struct ccell *c, const struct msg *m, usec now)
+on_promise_request(struct local_cell *c, const struct msg *m, usec now)
 {
 	const Gspar__PromiseAsk *ask = m->frame->promise_ask;
 	Gspar__Frame f = GSPAR__FRAME__INIT;
@@ -394,26 +403,27 @@
 	send_frame(c->s->kernel, m->host, m->conn, &f);
 }
 
-/* Takes a standby's answer. */
+/* Handles a standby's promise reply. */
 static void
-on_promise(struct ccell *c, const struct msg *m, usec now)
+on_promise_reply(struct local_cell *c, const struct msg *m, usec now)
 {
 	const Gspar__Promise *p = m->frame->promise;
-	struct member who;
+	struct member process;
 
-	if (p->seq > c->promise_seq || c->promise_seq - p->seq >= ASKED_KEPT)
+	if (p->seq > c->promise_seq ||
+	    c->promise_seq - p->seq >= PROMISE_REQUESTS_MAX)
 		return;
-	memset(&who, 0, sizeof(who));
-	name_copy(who.host, sizeof(who.host), m->host);
-	who.boot = p->boot;
-	term_promise_reply(&c->term, now, &who, p->term,
+	memset(&process, 0, sizeof(process));
+	name_copy(process.host, sizeof(process.host), m->host);
+	process.boot = p->boot;
+	term_promise_reply(&c->term, now, &process, p->term,
 	    p->yes ? PROMISE_LEASE : PROMISE_NONE,
-	    c->asked_at[p->seq % ASKED_KEPT]);
+	    c->promise_sent[p->seq % PROMISE_REQUESTS_MAX]);
 }
 
-/* Answers whoever asks for a newer view. */
+/* Handles a request for a newer view. */
 static void
-on_view_ask(struct ccell *c, const struct msg *m)
+on_view_request(struct local_cell *c, const struct msg *m)
 {
 	const Gspar__ViewAsk *ask = m->frame->view_ask;
 	Gspar__Frame f = GSPAR__FRAME__INIT;
@@ -425,28 +435,28 @@
 	send_frame(c->s->kernel, m->host, m->conn, &f);
 }
 
-/* Takes a frame for this cell. */
+/* Handles a frame for this cell. */
 void
-ccell_frame(struct ccell *c, const struct msg *m, usec now)
+local_cell_handle_frame(struct local_cell *c, const struct msg *m, usec now)
 {
 	switch (m->frame->body_case) {
 	case GSPAR__FRAME__BODY_LEASE_ASK:
-		on_lease_ask(c, m, now);
+		on_lease_request(c, m, now);
 		break;
 	case GSPAR__FRAME__BODY_LEASE_GIVE:
-		on_lease_give(c, m, now);
+		on_lease_reply(c, m, now);
 		break;
 	case GSPAR__FRAME__BODY_PROMISE_ASK:
-		on_promise_ask(c, m, now);
+		on_promise_request(c, m, now);
 		break;
 	case GSPAR__FRAME__BODY_PROMISE:
-		on_promise(c, m, now);
+		on_promise_reply(c, m, now);
 		break;
 	case GSPAR__FRAME__BODY_VIEW:
 		on_view(c, m, now);
 		break;
 	case GSPAR__FRAME__BODY_VIEW_ASK:
-		on_view_ask(c, m);
+		on_view_request(c, m);
 		break;
 	default:
 		break;
--- a/gspard/ctl_status.c
+++ b/gspard/ctl_status.c
@@ -1,4 +1,4 @@
-/* Answers to the admin service: what this host knows and has confirmed. */
+/* Answers queries of the admin service as JSON. */
 #include <inttypes.h>
 #include <stdio.h>
 #include <stdlib.h>
@@ -10,11 +10,11 @@
 #include "view.h"
 #include "shard.h"
 
-/* Frees a question once both sides have let go. */
+/* Drops a reference to a query; frees it with the last one. */
 void
-question_unref(void *arg)
+query_unref(void *arg)
 {
-	struct question *q = arg;
+	struct query *q = arg;
 
 	if (__atomic_sub_fetch(&q->refs, 1, __ATOMIC_ACQ_REL) > 0)
 		return;
@@ -22,9 +22,9 @@
 	free(q);
 }
 
-/* The role of this host in a cell, for people. */
+/* The name of this host's role in a cell. */
 static const char *
-role_name(const struct ccell *c)
+role_name(const struct local_cell *c)
 {
 	int i;
 
@@ -39,9 +39,9 @@
 	return ("member");
 }
 
-/* One cell's part of the status. */
+/* The status of one cell. */
 static json_t *
-cell_status(const struct ccell *c, usec now)
+cell_status(const struct local_cell *c, usec now)
 {
 	const Gspar__View *v = c->view == NULL ? NULL : c->view->p;
 	json_t *o, *dispatch;
@@ -57,11 +57,11 @@
 	    (json_int_t)c->lease.term, "view",
 	    (json_int_t)(c->view_number & 0xffffffff), "lease_ms",
 	    (json_int_t)((c->lease.until - now) / 1000), "may_change",
-	    ccell_controls(c), "dispatch", dispatch);
+	    local_cell_is_controller(c), "dispatch", dispatch);
 	return (o);
 }
 
-/* The whole status of this host. */
+/* The status of this host and all its cells. */
 static json_t *
 status(struct service *s, usec now)
 {
@@ -76,10 +76,10 @@
 	for (i = 0; i < c->ncells; i++)
 		json_array_append_new(cells, cell_status(c->cells[i], now));
 	versions = json_object();
-	for (i = 0; i < c->nheld; i++) {
-		if (c->held[i].entry != NULL)
-			json_object_set_new(versions, c->held[i].service,
-			    json_integer((json_int_t)c->held[i].version));
+	for (i = 0; i < c->nentries; i++) {
+		if (c->entries[i].entry != NULL)
+			json_object_set_new(versions, c->entries[i].service,
+			    json_integer((json_int_t)c->entries[i].version));
 	}
 	hosts = json_array();
 	l = c->peers == NULL ? NULL : c->peers->p;
@@ -95,7 +95,7 @@
 	return (o);
 }
 
-/* Who owns a key, as of which view. */
+/* The owner of a key, with the view that says so. */
 static json_t *
 owner(struct control *c, const char *service, const char *key)
 {
@@ -104,19 +104,19 @@
 	const struct entry *e = NULL;
 	const struct cell_conf *cc;
 	const Gspar__View *v;
-	struct ccell *cell;
+	struct local_cell *cell;
 	uint32_t shard, n;
 	int k;
 
-	for (k = 0; k < c->nheld; k++) {
-		if (strcmp(c->held[k].service, service) == 0)
-			e = c->held[k].entry;
+	for (k = 0; k < c->nentries; k++) {
+		if (strcmp(c->entries[k].service, service) == 0)
+			e = c->entries[k].entry;
 	}
 	if (e == NULL)
 		return (json_pack("{s:s}", "error", "unknown service"));
 	shard = shard_of(service, key, strlen(key), e->shards);
 	cc = entry_cell(e, shard);
-	cell = ccell_find(c, cc->name);
+	cell = local_cell_find(c, cc->name);
 	if (cell == NULL || cell->view == NULL)
 		return (json_pack("{s:i, s:s, s:s}", "shard", (int)shard,
 		    "cell", cc->name, "error", "no view of the cell yet"));
@@ -126,7 +126,7 @@
 	target = view_owner(sv, n);
 	if (target == NULL)
 		return (json_pack("{s:i, s:s, s:s}", "shard", (int)shard,
-		    "cell", cc->name, "error", "nobody owns the shard"));
+		    "cell", cc->name, "error", "the shard has no owner"));
 	host = view_dispatcher(v, target);
 	return (json_pack("{s:i, s:s, s:s, s:s, s:I, s:s, s:I, s:I}", "shard",
 	    (int)shard, "cell", cc->name, "target", target, "dispatcher",
@@ -135,7 +135,7 @@
 	    (json_int_t)v->seq));
 }
 
-/* The entries in force here, with their versions. */
+/* The current catalogue entries with their versions. */
 static json_t *
 catalogue(const struct control *c)
 {
@@ -143,27 +143,28 @@
 	int i;
 
 	o = json_object();
-	for (i = 0; i < c->nheld; i++) {
-		if (c->held[i].entry == NULL)
+	for (i = 0; i < c->nentries; i++) {
+		if (c->entries[i].entry == NULL)
 			continue;
-		e = json_loadb(c->held[i].json.p, c->held[i].json.n, 0, NULL);
-		json_object_set_new(o, c->held[i].service,
+		e = json_loadb(
+		    c->entries[i].json.p, c->entries[i].json.n, 0, NULL);
+		json_object_set_new(o, c->entries[i].service,
 		    json_pack("{s:I, s:o}", "version",
-			(json_int_t)c->held[i].version, "entry", e));
+			(json_int_t)c->entries[i].version, "entry", e));
 	}
 	return (o);
 }
 
-/* Answers a question of the admin service, which waits for it. */
+/* Answers a query; the admin service waits for q->done. */
 void
-question_answer(struct service *s, struct question *q, usec now)
+query_answer(struct service *s, struct query *q, usec now)
 {
 	struct control *c = s->state;
 	json_t *o;
 
-	if (strcmp(q->what, "owner") == 0)
+	if (strcmp(q->kind, "owner") == 0)
 		o = owner(c, q->service, q->key);
-	else if (strcmp(q->what, "catalogue") == 0)
+	else if (strcmp(q->kind, "catalogue") == 0)
 		o = catalogue(c);
 	else
 		o = status(s, now);
--- a/gspard/ctl_stop.c
+++ b/gspard/ctl_stop.c
@@ -1,25 +1,25 @@
-/* How the control service stops: targets first, then control itself. */
+/* Orderly stop: hands targets over first, then releases control. */
 #include "control.h"
 
-/* A stopping host that is alone for so long waits for nobody. */
-#define ALONE_AFTER MS(1500)
-/* A stopping controller waits so long for the new dispatchers' word. */
+/* A stopping host that is isolated for so long does not wait for others. */
+#define ISOLATED_AFTER MS(1500)
+/* How long a stopping controller waits for the new dispatchers to confirm. */
 #define HANDOVER_MAX MS(4000)
 
-/* The order to stop has come. */
+/* Begins the stop; the next lease requests report it. */
 void
 stop_begin(struct control *c, usec now)
 {
 	int i;
 
 	c->stopping = 1;
-	c->alone_since = now;
+	c->isolated_since = now;
 	c->stop_since = now;
 	for (i = 0; i < c->ncells; i++)
-		c->cells[i]->ask_now = 1;
+		c->cells[i]->request_now = 1;
 }
 
-/* True where the dispatcher here holds nothing in any cell. */
+/* True if this host's dispatcher holds no target in any cell. */
 static int
 holds_nothing(const struct control *c)
 {
@@ -34,14 +34,14 @@
 }
 
 /*
- * True where nobody can take a cell over from this host: it controls the cell
- * and hears no other host, or hears no controller at all.
+ * True if no other host can take over from this one: in each of its cells it is
+ * the controller and hears no other host, or it hears no controller.
  */
 static int
-is_alone(const struct control *c, usec now)
+is_isolated(const struct control *c, usec now)
 {
 	struct member m;
-	const struct ccell *cell;
+	const struct local_cell *cell;
 	int i;
 
 	for (i = 0; i < c->ncells; i++) {
@@ -51,15 +51,15 @@
 		if (cell->cell->active
 			? cell_available_hosts(cell->cell, now, &m, 1,
 			      cell->term.conf.self.host) > 0
-			: now - cell->lease.last_heard < ALONE_AFTER)
+			: now - cell->lease.last_heard < ISOLATED_AFTER)
 			return (0);
 	}
 	return (1);
 }
 
-/* True where the targets of each cell controlled here are in others' hands. */
+/* True if other hosts dispatch all targets of the cells controlled here. */
 static int
-handed_over(const struct control *c)
+handovers_done(const struct control *c)
 {
 	int i;
 
@@ -72,31 +72,31 @@
 }
 
 /*
- * Stops in order: targets are handed over first, while control still runs,
- * then control itself is given back so that a standby takes it at once.  A
- * dispatcher that dies meanwhile is not waited for longer than HANDOVER_MAX.
+ * Advances the stop.  Targets are handed over first, while this host may still
+ * control cells.  Then it releases control, so that a standby can take it at
+ * once.  If a new dispatcher fails meanwhile, the wait ends after HANDOVER_MAX.
  */
 void
 stop_tick(struct service *s, usec now)
 {
 	struct control *c = s->state;
-	int i, held = 0;
+	int i, any_holder = 0;
 
-	if (!c->stopping || c->told_stop)
+	if (!c->stopping || c->stop_reported)
 		return;
-	if (!is_alone(c, now))
-		c->alone_since = now;
-	if (!(holds_nothing(c) && handed_over(c)) &&
-	    now - c->alone_since < ALONE_AFTER &&
+	if (!is_isolated(c, now))
+		c->isolated_since = now;
+	if (!(holds_nothing(c) && handovers_done(c)) &&
+	    now - c->isolated_since < ISOLATED_AFTER &&
 	    (!holds_nothing(c) || now - c->stop_since < HANDOVER_MAX))
 		return;
 	for (i = 0; i < c->ncells; i++) {
 		if (!c->cells[i]->term.resigned)
 			term_resign(&c->cells[i]->term, now);
-		held |= c->cells[i]->term.role != TERM_FOLLOWER;
+		any_holder |= c->cells[i]->term.role != TERM_FOLLOWER;
 	}
-	if (held)
+	if (any_holder)
 		return;
-	c->told_stop = 1;
+	c->stop_reported = 1;
 	kernel_done(s->kernel, "control");
 }
--- a/gspard/ctl_store.c
+++ b/gspard/ctl_store.c
@@ -1,4 +1,4 @@
-/* A cell's objects in the platform: its control record and assignments. */
+/* Reads and writes a cell's control record and assignments in the platform. */
 #include <stdio.h>
 #include <stdlib.h>
 #include <string.h>
@@ -6,9 +6,9 @@
 #include "control.h"
 #include "record.h"
 
-/* A call about the cell's control record. */
+/* Returns a platform call for the cell's control record. */
 static struct store *
-record_store(const struct ccell *c, enum store_op op)
+record_store(const struct local_cell *c, enum store_op op)
 {
 	struct store *st;
 	char path[CELL_NAME_MAX + 16];
@@ -19,9 +19,10 @@
 	return (st);
 }
 
-/* A call about the assignment of a service in the cell. */
+/* Returns a platform call for a service's assignment in the cell. */
 static struct store *
-assignment_store(const struct ccell *c, enum store_op op, const char *service)
+assignment_store(
+    const struct local_cell *c, enum store_op op, const char *service)
 {
 	struct store *st;
 	char path[CELL_NAME_MAX + NAME_MAX_GS + 16];
@@ -32,20 +33,21 @@
 	return (st);
 }
 
-/* Asks the platform for the control record. */
+/* Requests the control record from the platform. */
 void
-cell_read_record(void *arg)
+local_cell_read_record(void *arg)
 {
-	struct ccell *c = arg;
+	struct local_cell *c = arg;
 
 	store_send(c->s->kernel, record_store(c, STORE_GET));
 }
 
-/* Writes the control record where its version is still base. */
+/* Writes the control record if its version is still base. */
 void
-cell_write_record(void *arg, uint64_t base, const struct control_record *r)
+local_cell_write_record(
+    void *arg, uint64_t base, const struct control_record *r)
 {
-	struct ccell *c = arg;
+	struct local_cell *c = arg;
 	struct store *st;
 
 	st = record_store(c, STORE_PUT);
@@ -55,20 +57,21 @@
 	store_send(c->s->kernel, st);
 }
 
-/* Asks the platform for an assignment. */
+/* Requests an assignment from the platform. */
 void
-cell_read_assignment(void *arg, const char *service)
+local_cell_read_assignment(void *arg, const char *service)
 {
-	struct ccell *c = arg;
+	struct local_cell *c = arg;
 
 	store_send(c->s->kernel, assignment_store(c, STORE_GET, service));
 }
 
-/* Writes an assignment; takes the text over. */
+/* Writes an assignment if its version is base; takes ownership of json. */
 void
-cell_write_assignment(void *arg, const char *service, uint64_t base, char *json)
+local_cell_write_assignment(
+    void *arg, const char *service, uint64_t base, char *json)
 {
-	struct ccell *c = arg;
+	struct local_cell *c = arg;
 	struct store *st;
 
 	st = assignment_store(c, STORE_PUT, service);
@@ -79,7 +82,7 @@
 	store_send(c->s->kernel, st);
 }
 
-/* What came of a write, by its HTTP status. */
+/* Maps the HTTP status of a write to its result. */
 static enum put_result
 put_result(int status)
 {
@@ -88,9 +91,9 @@
 	return (status == 412 ? PUT_CONFLICT : PUT_UNKNOWN);
 }
 
-/* Takes the outcome of a call about the control record. */
+/* Handles the outcome of a call for the control record. */
 static void
-term_stored(struct ccell *c, const struct store *st, usec now)
+record_store_done(struct local_cell *c, const struct store *st, usec now)
 {
 	struct control_record r;
 
@@ -108,20 +111,21 @@
 		term_get_failed(&c->term, now);
 }
 
-/* Takes the outcome of a platform call of this cell. */
+/* Handles the outcome of a platform call for this cell. */
 void
-ccell_stored(struct ccell *c, const struct store *st, usec now)
+local_cell_store_done(struct local_cell *c, const struct store *st, usec now)
 {
 	const char *service;
 
 	if (strncmp(st->tag, "term ", 5) == 0) {
-		term_stored(c, st, now);
+		record_store_done(c, st, now);
 		return;
 	}
 	service = strrchr(st->tag, ' ') + 1;
 	/*
-	 * An outcome of an earlier term must not be taken for the one that is
-	 * open now: it would put in force what the platform does not hold.
+	 * The outcome of an earlier term's write must not be taken for that of
+	 * the pending one: the cell would act on an assignment that the
+	 * platform does not hold.
 	 */
 	if (st->op == STORE_PUT && st->gen != c->cell->term)
 		return;
--- a/gspard/ctl_view.c
+++ b/gspard/ctl_view.c
@@ -1,4 +1,4 @@
-/* Makes the view of a cell that its controller spreads. */
+/* Builds the view of a cell and broadcasts it to the hosts. */
 #include <stdlib.h>
 #include <string.h>
 
@@ -6,13 +6,13 @@
 #include "view.h"
 #include "viewdelta.h"
 
-/* Fills one service's part of a view; the arrays are freed by
- * free_service_view. */
+/* Fills in one service's part of a view; free_service_view() frees its
+ * arrays. */
 static void
-service_view(const struct cell *c, int k, Gspar__ServiceView *sv)
+fill_service_view(const struct cell *c, int k, Gspar__ServiceView *sv)
 {
 	const struct cell_service *s = &c->services[k];
-	int *place, i;
+	int *index, i;
 	uint32_t n;
 
 	gspar__service_view__init(sv);
@@ -24,24 +24,24 @@
 	sv->moving = calloc(s->shards, sizeof(*sv->moving));
 	sv->n_owner = s->shards;
 	sv->n_fence = s->shards;
-	place = calloc((size_t)c->ntargets + 1, sizeof(*place));
+	index = calloc((size_t)c->ntargets + 1, sizeof(*index));
 	for (i = 0; i < c->ntargets; i++) {
 		if (c->targets[i].service != k)
 			continue;
 		sv->targets[sv->n_targets++] = (char *)c->targets[i].conf.name;
-		place[i] = (int)sv->n_targets;
+		index[i] = (int)sv->n_targets;
 	}
 	for (n = 0; n < s->shards; n++) {
 		i = cell_shard_target(s, n, &sv->fence[n]);
 		if (i != CELL_NONE)
-			sv->owner[n] = (uint32_t)place[i];
+			sv->owner[n] = (uint32_t)index[i];
 		if (s->next[n] != CELL_NONE && !s->freed[n])
 			sv->moving[sv->n_moving++] = s->first + n;
 	}
-	free(place);
+	free(index);
 }
 
-/* Frees what service_view made. */
+/* Frees the arrays that fill_service_view() allocated. */
 static void
 free_service_view(Gspar__ServiceView *sv)
 {
@@ -52,13 +52,14 @@
 }
 
 /*
- * Sends a view to every host on the list, and takes it here.  Sent is what
- * changed since the last, where that is less: a move changes one shard, and
- * views of hundreds of shards to each host at each step of each move would be
- * most of the control traffic.  A host that lacks the last asks for the whole.
+ * Sends a view to every host on the list, and adopts it here.  If smaller, the
+ * difference to the previous view is sent instead: a move changes one shard,
+ * and whole views of hundreds of shards to each host at each step of each move
+ * would be most of the control traffic.  A host that lacks the previous view
+ * requests the whole one.
  */
 static void
-spread(struct ccell *c, const Gspar__View *v)
+broadcast_view(struct local_cell *c, const Gspar__View *v)
 {
 	struct control *ctl = c->s->state;
 	const struct peers *l = ctl->peers == NULL ? NULL : ctl->peers->p;
@@ -77,14 +78,14 @@
 	}
 	viewdelta_free(&d);
 	if (view_number(v) > c->view_number)
-		ccell_view(c, view_copy(v));
+		local_cell_set_view(c, view_copy(v));
 }
 
-/* Makes the view of what is in force, and spreads it. */
+/* Builds the view of the current assignment and broadcasts it. */
 void
-cell_spread_view(void *arg)
+local_cell_broadcast_view(void *arg)
 {
-	struct ccell *c = arg;
+	struct local_cell *c = arg;
 	struct cell *cell = c->cell;
 	Gspar__View v = GSPAR__VIEW__INIT;
 	Gspar__ServiceView sv[CELL_SERVICES], *svp[CELL_SERVICES];
@@ -103,7 +104,7 @@
 	v.services = svp;
 	v.dispatch = dvp;
 	for (i = 0; i < cell->nservices; i++) {
-		service_view(cell, i, &sv[i]);
+		fill_service_view(cell, i, &sv[i]);
 		svp[v.n_services++] = &sv[i];
 	}
 	for (i = 0; i < cell->ntargets; i++) {
@@ -116,7 +117,7 @@
 		dv[i].addr = cell->hosts[cell->targets[i].dispatcher].addr;
 		dvp[v.n_dispatch++] = &dv[i];
 	}
-	spread(c, &v);
+	broadcast_view(c, &v);
 	for (i = 0; i < cell->nservices; i++)
 		free_service_view(&sv[i]);
 	free(dv);
