--- a/gspard/gspard.h
+++ b/gspard/gspard.h
@@ -1,4 +1,4 @@
-/* Shared by the daemon's parts: the kernel, its services, their messages. */
+/* Common declarations: the kernel, its services and their messages. */
 #ifndef GSPARD_H
 #define GSPARD_H
 
@@ -15,106 +15,107 @@
 #include "ring.h"
 #include "str.h"
 
-/* When to come back where nothing is known of it, in milliseconds. */
+/* Suggested retry delay if no better one is known, in milliseconds. */
 #define LOST_RETRY_MS 1000
 
 enum msg_kind {
 	MSG_NONE,
-	MSG_CALL,	/* door to router: a caller's request */
-	MSG_FRAME,	/* peer to any: a frame came */
-	MSG_SEND,	/* any to peer: a frame goes */
-	MSG_PEER_DOWN,	/* peer to all: a connection was lost */
-	MSG_UNSENT,	/* peer to router: a request that did not leave */
-	MSG_PEERS,	/* control to peer: the hosts and their addresses */
-	MSG_STORE,	/* any to platform: a call */
-	MSG_STORED,	/* platform to any: its outcome */
-	MSG_CATALOGUE,	/* control to all: the entries in force */
-	MSG_VIEW,	/* control to router and dispatch */
-	MSG_LEASE,	/* control to dispatch: lease and duties */
-	MSG_TARGETS,	/* dispatch to control: what it holds */
-	MSG_STATUS,	/* admin to control: a question */
-	MSG_READY,	/* router to door: callers can be served */
-	MSG_SITE,	/* watch to all: routes and services in force */
-	MSG_FLEET,	/* watch to router and control: the targets */
-	MSG_OWNERS,	/* control to router: who owns which keys */
-	MSG_HEAT,	/* router to control: what was asked for */
-	MSG_QUARANTINE, /* control to router: contents that are sent to none */
-	MSG_TOLD,	/* control to watch: a configuration that a host told */
-	MSG_READ_SITE,	/* control to watch: read the configuration now */
-	MSG_SITE_UNREAD, /* watch to control: the store did not give it */
+	MSG_CALL,	 /* door to router: a caller's request */
+	MSG_FRAME,	 /* peer to any: a frame was received */
+	MSG_SEND,	 /* any to peer: send a frame */
+	MSG_PEER_DOWN,	 /* peer to all: a connection was lost */
+	MSG_UNSENT,	 /* peer to router: a request was not sent */
+	MSG_PEERS,	 /* control to peer: the hosts and their addresses */
+	MSG_STORE,	 /* any to platform: a store call */
+	MSG_STORED,	 /* platform to any: its outcome */
+	MSG_CATALOGUE,	 /* control to all: current catalogue entries */
+	MSG_VIEW,	 /* control to router and dispatch: a view */
+	MSG_LEASE,	 /* control to dispatch: lease and duties */
+	MSG_TARGETS,	 /* dispatch to control: targets it holds */
+	MSG_STATUS,	 /* admin to control: a query */
+	MSG_READY,	 /* router to door: callers can be served */
+	MSG_SITE,	 /* watch to all: current routes and services */
+	MSG_FLEET,	 /* watch to router and control: the targets */
+	MSG_OWNERS,	 /* control to router: owners of keys */
+	MSG_HEAT,	 /* router to control: sample of requested keys */
+	MSG_QUARANTINE,	 /* control to router: quarantined contents */
+	MSG_TOLD,	 /* control to watch: configuration from a host */
+	MSG_READ_SITE,	 /* control to watch: read the configuration now */
+	MSG_SITE_UNREAD, /* watch to control: reading it failed */
 	MSG_SITE_READ,	 /* watch to control: it has been read */
-	MSG_RELIST,	 /* control to watch: something was missed */
+	MSG_RELIST,	 /* control to watch: changes were missed, list again */
 	MSG_FOLLOW,	 /* control to watch: follow the store ... */
-	MSG_BE_TOLD,	 /* ... or do not, the controller tells */
-	MSG_FRESH,	 /* watch to control: the store answers for targets */
+	MSG_BE_TOLD,	 /* ... or the controller's updates */
+	MSG_FRESH,	 /* watch to control: store answers for targets */
 	MSG_STALE,	 /* watch to control: it does not, or is not asked */
-	MSG_FLEET_TOLD, /* control to watch: targets that the controller told */
-	MSG_STOP,	/* kernel to all: stop in order */
-	MSG_QUIT	/* kernel to all: end the thread now */
+	MSG_FLEET_TOLD,	 /* control to watch: targets from the controller */
+	MSG_STOP,	 /* kernel to all: begin the orderly stop */
+	MSG_QUIT	 /* kernel to all: end the thread */
 };
 
 struct msg {
 	enum msg_kind kind;
-	char host[NAME_MAX_GS]; /* the peer a frame is from or for */
-	uint64_t conn;		/* its connection; 0 is the one to the host */
-	int state; /* a frame that tells state: it is sent again on a timer */
-	uint64_t corr; /* of a request sent, or not sent */
+	char host[NAME_MAX_GS]; /* peer that a frame comes from or goes to */
+	uint64_t conn; /* connection of the frame; 0: the one to host */
+	int state;     /* a frame that is sent again periodically */
+	uint64_t corr; /* correlation number of a request, sent or not */
 	Gspar__Frame *frame;
 	struct bytes bytes;
 	void *data;
 	void (*drop)(void *data);
 };
 
-/* A call to the platform, and its outcome. */
+/* Operations of the platform's store. */
 enum store_op {
 	STORE_GET,
-	STORE_PUT, /* where the version is still base; 0 is not there yet */
+	STORE_PUT, /* if the version is still base; 0: does not exist yet */
 	STORE_LIST,
 	STORE_HOSTS,
-	STORE_WATCH, /* what changed after base, waited for */
+	STORE_WATCH, /* waits for changes after version base */
 	STORE_DELETE
 };
 
 enum store_result {
-	STORE_SILENT, /* no answer: it may have been done, or be done later */
+	STORE_SILENT, /* no response: the call may still take effect */
 	STORE_DONE,
 	STORE_ABSENT,
 	STORE_CONFLICT,
-	STORE_FORGOTTEN, /* changes so far back are not kept: list anew */
-	STORE_BUSY,	 /* over the rate: not done */
+	STORE_FORGOTTEN, /* changes since base are not kept: list again */
+	STORE_BUSY,	 /* over the rate limit: not done */
 	STORE_DOWN	 /* refused: not done */
 };
 
-/* An object of a list or a change. */
+/* An object of a list, or a change of one. */
 struct found {
 	char name[NAME_MAX_GS];
 	uint64_t version;
 	int deleted;
-	struct json_t *raw; /* borrowed from the call's answer */
+	struct json_t *raw; /* borrowed from the call's response */
 };
 
+/* A call to the platform's store, and its outcome. */
 struct store {
 	enum store_op op;
 	const char *reply_to;
 	char path[CELL_NAME_MAX + 128];
 	char tag[CELL_NAME_MAX + NAME_MAX_GS + 8];
 	uint64_t base;
-	uint64_t gen; /* the sender's, to know stale outcomes by */
+	uint64_t gen; /* of the sender, to recognise stale outcomes */
 	struct str body;
-	int status; /* HTTP status, or 0 where no answer came */
-	usec took;  /* from its sending to its end */
+	int status; /* HTTP status, or 0 if there was no response */
+	usec took;  /* time from sending to the end */
 	uint64_t version;
 	enum store_result result;
-	int wait_ms; /* of a watch */
-	int stale;   /* of a read: an answer that is seconds old will do */
-	char after[NAME_MAX_GS]; /* of a list: where to go on */
+	int wait_ms; /* watch: how long to wait for a change */
+	int stale;   /* read: a value that is seconds old is accepted */
+	char after[NAME_MAX_GS]; /* list: continue after this name */
 	struct json_t *parsed;
 	struct found *found;
 	int nfound;
-	int more; /* the list goes on */
+	int more; /* the list is not complete */
 };
 
-/* Objects that several threads read: counted, and never changed. */
+/* A reference-counted object that several threads read; never changed. */
 struct shared {
 	int refs;
 	void *p;
@@ -140,40 +141,41 @@
 	int n;
 };
 
-/* A host's lease for one cell, and what it is to dispatch under it. */
+/* A target that a host dispatches under its lease. */
 struct duty {
 	char target[NAME_MAX_GS];
 	uint64_t epoch;
 	uint64_t min_view;
 	int limited;
-	uint32_t rate; /* thousandths of a request a second */
+	uint32_t rate; /* in 1/1000 requests per second */
 };
 
+/* A host's lease for one cell, with its duties. */
 struct lease {
 	char cell[CELL_NAME_MAX];
 	usec until;
-	uint64_t seq; /* of the ask that was answered */
+	uint64_t seq; /* of the request that was answered */
 	struct duty *duties;
 	int n;
 };
 
-/* What the dispatcher holds in a cell, for the controller. */
+/* The dispatcher's targets in a cell, reported to the controller. */
 struct report {
 	Gspar__LeaseAsk *ask;
-	int urgent; /* something changed: do not wait for the next ask */
+	int urgent; /* something changed: send it without delay */
 };
 
-/* One service of the micro-kernel. */
+/* The functions of a service; each service has a thread and a message ring. */
 struct kernel;
 struct service;
 struct service_ops {
 	const char *name;
 	unsigned ring_size;
-	/* Readies the service before its thread starts; 0, or -1. */
+	/* Sets up the service before its thread starts; 0, or -1 on error. */
 	int (*open)(struct service *);
 	/* The thread; returns after MSG_QUIT. */
 	void (*run)(struct service *);
-	/* Frees what open made, after the thread has ended. */
+	/* Frees what open allocated, after the thread has ended. */
 	void (*close)(struct service *);
 };
 
--- a/gspard/kernel.c
+++ b/gspard/kernel.c
@@ -8,23 +8,23 @@
 
 #include "gspard.h"
 
-#define MAX_SERVICES 16
-#define MAX_DONE 16
+#define SERVICES_MAX 16
+#define STEPS_MAX 16
 
 struct kernel {
 	apr_pool_t *pool;
 	const struct conf *conf;
 	uint64_t boot;
-	struct service services[MAX_SERVICES];
-	apr_thread_t *threads[MAX_SERVICES];
+	struct service services[SERVICES_MAX];
+	apr_thread_t *threads[SERVICES_MAX];
 	int n;
 	apr_thread_mutex_t *lock;
-	apr_thread_cond_t *done;
-	const char *ended[MAX_DONE];
-	int nended;
+	apr_thread_cond_t *step_done;
+	const char *finished[STEPS_MAX];
+	int nfinished;
 };
 
-/* A number that no other process of the system has: names this process. */
+/* A random non-zero number that identifies this process among all hosts. */
 static uint64_t
 random_boot(void)
 {
@@ -34,7 +34,7 @@
 	return (b >> 1 | 1);
 }
 
-/* A kernel without services, or NULL. */
+/* Returns a kernel without services, or NULL. */
 struct kernel *
 kernel_new(const struct conf *conf)
 {
@@ -49,14 +49,14 @@
 	k->boot = random_boot();
 	if (apr_thread_mutex_create(&k->lock, APR_THREAD_MUTEX_DEFAULT, pool) !=
 		APR_SUCCESS ||
-	    apr_thread_cond_create(&k->done, pool) != APR_SUCCESS) {
+	    apr_thread_cond_create(&k->step_done, pool) != APR_SUCCESS) {
 		apr_pool_destroy(pool);
 		return (NULL);
 	}
 	return (k);
 }
 
-/* Frees the kernel; its services have been quit. */
+/* Frees the kernel, after kernel_quit(). */
 void
 kernel_free(struct kernel *k)
 {
@@ -64,13 +64,13 @@
 		apr_pool_destroy(k->pool);
 }
 
-/* Adds a service; 0, or -1. */
+/* Adds a service; 0, or -1 on error. */
 int
 kernel_add(struct kernel *k, const struct service_ops *ops)
 {
 	struct service *s;
 
-	if (k->n == MAX_SERVICES)
+	if (k->n == SERVICES_MAX)
 		return (-1);
 	s = &k->services[k->n];
 	s->ops = ops;
@@ -82,7 +82,7 @@
 	return (0);
 }
 
-/* A service by name, or NULL. */
+/* Returns the service with a name, or NULL. */
 struct service *
 kernel_find(struct kernel *k, const char *name)
 {
@@ -95,7 +95,7 @@
 	return (NULL);
 }
 
-/* The body of each service's thread. */
+/* The entry point of each service's thread. */
 static void *
 thread_main(apr_thread_t *t, void *arg)
 {
@@ -105,7 +105,7 @@
 	return (NULL);
 }
 
-/* Opens all services, then starts their threads; 0, or -1. */
+/* Opens all services, then starts their threads; 0, or -1 on error. */
 int
 kernel_start(struct kernel *k)
 {
@@ -115,7 +115,7 @@
 	for (i = 0; i < k->n; i++) {
 		s = &k->services[i];
 		if (s->ops->open(s) != 0) {
-			log_line(LOG_ERR, "kernel", "%s does not start",
+			log_line(LOG_ERR, "kernel", "Cannot start service %s.",
 			    s->ops->name);
 			return (-1);
 		}
@@ -129,7 +129,7 @@
 	return (0);
 }
 
-/* Ends all threads, last added first, and closes their services. */
+/* Ends all threads, last added first, and closes and frees their services. */
 void
 kernel_quit(struct kernel *k)
 {
@@ -159,21 +159,21 @@
 		ring_free(k->services[i].in);
 }
 
-/* The settings in force; what is read from them may change later. */
+/* Returns the current settings; they may be replaced at any time. */
 const struct conf *
 kernel_conf(const struct kernel *k)
 {
 	return (__atomic_load_n(&k->conf, __ATOMIC_ACQUIRE));
 }
 
-/* Puts settings in force; the earlier ones must stay, some still read them. */
+/* Replaces the settings; the old ones stay allocated, threads may use them. */
 void
 kernel_set_conf(struct kernel *k, const struct conf *conf)
 {
 	__atomic_store_n(&k->conf, conf, __ATOMIC_RELEASE);
 }
 
-/* The number that names this process among all. */
+/* Returns the number that identifies this process among all hosts. */
 uint64_t
 kernel_boot(const struct kernel *k)
 {
@@ -181,8 +181,8 @@
 }
 
 /*
- * Sends a message to a service by name; 0, or -1 where its ring is full, and
- * then the message is the caller's still.
+ * Sends a message to a service by name.  Returns 0, or -1 if there is no such
+ * service or its ring is full; then the caller still owns the message.
  */
 int
 kernel_send(struct kernel *k, const char *to, struct msg *m)
@@ -197,31 +197,31 @@
 	return (-1);
 }
 
-/* Tells whoever stops the daemon that a step is done. */
+/* Reports a finished step of the stop to kernel_wait(). */
 void
 kernel_done(struct kernel *k, const char *what)
 {
 	apr_thread_mutex_lock(k->lock);
-	if (k->nended < MAX_DONE)
-		k->ended[k->nended++] = what;
-	apr_thread_cond_broadcast(k->done);
+	if (k->nfinished < STEPS_MAX)
+		k->finished[k->nfinished++] = what;
+	apr_thread_cond_broadcast(k->step_done);
 	apr_thread_mutex_unlock(k->lock);
 }
 
-/* True where the step is among those done; lock held. */
+/* True if a step is finished; the lock is held. */
 static int
-is_done(const struct kernel *k, const char *what)
+is_finished(const struct kernel *k, const char *what)
 {
 	int i;
 
-	for (i = 0; i < k->nended; i++) {
-		if (strcmp(k->ended[i], what) == 0)
+	for (i = 0; i < k->nfinished; i++) {
+		if (strcmp(k->finished[i], what) == 0)
 			return (1);
 	}
 	return (0);
 }
 
-/* Waits for a step, ms milliseconds at most; 0, or -1 where it is not done. */
+/* Waits for a step, at most ms milliseconds; 0, or -1 if it is not finished. */
 int
 kernel_wait(struct kernel *k, const char *what, int ms)
 {
@@ -229,8 +229,8 @@
 	int ok;
 
 	apr_thread_mutex_lock(k->lock);
-	while (!(ok = is_done(k, what)) && clock_mono() < until)
-		apr_thread_cond_timedwait(k->done, k->lock, MS(20));
+	while (!(ok = is_finished(k, what)) && clock_mono() < until)
+		apr_thread_cond_timedwait(k->step_done, k->lock, MS(20));
 	apr_thread_mutex_unlock(k->lock);
 	return (ok ? 0 : -1);
 }
--- a/gspard/metrics.c
+++ b/gspard/metrics.c
@@ -4,7 +4,7 @@
 #include "hist.h"
 #include "metrics.h"
 
-/* All counters and histograms; the caller frees the text. */
+/* Formats all counters and histograms; the caller frees the text. */
 char *
 metrics_text(struct kernel *k)
 {
--- a/gspard/metrics.h
+++ b/gspard/metrics.h
@@ -1,4 +1,4 @@
-/* Counters and histograms in the text form that collectors read. */
+/* Counters and histograms in the Prometheus text format. */
 #ifndef METRICS_H
 #define METRICS_H
 
--- a/gspard/record.c
+++ b/gspard/record.c
@@ -7,10 +7,10 @@
 
 #include "record.h"
 
-/* Terms rise by one at a time; one beyond this no controller has written. */
+/* Terms rise by one at a time, so a higher one in a record is an error. */
 #define TERM_MAX INT32_MAX
 
-/* One process as JSON. */
+/* Returns a member as JSON. */
 static json_t *
 member_json(const struct member *m)
 {
@@ -24,7 +24,7 @@
 	return (o);
 }
 
-/* Reads one process; 0, or -1 where it names no host. */
+/* Reads a member; 0, or -1 if it names no host. */
 static int
 member_read(json_t *o, struct member *m)
 {
@@ -42,7 +42,7 @@
 	return (0);
 }
 
-/* Writes a control record as text. */
+/* Encodes a control record as JSON text into out. */
 void
 record_write(const struct control_record *r, struct str *out)
 {
@@ -63,7 +63,7 @@
 	json_decref(o);
 }
 
-/* Reads a control record; 0, or -1 where it makes no sense. */
+/* Decodes a control record; 0, or -1 if it is not valid. */
 int
 record_read(const struct str *body, struct control_record *r)
 {
@@ -71,24 +71,25 @@
 	const char *id;
 	json_int_t term;
 	size_t i;
-	int bad;
+	int invalid;
 
 	memset(r, 0, sizeof(*r));
 	o = json_loadb(body->p == NULL ? "" : body->p, body->n, 0, NULL);
 	term = json_integer_value(json_object_get(o, "term"));
-	bad = !json_is_integer(json_object_get(o, "term")) || term < 0 ||
+	invalid = !json_is_integer(json_object_get(o, "term")) || term < 0 ||
 	    term > TERM_MAX;
-	r->term = bad ? 0 : (uint64_t)term;
+	r->term = invalid ? 0 : (uint64_t)term;
 	id = json_string_value(json_object_get(o, "write"));
 	if (id != NULL)
 		r->write_id = strtoull(id, NULL, 16);
-	bad |= member_read(json_object_get(o, "holder"), &r->holder) != 0;
+	invalid |= member_read(json_object_get(o, "holder"), &r->holder) != 0;
 	standbys = json_object_get(o, "standbys");
 	json_array_foreach(standbys, i, v)
 	{
 		if (r->nstandby < STANDBYS_MAX)
-			bad |= member_read(v, &r->standby[r->nstandby++]) != 0;
+			invalid |=
+			    member_read(v, &r->standby[r->nstandby++]) != 0;
 	}
 	json_decref(o);
-	return (bad ? -1 : 0);
+	return (invalid ? -1 : 0);
 }
--- a/gspard/record.h
+++ b/gspard/record.h
@@ -1,4 +1,4 @@
-/* The control record as JSON, as the store keeps it. */
+/* The control record in the JSON form that the store keeps. */
 #ifndef RECORD_H
 #define RECORD_H
 
--- a/gspard/store.h
+++ b/gspard/store.h
@@ -1,6 +1,6 @@
 /*
- * Calls to the platform's store.  How they look on the wire is a table, for
- * there is more than one kind of store; who calls does not see which.
+ * Encoding of calls to the platform's store.  There is more than one kind of
+ * store; a table of functions hides the kind from the callers.
  */
 #ifndef STORE_H
 #define STORE_H
@@ -13,18 +13,18 @@
 struct store_http {
 	const char *method;
 	char url[CELL_NAME_MAX + 400];
-	char head[64];	 /* one more header line, or "" */
+	char head[64];	 /* an additional header line, or "" */
 	struct str body; /* freed by the client */
 };
 
-/* One kind of store. */
+/* Functions for one kind of store. */
 struct store_form {
-	/* Fills in the call. */
+	/* Encodes a call for the HTTP client. */
 	void (*request)(
 	    const struct store *, const char *addr, struct store_http *);
-	/* Reads one header line of an answer. */
+	/* Reads one header line of a response. */
 	void (*head)(struct store *, const char *line, size_t n);
-	/* Reads the answer, whose status and body stand in the call. */
+	/* Sets the result from the response's status and body in the call. */
 	void (*answer)(struct store *);
 };
 
--- a/gspard/store_native.c
+++ b/gspard/store_native.c
@@ -1,4 +1,4 @@
-/* Our own form of the store: versions in headers, values as they are. */
+/* The native store: versions in headers, values as raw bodies. */
 #include <stdio.h>
 #include <stdlib.h>
 #include <string.h>
@@ -6,11 +6,11 @@
 
 #include "store.h"
 
-/* Fills in the call. */
+/* Encodes a call for the HTTP client. */
 static void
 native_request(const struct store *st, const char *addr, struct store_http *h)
 {
-	static const char *const forms[] = {
+	static const char *const url_formats[] = {
 	    [STORE_GET] = "http://%s/v1/objects/%s",
 	    [STORE_PUT] = "http://%s/v1/objects/%s",
 	    [STORE_LIST] = "http://%s/v1/list/%s",
@@ -19,7 +19,7 @@
 	    [STORE_DELETE] = "http://%s/v1/objects/%s",
 	};
 
-	snprintf(h->url, sizeof(h->url), forms[st->op], addr, st->path);
+	snprintf(h->url, sizeof(h->url), url_formats[st->op], addr, st->path);
 	h->method = st->op == STORE_PUT ? "PUT" : "GET";
 	if (st->op != STORE_PUT)
 		return;
@@ -28,7 +28,7 @@
 	str_set(&h->body, st->body.p, st->body.n);
 }
 
-/* Picks the version out of the answer's head. */
+/* Reads the version from a header line of the response. */
 static void
 native_head(struct store *st, const char *p, size_t n)
 {
@@ -41,7 +41,7 @@
 	st->version = strtoull(line, NULL, 10);
 }
 
-/* What the status says. */
+/* Maps the HTTP status to a result. */
 static void
 native_answer(struct store *st)
 {
