--- a/gspard/gspard.c
+++ b/gspard/gspard.c
@@ -1,4 +1,4 @@
-/* gspard: the daemon that every entry host runs. */
+/* gspard: the daemon that runs on every entry host. */
 #include <argp.h>
 #include <signal.h>
 #include <stdio.h>
@@ -15,19 +15,21 @@
 #include "stop_plan.h"
 #include "settings.h"
 
-/* How long a stop waits for handing over, and then for calls to end. */
-#define HAND_OVER_MS 8000
-#define CALLS_END_MS 10000
-/* How long kept connections are served on, each told to close. */
-#define LINGER_MS 300
-#define SETTLE_MS 50
-/* Between looks whether they have. */
-#define LOOK_MS 10
-/* The router answers what is left at the end of its time; so much later it has
- * been heard by its callers. */
-#define ANSWERED_MS 150
-/* A request is awaited so long on a connection that was let in. */
-#define LATE_MS 250
+/* How long a stop waits for handovers, and then for calls to end. */
+#define HANDOVER_MAX_MS 8000
+#define DRAIN_MAX_MS 10000
+/* How long keep-alive connections are served before the listener closes; each
+ * answer tells the caller to close. */
+#define KEEPALIVE_MS 300
+/* Time for libmicrohttpd to write the last answers. */
+#define FLUSH_MS 50
+/* Interval between checks for open connections. */
+#define POLL_MS 10
+/* The router answers all remaining calls at the end of the stop plan; after
+ * this time the answers have reached the callers. */
+#define ANSWER_TRANSIT_MS 150
+/* How long a newly accepted connection may take to send its request. */
+#define FIRST_REQUEST_MS 250
 
 static const char *file;
 static int check_only;
@@ -72,9 +74,9 @@
 static const struct argp argp = {options, parse, NULL,
     "Routes callers' requests to the servers that own their keys.", 0, 0, 0};
 
-/* Prints one fault of the settings. */
+/* Prints one error in the settings. */
 static void
-bad_setting(const char *name, int line, const char *what)
+print_setting_error(const char *name, int line, const char *what)
 {
 	if (line > 0)
 		fprintf(stderr, "%s:%d: %s\n", name, line, what);
@@ -82,31 +84,31 @@
 		fprintf(stderr, "%s: %s\n", name, what);
 }
 
-/* The services in the order in which they start: with our own interface ... */
+/* The services in start order, for the native platform interface ... */
 static const struct service_ops *const native_services[] = {&platform_service,
     &peer_service, &dispatch_service, &control_service, &router_service,
     &door_service, &admin_service, NULL};
-/* ... and on a platform of objects, where hosts send to targets themselves. */
+/* ... and for a platform of objects, where hosts send to targets directly. */
 static const struct service_ops *const objects_services[] = {&platform_service,
     &peer_service, &keeper_service, &direct_service, &door_service,
     &watch_service, &probe_service, NULL};
 
-/* Sends the order to stop to a service. */
+/* Sends MSG_STOP to a service. */
 static void
-order_stop(struct kernel *k, const char *name)
+send_stop(struct kernel *k, const char *name)
 {
 	while (kernel_send(k, name, msg_new(MSG_STOP)) != 0)
 		apr_sleep(MS(1));
 }
 
-/* Sends the order to stop, and until when, to a service. */
+/* Sends MSG_STOP with the stop plan to a service. */
 static void
-order_leave(struct kernel *k, const char *name, const struct stop_plan *plan)
+send_stop_plan(struct kernel *k, const char *name, const struct stop_plan *plan)
 {
 	struct stop_plan *copy = malloc(sizeof(*copy));
 
 	if (copy == NULL) {
-		order_stop(k, name);
+		send_stop(k, name);
 		return;
 	}
 	*copy = *plan;
@@ -115,49 +117,49 @@
 }
 
 /*
- * Serves who is connected until all have had their answers, at most until a
- * moment; who is idle is let go.  Then no more is taken.
+ * Serves the open connections until all calls are answered, at most until
+ * `until`, and closes idle ones.  After that no calls are accepted.
  */
 static void
-end_connections(struct kernel *k, usec until)
+drain_connections(struct kernel *k, usec until)
 {
 	while (door_connections(k) > 0 && clock_mono() < until) {
 		door_end_idle(k);
-		apr_sleep(MS(LOOK_MS));
+		apr_sleep(MS(POLL_MS));
 	}
 	door_bar(k);
-	/* The library needs a moment to write the last answers. */
-	apr_sleep(MS(SETTLE_MS));
+	/* libmicrohttpd needs some time to write the last answers. */
+	apr_sleep(MS(FLUSH_MS));
 }
 
 /*
- * Stops in order.  The host first says so to the balancer and hands its
- * targets and control over, while it still takes and relays requests; then it
- * waits for the calls under way.  Nothing in flight is cut off.
+ * Orderly stop.  The host first reports the stop to the load balancer and hands
+ * over its targets and control, while it still accepts and relays requests.
+ * Then it waits for the calls in flight, which are not cut off.
  */
 static void
-stop(struct kernel *k)
+stop_native(struct kernel *k)
 {
 	log_line(LOG_NOTICE, "kernel", "Stopping.");
 	event_add("kernel", 0, "stopping");
-	order_stop(k, "door");
-	order_stop(k, "control");
-	order_stop(k, "dispatch");
-	if (kernel_wait(k, "control", HAND_OVER_MS) != 0)
+	send_stop(k, "door");
+	send_stop(k, "control");
+	send_stop(k, "dispatch");
+	if (kernel_wait(k, "control", HANDOVER_MAX_MS) != 0)
 		log_line(LOG_WARNING, "kernel",
-		    "Nobody took this host's targets over.");
-	apr_sleep(MS(LINGER_MS));
+		    "No other host took over this host's targets.");
+	apr_sleep(MS(KEEPALIVE_MS));
 	door_shut(k);
-	apr_sleep(MS(LATE_MS));
-	end_connections(k, clock_mono() + MS(CALLS_END_MS));
+	apr_sleep(MS(FIRST_REQUEST_MS));
+	drain_connections(k, clock_mono() + MS(DRAIN_MAX_MS));
 	log_line(LOG_NOTICE, "kernel", "Stopped.");
 }
 
 /*
- * Stops in order where the balancer is told by a probe.  Callers come until it
- * has asked twice; they are served meanwhile, for many hosts may stop at the
- * same time, and then there is nobody else.  Then those who are connected are
- * served until the last has its answer.
+ * Orderly stop where the load balancer learns of it by its probe.  It sends
+ * callers here until a second probe has failed.  They are served meanwhile, as
+ * many hosts may stop at once and then no other host could serve them.  After
+ * that, the open connections are served until the last call is answered.
  */
 static void
 stop_objects(struct kernel *k)
@@ -166,29 +168,29 @@
 	    stop_plan_make(clock_mono(), MS(kernel_conf(k)->bounds.stop_ms));
 	usec left;
 
-	log_line(LOG_NOTICE, "kernel", "Stopping, %d calls under way.",
+	log_line(LOG_NOTICE, "kernel", "Stopping, %d calls in flight.",
 	    door_inflight());
-	order_stop(k, "probe");
-	order_stop(k, "door");
-	order_leave(k, "router", &plan);
-	order_leave(k, "control", &plan);
+	send_stop(k, "probe");
+	send_stop(k, "door");
+	send_stop_plan(k, "router", &plan);
+	send_stop_plan(k, "control", &plan);
 	while (clock_mono() < plan.accept_all_until)
-		apr_sleep(MS(LOOK_MS));
+		apr_sleep(MS(POLL_MS));
 	door_shut(k);
-	apr_sleep(MS(LATE_MS));
-	end_connections(k, plan.end + MS(ANSWERED_MS));
-	/* A controller that cannot give control back, for the store is away,
-	 * goes on with it as long as it may. */
+	apr_sleep(MS(FIRST_REQUEST_MS));
+	drain_connections(k, plan.end + MS(ANSWER_TRANSIT_MS));
+	/* A controller that cannot release control, as the store is
+	 * unavailable, keeps it until the end of the plan. */
 	left = plan.end - clock_mono();
 	if (left > 0)
 		kernel_wait(k, "control", (int)(left / 1000));
-	log_line(LOG_NOTICE, "kernel", "Stopped, %d calls under way.",
+	log_line(LOG_NOTICE, "kernel", "Stopped, %d calls in flight.",
 	    door_inflight());
 }
 
-/* What of the settings can change while the daemon runs. */
+/* True if nothing outside [bounds] differs; only that may change at runtime. */
 static int
-same_but_bounds(const struct conf *a, const struct conf *b)
+differs_only_in_bounds(const struct conf *a, const struct conf *b)
 {
 	struct conf c = *b;
 
@@ -196,50 +198,51 @@
 	return (memcmp(a, &c, sizeof(c)) == 0);
 }
 
-/* Reports one fault of settings that are read again. */
+/* Logs one error in settings that are reloaded. */
 static void
-bad_again(const char *name, int line, const char *what)
+log_setting_error(const char *name, int line, const char *what)
 {
 	log_line(LOG_ERR, "kernel", "%s:%d: %s", name, line, what);
 }
 
 /*
- * Reads the settings again.  What is faulty, or cannot change without a start,
- * is refused as a whole and the earlier stay.  They are not freed: threads
+ * Reloads the settings.  A file with an error, or with a change that needs a
+ * restart, is rejected as a whole.  Replaced settings are not freed: threads
  * read them without a lock, and changes are rare.
  */
 static void
-read_again(struct kernel *k)
+reload_settings(struct kernel *k)
 {
-	const struct conf *was = kernel_conf(k);
+	const struct conf *old = kernel_conf(k);
 	struct conf *c;
 
 	c = calloc(1, sizeof(*c));
-	if (c == NULL || conf_read(c, file, bad_again) != 0) {
+	if (c == NULL || conf_read(c, file, log_setting_error) != 0) {
 		log_line(LOG_ERR, "kernel",
-		    "Settings refused, the earlier stay in force.");
+		    "Settings rejected, the previous ones stay in use.");
 		free(c);
 		return;
 	}
-	if (!same_but_bounds(was, c)) {
+	if (!differs_only_in_bounds(old, c)) {
 		log_line(LOG_WARNING, "kernel",
-		    "Settings changed beyond [bounds]: that needs a start; the "
-		    "earlier stay in force.");
+		    "Settings outside [bounds] changed, which needs a restart; "
+		    "the previous ones stay in use.");
 		free(c);
 		return;
 	}
-	if (memcmp(was, c, sizeof(*c)) == 0) {
-		log_line(LOG_INFO, "kernel", "Settings read, nothing changed.");
+	if (memcmp(old, c, sizeof(*c)) == 0) {
+		log_line(
+		    LOG_INFO, "kernel", "Settings reloaded, nothing changed.");
 		free(c);
 		return;
 	}
 	kernel_set_conf(k, c);
-	log_line(LOG_NOTICE, "kernel", "Settings changed, in force.");
+	log_line(LOG_NOTICE, "kernel", "Settings reloaded.");
 }
 
-/* When the settings file was changed last, in nanoseconds. */
+/* Modification time of the settings file in nanoseconds, 0 on error. */
 static long long
-changed_at(void)
+settings_mtime(void)
 {
 	struct stat st;
 
@@ -248,23 +251,23 @@
 	return (st.st_mtim.tv_sec * 1000000000ll + st.st_mtim.tv_nsec);
 }
 
-/* Waits for the signal to stop; reads changed settings meanwhile. */
+/* Waits for a signal to stop; reloads the settings on SIGHUP or a change. */
 static void
 wait_for_stop(struct kernel *k, const sigset_t *set)
 {
-	static const struct timespec look = {1, 0};
-	long long at = changed_at(), now;
+	static const struct timespec poll_interval = {1, 0};
+	long long mtime = settings_mtime(), now;
 	int sig;
 
 	for (;;) {
-		sig = sigtimedwait(set, NULL, &look);
+		sig = sigtimedwait(set, NULL, &poll_interval);
 		if (sig == SIGTERM || sig == SIGINT)
 			return;
-		now = changed_at();
-		if (sig != SIGHUP && (now == 0 || now == at))
+		now = settings_mtime();
+		if (sig != SIGHUP && (now == 0 || now == mtime))
 			continue;
-		at = now;
-		read_again(k);
+		mtime = now;
+		reload_settings(k);
 	}
 }
 
@@ -279,7 +282,7 @@
 
 	argp_parse(&argp, argc, argv, 0, NULL, NULL);
 	platform_settings();
-	if (conf_read(&conf, file, bad_setting) != 0)
+	if (conf_read(&conf, file, print_setting_error) != 0)
 		return (1);
 	if (check_only)
 		return (0);
@@ -292,7 +295,7 @@
 	signal(SIGPIPE, SIG_IGN);
 	if (apr_initialize() != APR_SUCCESS)
 		return (1);
-	/* No TLS: all that is called here is plain HTTP. */
+	/* No TLS: the daemon makes plain HTTP calls only. */
 	curl_global_init(CURL_GLOBAL_NOTHING);
 	if (event_open() != 0 || (k = kernel_new(&conf)) == NULL)
 		goto out;
@@ -309,7 +312,7 @@
 	if (conf.form == FORM_OBJECTS)
 		stop_objects(k);
 	else
-		stop(k);
+		stop_native(k);
 	res = 0;
 quit:
 	kernel_quit(k);
