--- a/gspard/admin.c
+++ b/gspard/admin.c
@@ -65,7 +65,7 @@
 
 /* The stored events from a sequence number on; the caller frees the text. */
 static char *
-events(struct service *s, const char *from)
+events_text(struct service *s, const char *from)
 {
 	json_t *o, *a = json_array();
 	uint64_t next;
@@ -91,7 +91,7 @@
 	if (strcmp(url, "/v1/catalogue") == 0)
 		return (query_control(s, "catalogue", NULL, NULL));
 	if (strcmp(url, "/v1/events") == 0)
-		return (events(s,
+		return (events_text(s,
 		    MHD_lookup_connection_value(
 			conn, MHD_GET_ARGUMENT_KIND, "from")));
 	if (strcmp(url, "/metrics") == 0)
@@ -110,7 +110,7 @@
 
 /* Request handler of libmicrohttpd; only GET is allowed. */
 static enum MHD_Result
-handle(void *cls, struct MHD_Connection *conn, const char *url,
+handle_request(void *cls, struct MHD_Connection *conn, const char *url,
     const char *method, const char *version, const char *data, size_t *size,
     void **state)
 {
@@ -165,8 +165,8 @@
 	sin.sin_port = htons((uint16_t)port);
 	a->daemon = MHD_start_daemon(MHD_USE_THREAD_PER_CONNECTION |
 		MHD_USE_INTERNAL_POLLING_THREAD | MHD_USE_POLL,
-	    (uint16_t)port, NULL, NULL, handle, s, MHD_OPTION_SOCK_ADDR, &sin,
-	    MHD_OPTION_LISTENING_ADDRESS_REUSE, 1u,
+	    (uint16_t)port, NULL, NULL, handle_request, s, MHD_OPTION_SOCK_ADDR,
+	    &sin, MHD_OPTION_LISTENING_ADDRESS_REUSE, 1u,
 	    MHD_OPTION_CONNECTION_TIMEOUT, 10u, MHD_OPTION_CONNECTION_LIMIT,
 	    64u, MHD_OPTION_END);
 	if (a->daemon == NULL) {
--- a/gspard/ctl_catalogue.c
+++ b/gspard/ctl_catalogue.c
@@ -76,7 +76,7 @@
 
 /* Sends the current entries to the daemon's other services. */
 static void
-publish(struct service *s)
+publish_catalogue(struct service *s)
 {
 	static const char *const receivers[] = {"router", "dispatch", "door"};
 	struct control *c = s->state;
@@ -147,8 +147,8 @@
  * back.
  */
 static void
-adopt(struct service *s, const char *service, uint64_t version, const void *p,
-    size_t n, usec now)
+adopt_entry(struct service *s, const char *service, uint64_t version,
+    const void *p, size_t n, usec now)
 {
 	struct control *c = s->state;
 	struct catalogue_entry *h = add_entry(c, service);
@@ -183,7 +183,7 @@
 	    (unsigned long long)version);
 	log_line(LOG_INFO, "catalogue", "Entry %s version %llu in force.",
 	    service, (unsigned long long)version);
-	publish(s);
+	publish_catalogue(s);
 	configure_cells(s, e);
 }
 
@@ -240,7 +240,7 @@
 	}
 	h = find_entry(c, name);
 	if (st->status == 200)
-		adopt(s, name, st->version, st->body.p, st->body.n, now);
+		adopt_entry(s, name, st->version, st->body.p, st->body.n, now);
 	else if (h != NULL)
 		h->last_requested = h->version;
 }
@@ -332,7 +332,7 @@
 catalogue_handle_entry(
     struct service *s, const Gspar__CatalogueEntry *e, usec now)
 {
-	adopt(s, e->service, e->version, e->json.data, e->json.len, now);
+	adopt_entry(s, e->service, e->version, e->json.data, e->json.len, now);
 }
 
 /* Requests what this host lacks if the controller's digest is different. */
--- a/gspard/ctl_status.c
+++ b/gspard/ctl_status.c
@@ -63,7 +63,7 @@
 
 /* The status of this host and all its cells. */
 static json_t *
-status(struct service *s, usec now)
+host_status(struct service *s, usec now)
 {
 	struct control *c = s->state;
 	const struct conf *conf = kernel_conf(s->kernel);
@@ -97,7 +97,7 @@
 
 /* The owner of a key, with the view that says so. */
 static json_t *
-owner(struct control *c, const char *service, const char *key)
+owner_status(struct control *c, const char *service, const char *key)
 {
 	const Gspar__ServiceView *sv;
 	const char *target, *host;
@@ -137,7 +137,7 @@
 
 /* The current catalogue entries with their versions. */
 static json_t *
-catalogue(const struct control *c)
+catalogue_status(const struct control *c)
 {
 	json_t *o, *e;
 	int i;
@@ -163,11 +163,11 @@
 	json_t *o;
 
 	if (strcmp(q->kind, "owner") == 0)
-		o = owner(c, q->service, q->key);
+		o = owner_status(c, q->service, q->key);
 	else if (strcmp(q->kind, "catalogue") == 0)
-		o = catalogue(c);
+		o = catalogue_status(c);
 	else
-		o = status(s, now);
+		o = host_status(s, now);
 	q->text = json_dumps(o, JSON_INDENT(1));
 	json_decref(o);
 	__atomic_store_n(&q->done, 1, __ATOMIC_RELEASE);
--- a/gspard/gspard.c
+++ b/gspard/gspard.c
@@ -46,7 +46,7 @@
 
 /* Reads one option. */
 static error_t
-parse(int key, char *arg, struct argp_state *st)
+parse_option(int key, char *arg, struct argp_state *st)
 {
 	switch (key) {
 	case 'f':
@@ -71,7 +71,7 @@
 	return (0);
 }
 
-static const struct argp argp = {options, parse, NULL,
+static const struct argp argp = {options, parse_option, NULL,
     "Routes callers' requests to the servers that own their keys.", 0, 0, 0};
 
 /* Prints one error in the settings. */
