--- a/gspard/ctl_status.c
+++ b/gspard/ctl_status.c
@@ -126,7 +126,7 @@
 	target = view_owner(sv, n);
 	if (target == NULL)
 		return (json_pack("{s:i, s:s, s:s}", "shard", (int)shard,
-		    "cell", cc->name, "error", "the shard has no owner"));
+		    "cell", cc->name, "error", "nobody owns the shard"));
 	host = view_dispatcher(v, target);
 	return (json_pack("{s:i, s:s, s:s, s:s, s:I, s:s, s:I, s:I}", "shard",
 	    (int)shard, "cell", cc->name, "target", target, "dispatcher",
