--- a/regress/unit/readers.c
+++ b/regress/unit/readers.c
@@ -1,7 +1,7 @@
 /*
- * Readers of bytes from outside: the store's answers and what is in them,
- * settings, frames of peers, heads of callers' requests.  Each ends the program
- * where what it read breaks what its users rely on.
+ * Parsers of external input: the store's responses and the objects in them,
+ * settings, frames of peers, headers of callers' requests.  Each reader aborts
+ * if a parsed result violates what its users rely on.
  */
 #include <stdio.h>
 #include <stdlib.h>
@@ -56,20 +56,20 @@
 	"127.0.0.1:1\nready = 127.0.0.1:2\npeers = 127.0.0.1:3\nadmin = "      \
 	"127.0.0.1:4\n[platform]\nform = objects\naddress = "                  \
 	"127.0.0.1:5\n[bounds]\nheartbeat = 900ms\nmax_hold = 10s\n"
-#define HEADS                                                                  \
+#define REQUEST_TEXT                                                           \
 	"/x/1?q=2\nHost: a.example:80\nX-Request-Id: 9c41d07b\n"               \
 	"X-Deadline-Ms: 800\nX-Shard-Key: 4711\nContent-Length: 5\n"           \
 	"Accept: \nX-Other: value\n"
 
-/* Ends the program where something does not hold. */
+/* Aborts if a condition is false. */
 static void
-require(int holds)
+require(int condition)
 {
-	if (!holds)
+	if (!condition)
 		abort();
 }
 
-/* Reads what a call to the store answered, and each object in it. */
+/* Decodes a response of the store, and each object in it. */
 static void
 read_answer(enum store_op op, const char *p, size_t n)
 {
@@ -141,53 +141,55 @@
 {
 }
 
-static const struct keys_callbacks nothing = {
+static const struct keys_callbacks no_callbacks = {
     no_get, no_put, no_order, no_event};
 static struct keys keys;
 
-/* A controller takes over with what the store holds: whatever that is, its
- * ranges cover all keys in order. */
+/* A controller takes over with the owners in the store: whatever they are,
+ * its ranges cover all keys in order. */
 static void
 read_owners(const char *p, size_t n)
 {
 	static const struct keys_conf conf = {
 	    MS(3000), MS(1000), MS(1500), MS(500), 0, 0};
-	uint32_t at = 0;
+	uint32_t next_key = 0;
 	int i;
 
 	keys_free(&keys);
-	keys_init(&keys, "s", &conf, &nothing, NULL);
+	keys_init(&keys, "s", &conf, &no_callbacks, NULL);
 	keys_begin(&keys, 2, MS(1));
 	keys_tick(&keys, MS(2));
 	keys_get_done(&keys, MS(3), 1, 5, p, n);
 	require(keys.nranges > 0);
 	for (i = 0; i < keys.nranges; i++) {
-		require(keys.ranges[i].from == at && keys.ranges[i].to >= at);
-		at = keys.ranges[i].to + 1;
+		require(keys.ranges[i].from == next_key &&
+		    keys.ranges[i].to >= next_key);
+		next_key = keys.ranges[i].to + 1;
 	}
-	require(at == KEYS);
+	require(next_key == KEYS);
 }
 
-/* A control record that makes sense is written as it was read. */
+/* A valid control record is unchanged when encoded and decoded again. */
 static void
 read_record(const char *p, size_t n)
 {
 	struct str body = {(char *)p, n}, text = {NULL, 0};
-	struct control_record r, again;
+	struct control_record r, decoded;
 
 	if (record_read(&body, &r) != 0)
 		return;
 	record_write(&r, &text);
-	require(record_read(&text, &again) == 0);
-	require(memcmp(&r, &again, sizeof(r)) == 0);
+	require(record_read(&text, &decoded) == 0);
+	require(memcmp(&r, &decoded, sizeof(r)) == 0);
 	str_free(&text);
 }
 
-/* A list of quarantined contents that makes sense is written as it was read. */
+/* A valid list of quarantined contents is unchanged when encoded and decoded
+ * again. */
 static void
 read_quarantine(const char *p, size_t n)
 {
-	struct quarantine_list l, again;
+	struct quarantine_list l, decoded;
 	struct str body = {(char *)p, n}, text = {NULL, 0};
 
 	if (quarantine_read(&body, &l, 0) != 0) {
@@ -195,24 +197,25 @@
 		return;
 	}
 	quarantine_write(&l, &text, 0);
-	require(quarantine_read(&text, &again, 0) == 0);
-	require(again.n == l.n &&
-	    quarantine_checksum(&again) == quarantine_checksum(&l));
+	require(quarantine_read(&text, &decoded, 0) == 0);
+	require(decoded.n == l.n &&
+	    quarantine_checksum(&decoded) == quarantine_checksum(&l));
 	str_free(&text);
 }
 
-/* Reads what a frame says; of a configuration also what it makes of another. */
+/* Decodes the body of a frame; a site configuration is also applied to its
+ * base version. */
 static void
-read_body(Gspar__Frame *f)
+read_frame_body(Gspar__Frame *f)
 {
-	struct site *t, *was;
+	struct site *t, *base_site;
 
 	if (f != NULL && f->body_case == GSPAR__FRAME__BODY_SITE_TOLD &&
 	    (t = site_frame_read(f->site_told)) != NULL) {
-		was = site_new(0);
-		was->version = t->since;
-		site_free(site_apply(was, t));
-		site_free(was);
+		base_site = site_new(0);
+		base_site->version = t->since;
+		site_free(site_apply(base_site, t));
+		site_free(base_site);
 		site_free(t);
 	}
 	frame_free(f);
@@ -225,7 +228,8 @@
 
 	if (n >= FRAME_HEAD && frame_size((const uint8_t *)p, &size) == 0 &&
 	    size <= n - FRAME_HEAD)
-		read_body(frame_unpack((const uint8_t *)p + FRAME_HEAD, size));
+		read_frame_body(
+		    frame_unpack((const uint8_t *)p + FRAME_HEAD, size));
 }
 
 static void
@@ -233,7 +237,7 @@
 {
 }
 
-/* Settings come from a file. */
+/* Reads settings, from a temporary file. */
 static void
 read_settings(const char *p, size_t n)
 {
@@ -251,60 +255,61 @@
 	unlink(path);
 }
 
-/* The headers of the request that is read now. */
-#define HEADS_MOST 16
-static char *names[HEADS_MOST], *values[HEADS_MOST];
-static int nheads;
+/* Headers of the request that is being parsed. */
+#define HEADERS_MAX 16
+static char *header_names[HEADERS_MAX], *header_values[HEADERS_MAX];
+static int nheaders;
 
-/* In the place of the HTTP library's: a header by its name. */
+/* Replaces the function of libmicrohttpd: returns a header by its name. */
 const char *
 MHD_lookup_connection_value(
     struct MHD_Connection *conn, enum MHD_ValueKind kind, const char *name)
 {
 	int i;
 
-	for (i = 0; i < nheads; i++) {
-		if (strcasecmp(names[i], name) == 0)
-			return (values[i]);
+	for (i = 0; i < nheaders; i++) {
+		if (strcasecmp(header_names[i], name) == 0)
+			return (header_values[i]);
 	}
 	return (NULL);
 }
 
-/* In the place of the HTTP library's: all headers. */
+/* Replaces the function of libmicrohttpd: iterates over all headers. */
 int
 MHD_get_connection_values(struct MHD_Connection *conn, enum MHD_ValueKind kind,
     MHD_KeyValueIterator fn, void *arg)
 {
 	int i;
 
-	for (i = 0; i < nheads; i++)
-		fn(arg, kind, names[i], values[i]);
-	return (nheads);
+	for (i = 0; i < nheaders; i++)
+		fn(arg, kind, header_names[i], header_values[i]);
+	return (nheaders);
 }
 
-/* Splits a text into the request's path and its headers, as a library would
- * that lets any bytes through but ends of lines. */
+/* Splits a text into the request's path and its headers, as a library does
+ * that accepts any bytes but line ends. */
 static void
-split_heads(char *text)
+split_request(char *text)
 {
 	char *line, *rest, *colon;
 
-	nheads = 0;
+	nheaders = 0;
 	strtok_r(text, "\r\n", &rest);
 	while ((line = strtok_r(NULL, "\r\n", &rest)) != NULL &&
-	    nheads < HEADS_MOST) {
+	    nheaders < HEADERS_MAX) {
 		colon = strchr(line, ':');
 		if (colon == NULL || colon == line)
 			continue;
 		*colon++ = '\0';
-		names[nheads] = line;
-		values[nheads++] = colon + strspn(colon, " ");
+		header_names[nheaders] = line;
+		header_values[nheaders++] = colon + strspn(colon, " ");
 	}
 }
 
-/* A caller's request is read, and sent on to a target. */
+/* Parses a caller's request and formats the headers of the request to a
+ * target. */
 static void
-read_heads(const char *p, size_t n)
+read_request(const char *p, size_t n)
 {
 	const char *why;
 	json_t *o = json_loads(CONFIG, 0, NULL);
@@ -313,7 +318,7 @@
 	struct call c;
 
 	memset(&c, 0, sizeof(c));
-	split_heads(text);
+	split_request(text);
 	c.uri = text;
 	if (objects_door.parse(&c, t) == GS_OK) {
 		require(c.key_number >= -1 && c.key_number < KEYS);
@@ -326,21 +331,21 @@
 	json_decref(o);
 }
 
-/* Copies a sample that is text. */
+/* Copies a text sample. */
 static size_t
-put(char *to, size_t room, const char *text)
+copy_sample(char *to, size_t capacity, const char *text)
 {
 	size_t n = strlen(text);
 
-	require(n <= room);
+	require(n <= capacity);
 	memcpy(to, text, n);
 	return (n);
 }
 
 #define TEXT_SAMPLE(fn, text)                                                  \
-	static size_t fn(char *to, size_t room)                                \
+	static size_t fn(char *to, size_t capacity)                            \
 	{                                                                      \
-		return (put(to, room, text));                                  \
+		return (copy_sample(to, capacity, text));                      \
 	}
 TEXT_SAMPLE(page_sample, PAGE)
 TEXT_SAMPLE(events_sample, EVENTS)
@@ -350,25 +355,25 @@
 TEXT_SAMPLE(record_sample, RECORD)
 TEXT_SAMPLE(quarantine_sample, QUARANTINE)
 TEXT_SAMPLE(settings_sample, SETTINGS)
-TEXT_SAMPLE(heads_sample, HEADS)
+TEXT_SAMPLE(request_sample, REQUEST_TEXT)
 
-/* Copies a frame. */
+/* Copies a sample frame, encoded. */
 static size_t
-put_frame(char *to, size_t room, const Gspar__Frame *f)
+copy_frame(char *to, size_t capacity, const Gspar__Frame *f)
 {
 	struct bytes b;
 	size_t n;
 
-	require(frame_pack(&b, f) == 0 && b.n <= room);
+	require(frame_pack(&b, f) == 0 && b.n <= capacity);
 	memcpy(to, b.p, b.n);
 	n = b.n;
 	free(b.p);
 	return (n);
 }
 
-/* Who owns what, as the controller tells. */
+/* Owners of keys, as the controller broadcasts them. */
 static size_t
-told_sample(char *to, size_t room)
+owners_frame_sample(char *to, size_t capacity)
 {
 	Gspar__Frame f = GSPAR__FRAME__INIT;
 	Gspar__Owners o = GSPAR__OWNERS__INIT;
@@ -386,12 +391,12 @@
 	o.n_services = 1;
 	f.body_case = GSPAR__FRAME__BODY_OWNERS;
 	f.owners = &o;
-	return (put_frame(to, room, &f));
+	return (copy_frame(to, capacity, &f));
 }
 
-/* What a host reports. */
+/* A host's report to the controller. */
 static size_t
-report_sample(char *to, size_t room)
+report_frame_sample(char *to, size_t capacity)
 {
 	Gspar__Frame f = GSPAR__FRAME__INIT;
 	Gspar__HostReport r = GSPAR__HOST_REPORT__INIT;
@@ -400,12 +405,12 @@
 	r.dc = (char *)"z";
 	f.body_case = GSPAR__FRAME__BODY_HOST_REPORT;
 	f.host_report = &r;
-	return (put_frame(to, room, &f));
+	return (copy_frame(to, capacity, &f));
 }
 
-/* A configuration that changed. */
+/* A difference to a site configuration. */
 static size_t
-site_sample(char *to, size_t room)
+site_frame_sample(char *to, size_t capacity)
 {
 	Gspar__Frame f = GSPAR__FRAME__INIT;
 	Gspar__SiteTold w = GSPAR__SITE_TOLD__INIT;
@@ -429,7 +434,7 @@
 	w.n_rules = 2;
 	f.body_case = GSPAR__FRAME__BODY_SITE_TOLD;
 	f.site_told = &w;
-	return (put_frame(to, room, &f));
+	return (copy_frame(to, capacity, &f));
 }
 
 const struct reader readers[] = {
@@ -441,9 +446,9 @@
     {"record", read_record, record_sample},
     {"quarantine", read_quarantine, quarantine_sample},
     {"settings", read_settings, settings_sample},
-    {"heads", read_heads, heads_sample},
-    {"told", read_frame, told_sample},
-    {"report", read_frame, report_sample},
-    {"site", read_frame, site_sample},
+    {"heads", read_request, request_sample},
+    {"told", read_frame, owners_frame_sample},
+    {"report", read_frame, report_frame_sample},
+    {"site", read_frame, site_frame_sample},
 };
 const int nreaders = sizeof(readers) / sizeof(readers[0]);
--- a/regress/unit/readers.h
+++ b/regress/unit/readers.h
@@ -1,4 +1,4 @@
-/* What reads bytes from outside, for fuzzing: each takes any bytes at all. */
+/* Parsers of external input, for fuzzing; each accepts any bytes. */
 #ifndef READERS_H
 #define READERS_H
 
@@ -7,8 +7,8 @@
 struct reader {
 	const char *name;
 	void (*read)(const char *, size_t);
-	/* Something that it reads well, to begin with. */
-	size_t (*sample)(char *, size_t room);
+	/* Writes valid input to start from; returns its length. */
+	size_t (*sample)(char *, size_t size);
 };
 
 extern const struct reader readers[];
--- a/regress/unit/t_fuzz.c
+++ b/regress/unit/t_fuzz.c
@@ -1,7 +1,8 @@
 /*
- * Decoders against bytes from anywhere: whatever another writer puts into the
- * store, or a peer sends, is read or refused, and never read beyond its end.
- * Run with sanitizers by `make check`; FUZZ_ROUNDS and FUZZ_SEED make it long.
+ * Feeds mutated input to the parsers: whatever another writer puts into the
+ * store, or a peer sends, is parsed or refused, and never read beyond its end.
+ * `make check` runs this with sanitizers; FUZZ_ROUNDS and FUZZ_SEED set the
+ * number of mutations and the seed.
  */
 #include <glob.h>
 #include <stdint.h>
@@ -14,20 +15,20 @@
 
 #define ROUNDS 3000
 #define INPUT_MAX 8192
-#define MUTATIONS_MOST 6
+#define MUTATIONS_MAX 6
 
 static uint64_t seed;
 
-/* A number below a bound. */
+/* Returns a pseudo-random number below the bound. */
 static size_t
-draw(size_t below)
+random_below(size_t bound)
 {
 	seed = seed * 6364136223846793005u + 1442695040888963407u;
-	return (below == 0 ? 0 : (size_t)(seed >> 33) % below);
+	return (bound == 0 ? 0 : (size_t)(seed >> 33) % bound);
 }
 
-/* Bytes that decoders have gone wrong on elsewhere. */
-static const char *const odd[] = {"null", "-1", "1e999", "[]", "{}", "\"\"",
+/* Fragments that often make parsers fail. */
+static const char *const tokens[] = {"null", "-1", "1e999", "[]", "{}", "\"\"",
     "99999999999999999999", "-9223372036854775808", "4294967296", "0.5",
     "\"\\u0000\"", "\"\\ud800\"", "\xff\xfe", "\xc3", "]", "}", "\"", "\\",
     "[[[[[[[[", "{\"a\":{\"a\":{\"a\":", "true", "\"draining\"", ",", ":"};
@@ -37,29 +38,30 @@
 	size_t n;
 };
 
-/* Puts bytes in the place of others. */
+/* Replaces old_len bytes by others; does nothing if the result does not fit. */
 static void
-splice(struct input *in, size_t at, size_t cut, const char *p, size_t n)
+splice(struct input *in, size_t at, size_t old_len, const char *p, size_t n)
 {
-	if (at + cut > in->n || in->n - cut + n > sizeof(in->p))
+	if (at + old_len > in->n || in->n - old_len + n > sizeof(in->p))
 		return;
-	memmove(in->p + at + n, in->p + at + cut, in->n - at - cut);
+	memmove(in->p + at + n, in->p + at + old_len, in->n - at - old_len);
 	memcpy(in->p + at, p, n);
-	in->n = in->n - cut + n;
+	in->n = in->n - old_len + n;
 }
 
-/* Changes an input in one way or another. */
+/* Applies one random mutation to an input. */
 static void
 mutate(struct input *in)
 {
-	size_t at = draw(in->n + 1), len = draw(in->n - at + 1);
-	const char *s = odd[draw(sizeof(odd) / sizeof(odd[0]))];
+	size_t at = random_below(in->n + 1), len = random_below(in->n - at + 1);
+	const char *s =
+	    tokens[random_below(sizeof(tokens) / sizeof(tokens[0]))];
 	char copy[256];
 
-	switch (draw(6)) {
+	switch (random_below(6)) {
 	case 0:
 		if (in->n > 0)
-			in->p[draw(in->n)] = (char)draw(256);
+			in->p[random_below(in->n)] = (char)random_below(256);
 		break;
 	case 1:
 		splice(in, at, 0, s, strlen(s));
@@ -70,7 +72,7 @@
 	case 3:
 		len = len < sizeof(copy) ? len : sizeof(copy);
 		memcpy(copy, in->p + at, len);
-		splice(in, draw(in->n + 1), 0, copy, len);
+		splice(in, random_below(in->n + 1), 0, copy, len);
 		break;
 	case 4:
 		in->n = at;
@@ -81,9 +83,10 @@
 	}
 }
 
-/* Gives bytes to a reader in memory of just their size. */
+/* Runs a reader on a copy of exactly the input's size, so that the sanitizer
+ * sees any overrun. */
 static void
-feed(const struct reader *r, const char *p, size_t n)
+run_reader(const struct reader *r, const char *p, size_t n)
 {
 	char *exact = malloc(n > 0 ? n : 1);
 
@@ -92,38 +95,40 @@
 	free(exact);
 }
 
-/* Gives a reader mutations of its sample. */
+/* Runs a reader on mutations of its sample. */
 static void
-fuzz(const struct reader *r)
+fuzz_reader(const struct reader *r)
 {
-	const char *more = getenv("FUZZ_ROUNDS"), *s = getenv("FUZZ_SEED");
-	long i, rounds = more == NULL ? ROUNDS : atol(more);
+	const char *rounds_env = getenv("FUZZ_ROUNDS"),
+		   *seed_env = getenv("FUZZ_SEED");
+	long i, rounds = rounds_env == NULL ? ROUNDS : atol(rounds_env);
 	static struct input sample, in;
 	size_t k;
 
-	seed = s == NULL ? 7 : strtoull(s, NULL, 10);
+	seed = seed_env == NULL ? 7 : strtoull(seed_env, NULL, 10);
 	sample.n = r->sample(sample.p, sizeof(sample.p));
 	for (i = 0; i < rounds; i++) {
 		in = sample;
-		for (k = draw(MUTATIONS_MOST) + 1; k > 0; k--)
+		for (k = random_below(MUTATIONS_MAX) + 1; k > 0; k--)
 			mutate(&in);
-		feed(r, in.p, in.n);
+		run_reader(r, in.p, in.n);
 	}
 }
 
-/* Whatever is made of a sample is read or refused. */
+/* Every mutation of a sample is parsed or refused. */
 static void
 mutations(void)
 {
 	int i;
 
 	for (i = 0; i < nreaders; i++)
-		fuzz(&readers[i]);
+		fuzz_reader(&readers[i]);
 }
 
 /*
- * Inputs that are kept: those that ever failed, and what a coverage-guided
- * fuzzer found to reach more of the code.  Their names begin with the reader's.
+ * Runs the stored inputs: those that once failed, and those that a coverage-
+ * guided fuzzer found to reach more of the code.  A file's name begins with the
+ * reader's name.
  */
 static void
 corpus(void)
@@ -145,7 +150,7 @@
 		for (k = 0; k < nreaders; k++) {
 			if (strncmp(found.gl_pathv[i] + strlen(dir),
 				readers[k].name, strlen(readers[k].name)) == 0)
-				feed(&readers[k], bytes, n);
+				run_reader(&readers[k], bytes, n);
 		}
 	}
 	globfree(&found);
--- a/regress/unit/t_platform.c
+++ b/regress/unit/t_platform.c
@@ -1,4 +1,4 @@
-/* The platform's names, formats and calls, decoded and encoded. */
+/* Tests decoding and encoding of the platform's names, formats and calls. */
 #include <stdio.h>
 #include <stdlib.h>
 #include <string.h>
@@ -26,7 +26,7 @@
     "\"header_timeout\":\"3000ms\",\"idle_timeout\":\"15000ms\"}}}";
 
 static struct site *
-decode(const char *text)
+decode_config(const char *text)
 {
 	json_t *o = json_loads(text, 0, NULL);
 	const char *why;
@@ -39,7 +39,7 @@
 static void
 site(void)
 {
-	struct site *t = decode(config);
+	struct site *t = decode_config(config);
 	const struct rule *r;
 	struct str host = {(char *)"a.example", 9}, path = {(char *)"/x/1", 4};
 
@@ -64,17 +64,17 @@
 	site_free(t);
 }
 
-/* A configuration that makes no sense is refused whole. */
+/* An invalid configuration is refused as a whole. */
 static void
 bad_site(void)
 {
-	CU_ASSERT_PTR_NULL(decode("{\"spec\":{}}"));
-	CU_ASSERT_PTR_NULL(decode("{\"spec\":{\"routes\":{}}}"));
-	CU_ASSERT_PTR_NULL(
-	    decode("{\"spec\":{\"version\":\"01\",\"services\":{},"
-		   "\"routes\":{\"r\":{\"host\":\"a\",\"path_prefix\":\"/\","
-		   "\"service\":\"none\"}}}}"));
-	CU_ASSERT_PTR_NULL(decode("[]"));
+	CU_ASSERT_PTR_NULL(decode_config("{\"spec\":{}}"));
+	CU_ASSERT_PTR_NULL(decode_config("{\"spec\":{\"routes\":{}}}"));
+	CU_ASSERT_PTR_NULL(decode_config(
+	    "{\"spec\":{\"version\":\"01\",\"services\":{},"
+	    "\"routes\":{\"r\":{\"host\":\"a\",\"path_prefix\":\"/\","
+	    "\"service\":\"none\"}}}}"));
+	CU_ASSERT_PTR_NULL(decode_config("[]"));
 }
 
 static void
@@ -102,9 +102,10 @@
 	json_decref(o);
 }
 
-/* A whole entry, with one part of it replaced. */
+/* Decodes a valid entry in which one fragment is replaced. */
 static int
-entry(const char *part, const char *by, struct fleet_target *t)
+decode_edited_entry(
+    const char *old_text, const char *new_text, struct fleet_target *t)
 {
 	static const char whole[] =
 	    "{\"metadata\":{\"name\":\"i-1\"},\"spec\":{"
@@ -112,14 +113,14 @@
 	    "\"info\":{\"service\":\"s\",\"zone\":\"z\",\"slots\":4},"
 	    "\"status\":{\"state\":\"ready\",\"sequence\":3,"
 	    "\"cold_left\":\"0ms\"}}}";
-	const char *at = strstr(whole, part);
+	const char *match = strstr(whole, old_text);
 	char text[1024];
 	json_t *o;
 	int res;
 
-	CU_ASSERT_PTR_NOT_NULL_FATAL(at);
-	snprintf(text, sizeof(text), "%.*s%s%s", (int)(at - whole), whole, by,
-	    at + strlen(part));
+	CU_ASSERT_PTR_NOT_NULL_FATAL(match);
+	snprintf(text, sizeof(text), "%.*s%s%s", (int)(match - whole), whole,
+	    new_text, match + strlen(old_text));
 	o = json_loads(text, JSON_ALLOW_NUL, NULL);
 	CU_ASSERT_PTR_NOT_NULL_FATAL(o);
 	res = decode_target(o, "i-1", t);
@@ -128,27 +129,29 @@
 }
 
 /*
- * A target starts again under its id.  Its entry tells another start, and that
- * is another target to all who knew the earlier.
+ * A target restarts under its id.  Its entry has another start time, so it gets
+ * the name of a new incarnation, distinct from the earlier one.
  */
 static void
-started_again(void)
+restarted_target(void)
 {
 	struct fleet_target a, b;
 
-	CU_ASSERT_EQUAL(entry("1796262953676", "1796262953676", &a), 0);
+	CU_ASSERT_EQUAL(
+	    decode_edited_entry("1796262953676", "1796262953676", &a), 0);
 	CU_ASSERT_STRING_EQUAL(a.id, "i-1#1796262953676");
-	CU_ASSERT_EQUAL(entry("1796262953676", "1796262959000", &b), 0);
+	CU_ASSERT_EQUAL(
+	    decode_edited_entry("1796262953676", "1796262959000", &b), 0);
 	CU_ASSERT_STRING_NOT_EQUAL(a.id, b.id);
 }
 
 /*
- * Another writer has touched an entry: fields are missing, or of another type,
- * or say what no target says.  Taken at its word, an entry with a state that is
- * not known would be sent work, and one without slots counted as having one.
+ * Another writer has changed an entry: fields are missing, of another type or
+ * out of range.  If such entries were accepted, a target in an unknown state
+ * would be sent requests, and one without slots would count as having one.
  */
 static void
-foreign_entries(void)
+invalid_entries(void)
 {
 	static const char *const bad[][2] = {{"\"10.1.2.3:80\"", "7"},
 	    {"\"10.1.2.3:80\"", "\"there\""},
@@ -169,13 +172,13 @@
 	size_t i;
 
 	for (i = 0; i < sizeof(bad) / sizeof(bad[0]); i++) {
-		if (entry(bad[i][0], bad[i][1], &t) != -1)
+		if (decode_edited_entry(bad[i][0], bad[i][1], &t) != -1)
 			CU_FAIL(bad[i][1]);
 	}
 }
 
 static struct store *
-call(enum store_op op, const char *path)
+new_call(enum store_op op, const char *path)
 {
 	struct store *st = calloc(1, sizeof(*st));
 
@@ -185,7 +188,7 @@
 }
 
 static void
-drop(struct store *st)
+free_call(struct store *st)
 {
 	json_decref(st->parsed);
 	free(st->found);
@@ -194,29 +197,29 @@
 }
 
 static void
-put(uint64_t base, struct store_http *h)
+make_put(uint64_t base, struct store_http *h)
 {
-	struct store *st = call(STORE_PUT, "kind/name");
+	struct store *st = new_call(STORE_PUT, "kind/name");
 
 	st->base = base;
 	str_set(&st->body, "{\"a\":1}", 7);
 	objects_form.request(st, "h:1", h);
-	drop(st);
+	free_call(st);
 }
 
 static void
-writes(void)
+store_writes(void)
 {
 	struct store_http h;
 
 	memset(&h, 0, sizeof(h));
-	put(0, &h);
+	make_put(0, &h);
 	CU_ASSERT_STRING_EQUAL(h.method, "POST");
 	CU_ASSERT_STRING_EQUAL(h.url, "http://h:1/objects/kind");
 	CU_ASSERT_STRING_EQUAL(
 	    h.body.p, "{\"metadata\":{\"name\":\"name\"},\"spec\":{\"a\":1}}");
 	str_free(&h.body);
-	put(7, &h);
+	make_put(7, &h);
 	CU_ASSERT_STRING_EQUAL(h.method, "PUT");
 	CU_ASSERT_STRING_EQUAL(h.url, "http://h:1/objects/kind/name");
 	CU_ASSERT_PTR_NOT_NULL(strstr(h.body.p, "\"revision\":7"));
@@ -224,9 +227,9 @@
 }
 
 static struct store *
-answered(enum store_op op, int status, const char *body)
+decode_answer(enum store_op op, int status, const char *body)
 {
-	struct store *st = call(op, "kind");
+	struct store *st = new_call(op, "kind");
 
 	st->status = status;
 	str_set(&st->body, body, strlen(body));
@@ -235,39 +238,39 @@
 }
 
 static void
-reads(void)
+store_results(void)
 {
 	static const struct {
 		int status;
 		enum store_result result;
-	} by[] = {{409, STORE_CONFLICT}, {404, STORE_ABSENT},
+	} cases[] = {{409, STORE_CONFLICT}, {404, STORE_ABSENT},
 	    {410, STORE_FORGOTTEN}, {429, STORE_BUSY}, {503, STORE_DOWN}};
 	struct store *st;
 	size_t i;
 
-	for (i = 0; i < sizeof(by) / sizeof(by[0]); i++) {
-		st = answered(STORE_GET, by[i].status, "{}");
-		CU_ASSERT_EQUAL(st->result, by[i].result);
-		drop(st);
+	for (i = 0; i < sizeof(cases) / sizeof(cases[0]); i++) {
+		st = decode_answer(STORE_GET, cases[i].status, "{}");
+		CU_ASSERT_EQUAL(st->result, cases[i].result);
+		free_call(st);
 	}
-	st = answered(STORE_GET, 200,
+	st = decode_answer(STORE_GET, 200,
 	    "{\"metadata\":{\"name\":\"n\",\"revision\":9},\"spec\":{\"a\":1}}");
 	CU_ASSERT_EQUAL(st->result, STORE_DONE);
 	CU_ASSERT_EQUAL(st->version, 9);
 	CU_ASSERT_STRING_EQUAL(st->body.p, "{\"a\":1}");
-	drop(st);
-	/* Cut short: what it says is not known. */
-	st = answered(STORE_PUT, 200, "{\"metadata\":{\"na");
+	free_call(st);
+	/* Truncated: the outcome is unknown. */
+	st = decode_answer(STORE_PUT, 200, "{\"metadata\":{\"na");
 	CU_ASSERT_EQUAL(st->result, STORE_SILENT);
-	drop(st);
+	free_call(st);
 }
 
 static void
-lists(void)
+lists_and_watches(void)
 {
 	struct store *st;
 
-	st = answered(STORE_LIST, 200,
+	st = decode_answer(STORE_LIST, 200,
 	    "{\"items\":[{\"metadata\":{\"name\":\"a\",\"revision\":1}},"
 	    "{\"metadata\":{\"name\":\"b\",\"revision\":2}}],"
 	    "\"has_more\":true,\"current_rev\":44}");
@@ -275,23 +278,24 @@
 	CU_ASSERT_STRING_EQUAL(st->found[1].name, "b");
 	CU_ASSERT(st->more);
 	CU_ASSERT_EQUAL(st->version, 44);
-	drop(st);
-	st = answered(STORE_WATCH, 200,
+	free_call(st);
+	st = decode_answer(STORE_WATCH, 200,
 	    "{\"events\":[{\"deleted\":true,\"object\":{\"metadata\":{"
 	    "\"name\":\"a\",\"revision\":50}}}],\"current_rev\":51}");
 	CU_ASSERT_EQUAL(st->nfound, 1);
 	CU_ASSERT(st->found[0].deleted);
 	CU_ASSERT_EQUAL(st->version, 51);
-	drop(st);
+	free_call(st);
 }
 
 /*
- * One object of a page is not even JSON.  Refused whole, the page would leave a
- * host without any target, and a watch would ask in vain for ever.  The others
- * hold; of the odd one its name is kept, for it may have been a target's.
+ * One object of a page is not valid JSON.  If the whole page were refused, a
+ * host would be without any target, and a watch would be repeated for ever.
+ * The other objects are used; the invalid one keeps its name, as it may be a
+ * target's.
  */
 static void
-unreadable_objects(void)
+unreadable_list_items(void)
 {
 	static const char items[] =
 	    "{\"items\":[{\"metadata\":{\"name\":\"a\",\"revision\":1},"
@@ -302,7 +306,7 @@
 	    "{\"n\":99999999999999999999999}},"
 	    "{\"metadata\":{\"name\":\"d\",\"revision\":4},\"spec\":{}}],"
 	    "\"has_more\":true,\"current_rev\":44}";
-	struct store *st = answered(STORE_LIST, 200, items);
+	struct store *st = decode_answer(STORE_LIST, 200, items);
 
 	CU_ASSERT_EQUAL(st->result, STORE_DONE);
 	CU_ASSERT_EQUAL_FATAL(st->nfound, 4);
@@ -310,8 +314,8 @@
 	CU_ASSERT_STRING_EQUAL(st->found[3].name, "d");
 	CU_ASSERT(st->more);
 	CU_ASSERT_EQUAL(st->version, 44);
-	drop(st);
-	st = answered(STORE_WATCH, 200,
+	free_call(st);
+	st = decode_answer(STORE_WATCH, 200,
 	    "{\"events\":[{\"object\":{\"metadata\":{\"name\":\"a\"},"
 	    "\"spec\":\"\xc3\"},\"deleted\":false},{\"deleted\":true,"
 	    "\"object\":{\"metadata\":{\"name\":\"b\"}}}],"
@@ -321,59 +325,61 @@
 	CU_ASSERT_STRING_EQUAL(st->found[0].name, "a");
 	CU_ASSERT(!st->found[0].deleted && st->found[1].deleted);
 	CU_ASSERT_EQUAL(st->version, 51);
-	drop(st);
-	/* A name with a zero byte in it is not that of what comes before. */
-	st = answered(STORE_LIST, 200,
+	free_call(st);
+	/* A name with a NUL byte is not truncated to another object's name. */
+	st = decode_answer(STORE_LIST, 200,
 	    "{\"items\":[{\"metadata\":{\"name\":\"a\\u0000b\"}}],"
 	    "\"has_more\":false,\"current_rev\":44}");
 	CU_ASSERT_EQUAL(st->nfound, 0);
-	drop(st);
-	/* Cut short, it is no list: what it lacks is not gone. */
-	st = answered(STORE_LIST, 200,
+	free_call(st);
+	/* A truncated list is refused: what is missing from it is not
+	 * deleted. */
+	st = decode_answer(STORE_LIST, 200,
 	    "{\"items\":[{\"metadata\":{\"name\":\"a\"}},{\"metad");
 	CU_ASSERT_EQUAL(st->result, STORE_SILENT);
 	CU_ASSERT_EQUAL(st->nfound, 0);
-	drop(st);
+	free_call(st);
 }
 
 /*
- * An object of ours that another has written, in bytes that cannot be read: it
- * is there, with its revision and nothing in it, so that it can be written
- * anew.  Taken for an answer that did not come, it was asked for again for
- * ever: nobody took control, or no key of its service was granted.  Cut short,
- * an answer says nothing.
+ * Another writer has overwritten one of gspard's objects with bytes that cannot
+ * be parsed.  The object is returned with its revision and an empty value, so
+ * that it can be written anew.  When this was treated as a missing response,
+ * the read was repeated for ever: no host took control, or no key of the
+ * service was granted.  A truncated response is treated as missing.
  */
 static void
 unreadable_object(void)
 {
 	struct store *st;
 
-	st = answered(STORE_GET, 200,
+	st = decode_answer(STORE_GET, 200,
 	    "{\"metadata\":{\"name\":\"main\",\"revision\":7},"
 	    "\"spec\":\"\xff\xfe }{\",\"status\":null} ");
 	CU_ASSERT_EQUAL(st->result, STORE_DONE);
 	CU_ASSERT_EQUAL(st->version, 7);
 	CU_ASSERT_EQUAL(st->body.n, 0);
-	drop(st);
-	st = answered(STORE_GET, 200,
+	free_call(st);
+	st = decode_answer(STORE_GET, 200,
 	    "{\"spec\":\"\xff\",\"metadata\":{\"name\":\"main\",\"rev");
 	CU_ASSERT_EQUAL(st->result, STORE_SILENT);
-	drop(st);
-	st = answered(
+	free_call(st);
+	st = decode_answer(
 	    STORE_GET, 200, "{\"metadata\":{\"name\":\"main\",\"revision\":7}");
 	CU_ASSERT_EQUAL(st->result, STORE_SILENT);
-	drop(st);
-	st = answered(STORE_GET, 200, "[7]");
+	free_call(st);
+	st = decode_answer(STORE_GET, 200, "[7]");
 	CU_ASSERT_EQUAL(st->result, STORE_SILENT);
-	drop(st);
-	st = answered(STORE_GET, 200, "{\"metadata\":{\"name\":\"\xff\"}}");
+	free_call(st);
+	st =
+	    decode_answer(STORE_GET, 200, "{\"metadata\":{\"name\":\"\xff\"}}");
 	CU_ASSERT_EQUAL(st->result, STORE_SILENT);
-	drop(st);
+	free_call(st);
 }
 
-/* Reads the head of an answer, line by line. */
+/* Parses the headers of an answer, line by line. */
 static void
-read_head(struct reply *r, const char *const *lines)
+parse_lines(struct reply *r, const char *const *lines)
 {
 	memset(r, 0, sizeof(*r));
 	r->limit = -1;
@@ -382,13 +388,13 @@
 }
 
 static enum reply_kind
-kind_of(int status, const char *const *lines)
+classify_lines(int status, const char *const *lines)
 {
 	struct call c = {.id = "me"};
 	struct reply r;
 	enum reply_kind k;
 
-	read_head(&r, lines);
+	parse_lines(&r, lines);
 	r.status = status;
 	k = objects_target.kind(&r, &c);
 	str_free(&r.heads);
@@ -396,46 +402,47 @@
 }
 
 /*
- * What an answer is decides whether a caller may be told that its request has
- * not run.  Only two things say so: the target's own mark, and that it is not
- * the one that was named.
+ * The kind of an answer decides whether a caller may be told that its request
+ * has not run.  Only two answers say so: one with the target's X-Not-Executed
+ * header, and one saying that the target is not the one named in the request.
  */
 static void
-kinds(void)
+reply_kinds(void)
 {
-	static const char *const whole[] = {
+	static const char *const complete[] = {
 	    "X-Request-Id: me\r\n", "X-Response-Signature: s\r\n", NULL};
-	static const char *const other[] = {
+	static const char *const other_id[] = {
 	    "X-Request-Id: you\r\n", "X-Response-Signature: s\r\n", NULL};
-	static const char *const unnamed[] = {
+	static const char *const no_id[] = {
 	    "X-Response-Signature: s\r\n", NULL};
-	static const char *const shed[] = {"X-Not-Executed: 1\r\n", NULL};
-	static const char *const bare[] = {"X-Request-Id: me\r\n", NULL};
-
-	CU_ASSERT_EQUAL(kind_of(200, whole), REPLY_ANSWER);
-	/* Signed, but to whom?  It may answer another request. */
-	CU_ASSERT_EQUAL(kind_of(200, unnamed), REPLY_FOREIGN);
-	CU_ASSERT_EQUAL(kind_of(500, unnamed), REPLY_FOREIGN);
-	CU_ASSERT_EQUAL(kind_of(404, whole), REPLY_ANSWER);
-	CU_ASSERT_EQUAL(kind_of(500, whole), REPLY_FAILURE);
-	CU_ASSERT_EQUAL(kind_of(200, other), REPLY_FOREIGN);
-	CU_ASSERT_EQUAL(kind_of(200, bare), REPLY_FOREIGN);
-	CU_ASSERT_EQUAL(kind_of(503, shed), REPLY_REFUSED);
-	CU_ASSERT_EQUAL(kind_of(421, bare), REPLY_MISSENT);
-	/* A promise that the target did not make is not passed on. */
-	CU_ASSERT_EQUAL(kind_of(503, whole), REPLY_FOREIGN);
-	CU_ASSERT_EQUAL(kind_of(429, whole), REPLY_FOREIGN);
+	static const char *const refused[] = {"X-Not-Executed: 1\r\n", NULL};
+	static const char *const not_signed[] = {"X-Request-Id: me\r\n", NULL};
+
+	CU_ASSERT_EQUAL(classify_lines(200, complete), REPLY_ANSWER);
+	/* Signed but without a request id: it may answer another request. */
+	CU_ASSERT_EQUAL(classify_lines(200, no_id), REPLY_FOREIGN);
+	CU_ASSERT_EQUAL(classify_lines(500, no_id), REPLY_FOREIGN);
+	CU_ASSERT_EQUAL(classify_lines(404, complete), REPLY_ANSWER);
+	CU_ASSERT_EQUAL(classify_lines(500, complete), REPLY_FAILURE);
+	CU_ASSERT_EQUAL(classify_lines(200, other_id), REPLY_FOREIGN);
+	CU_ASSERT_EQUAL(classify_lines(200, not_signed), REPLY_FOREIGN);
+	CU_ASSERT_EQUAL(classify_lines(503, refused), REPLY_REFUSED);
+	CU_ASSERT_EQUAL(classify_lines(421, not_signed), REPLY_MISSENT);
+	/* A status that means "not run" is not forwarded without the
+	 * target's header. */
+	CU_ASSERT_EQUAL(classify_lines(503, complete), REPLY_FOREIGN);
+	CU_ASSERT_EQUAL(classify_lines(429, complete), REPLY_FOREIGN);
 }
 
 static void
-heads(void)
+forwarded_headers(void)
 {
 	static const char *const lines[] = {"HTTP/1.1 200 OK\r\n",
 	    "Content-Type: text/plain\r\n", "Connection: close\r\n",
 	    "Content-Length: 5\r\n", "X-Server-Load: 3,2,4\r\n", NULL};
 	struct reply r;
 
-	read_head(&r, lines);
+	parse_lines(&r, lines);
 	CU_ASSERT_STRING_EQUAL(r.heads.p, "Content-Type: text/plain\r\n");
 	CU_ASSERT(r.load.reported);
 	CU_ASSERT_EQUAL(r.load.running, 3);
@@ -444,7 +451,7 @@
 	str_free(&r.heads);
 }
 
-/* The load that a target tells: two figures to four. */
+/* The load that a target reports: two to four numbers. */
 static void
 loads(void)
 {
@@ -466,22 +473,22 @@
 
 	for (i = 0; i < sizeof(cases) / sizeof(cases[0]); i++) {
 		lines[1] = cases[i].line;
-		read_head(&r, lines);
+		parse_lines(&r, lines);
 		CU_ASSERT_EQUAL(
 		    memcmp(&r.load, &cases[i].load, sizeof(r.load)), 0);
 		str_free(&r.heads);
 	}
 	CU_ASSERT_EQUAL(count_get(C_LOAD_BAD), bad + 4);
-	/* One that tells none. */
+	/* An answer that reports no load. */
 	lines[1] = NULL;
-	read_head(&r, lines);
+	parse_lines(&r, lines);
 	CU_ASSERT(!r.load.reported);
 	str_free(&r.heads);
 }
 
-/* The limit that a target names; what is no number of requests is none. */
+/* The rate limit that a target reports; an invalid number counts as none. */
 static void
-limits(void)
+rate_limits(void)
 {
 	static const struct {
 		const char *line;
@@ -497,7 +504,7 @@
 
 	for (i = 0; i < sizeof(cases) / sizeof(cases[0]); i++) {
 		lines[1] = cases[i].line;
-		read_head(&r, lines);
+		parse_lines(&r, lines);
 		CU_ASSERT_DOUBLE_EQUAL(r.limit, cases[i].limit, 0);
 		CU_ASSERT(r.heads.n == 0);
 		str_free(&r.heads);
@@ -529,16 +536,16 @@
     {"site", site},
     {"bad site", bad_site},
     {"target", target},
-    {"started again", started_again},
-    {"foreign entries", foreign_entries},
-    {"unreadable objects", unreadable_objects},
+    {"restarted target", restarted_target},
+    {"invalid entries", invalid_entries},
+    {"unreadable list items", unreadable_list_items},
     {"unreadable object", unreadable_object},
-    {"writes", writes},
-    {"reads", reads},
-    {"lists", lists},
-    {"kinds", kinds},
-    {"heads", heads},
-    {"limits", limits},
+    {"store writes", store_writes},
+    {"store results", store_results},
+    {"lists and watches", lists_and_watches},
+    {"reply kinds", reply_kinds},
+    {"forwarded headers", forwarded_headers},
+    {"rate limits", rate_limits},
     {"loads", loads},
     {"orders", orders},
 };
