--- a/gsparctl/catalogue.c
+++ b/gsparctl/catalogue.c
@@ -11,7 +11,7 @@
 #define WAIT_STEPS 100
 #define PUT_TRIES 5
 
-/* Prints the entries that the asked host has in force. */
+/* Prints the entries in force on the host, or one of them. */
 static int
 show(const struct options *o)
 {
@@ -51,7 +51,7 @@
 	return (EXIT_DONE);
 }
 
-/* Reads a file whole; 0, or -1. */
+/* Reads a whole file.  Returns 0, or -1 if it is empty or cannot be read. */
 static int
 read_whole(const char *name, struct str *out)
 {
@@ -70,7 +70,8 @@
 	return (out->n > 0 ? 0 : -1);
 }
 
-/* Reads and checks an entry's file; the service's name in *name, or -1. */
+/* Reads and checks an entry from a file; sets name to its service.  Returns 0,
+ * or -1 after printing why. */
 static int
 read_entry(const char *file, struct str *out, char *name)
 {
@@ -89,7 +90,7 @@
 	return (0);
 }
 
-/* Prints where two JSON values differ, by path. */
+/* Prints the differences of two JSON values, by path. */
 static void
 differences(const char *path, json_t *a, json_t *b)
 {
@@ -130,7 +131,7 @@
 	free(y);
 }
 
-/* Tells the loser of a race what the winner left, against the loser's text. */
+/* Prints how the stored entry differs from ours after a concurrent write. */
 static int
 conflict(const struct options *o, const struct str *mine, const char *url)
 {
@@ -139,8 +140,8 @@
 
 	web_call(&r, "GET", url, NULL, 0, -1);
 	fprintf(stderr,
-	    "gsparctl: not written: the entry is at version %lu, you began "
-	    "from %ld; what stands there differs from yours in:\n",
+	    "gsparctl: not written: the entry is at version %lu, the edit "
+	    "began from %ld; differences, yours first:\n",
 	    r.version, o->base);
 	a = json_loadb(mine->p, mine->n, 0, NULL);
 	b = r.status == 200 ? json_loadb(r.body.p, r.body.n, 0, NULL) : NULL;
@@ -151,7 +152,8 @@
 	return (EXIT_CONFLICT);
 }
 
-/* The entry with an id of this edit, by which a lost answer is resolved. */
+/* Returns the entry with a unique id of this edit, which tells after a lost
+ * answer whether it was written.  The caller frees it. */
 static char *
 with_edit(const struct str *in, char *edit, size_t size)
 {
@@ -166,7 +168,7 @@
 	return (text);
 }
 
-/* True where the stored entry carries the edit's id; sets its version. */
+/* True if the stored entry has the edit's id; sets its version then. */
 static int
 is_stored(const char *url, const char *edit, unsigned long *version, int *heard)
 {
@@ -189,9 +191,9 @@
 }
 
 /*
- * Writes the entry where it is still at the base.  An answer lost after the
- * write took effect reads as a failure: the edit's id in what is stored tells,
- * and the same write again can take effect only once.
+ * Writes the entry if it is still at the base version.  When the answer is lost
+ * the write may have taken effect all the same: the edit's id in the stored
+ * entry shows that.  A retry is safe, since the base version matches only once.
  */
 static int
 put_entry(const struct options *o, const char *url, const char *text,
@@ -215,7 +217,7 @@
 	return (EXIT_NOT_REACHED);
 }
 
-/* Waits until every host on the list has the version in force. */
+/* Waits until the version is in force on every host of the list. */
 static int
 wait_for(const struct options *o, const char *name, unsigned long version)
 {
@@ -256,7 +258,7 @@
 	return (behind > 0 ? EXIT_NOT_CONFIRMED : EXIT_DONE);
 }
 
-/* Writes an entry. */
+/* Writes an entry to the platform. */
 static int
 set(const struct options *o)
 {
@@ -284,7 +286,7 @@
 	else if (res == EXIT_NOT_REACHED)
 		fprintf(stderr,
 		    "gsparctl: %s does not answer; whether %s was written is "
-		    "not known, look with 'catalogue show'\n",
+		    "not known, check with 'catalogue show'\n",
 		    o->platform, name);
 	else
 		printf("%s written, version %lu\n", name, version);
@@ -295,7 +297,7 @@
 	return (res);
 }
 
-/* Checks an entry's file without writing it. */
+/* Checks an entry in a file without writing it. */
 static int
 check(const struct options *o)
 {
@@ -309,12 +311,12 @@
 	}
 	res = read_entry(o->words[2], &in, name);
 	if (res == 0)
-		printf("%s: a good entry for %s\n", o->words[2], name);
+		printf("%s: valid entry for %s\n", o->words[2], name);
 	str_free(&in);
 	return (res == 0 ? EXIT_DONE : EXIT_INVALID);
 }
 
-/* Prints where a file differs from what is in force. */
+/* Prints the differences of an entry in a file and the one in force. */
 static int
 diff(const struct options *o)
 {
@@ -344,7 +346,7 @@
 	return (EXIT_DONE);
 }
 
-/* Runs one of the catalogue's commands. */
+/* Runs a command on the catalogue. */
 int
 cmd_catalogue(const struct options *o)
 {
--- a/gsparctl/gsparctl.c
+++ b/gsparctl/gsparctl.c
@@ -1,4 +1,4 @@
-/* gsparctl: the operators' tool. */
+/* gsparctl: shows the state of hosts and edits the catalogue. */
 #include <argp.h>
 #include <stdio.h>
 #include <stdlib.h>
@@ -16,24 +16,24 @@
 static int conf_bad;
 
 static const struct argp_option options[] = {
-    {"admin", 'a', "IP:PORT", 0, "Ask this host", 0},
-    {"platform", 'p', "IP:PORT", 0, "Write to this platform", 0},
-    {"file", 'f', "FILE", 0, "Take both from a host's settings", 0},
+    {"admin", 'a', "IP:PORT", 0, "Admin address of the host to ask", 0},
+    {"platform", 'p', "IP:PORT", 0, "Address of the platform to write to", 0},
+    {"file", 'f', "FILE", 0, "Take both from a host's settings file", 0},
     {"json", 'j', NULL, 0, "Print JSON", 0},
-    {"base", 'b', "VERSION", 0, "Edit began from this version; 0 is new", 0},
+    {"base", 'b', "VERSION", 0, "Version the edit began from; 0: new entry", 0},
     {"wait", 'w', NULL, 0, "Wait until every host has confirmed", 0},
-    {"match", 'm', "TEXT", 0, "Only events that say TEXT", 0},
+    {"match", 'm', "TEXT", 0, "Only events that contain TEXT", 0},
     {0},
 };
 
-/* Prints one fault of the settings. */
+/* Prints an error in the settings. */
 static void
 bad_setting(const char *name, int line, const char *what)
 {
 	fprintf(stderr, "%s:%d: %s\n", name, line, what);
 }
 
-/* Takes the addresses from a host's settings. */
+/* Takes the admin and platform addresses from a host's settings. */
 static void
 read_conf(const char *file)
 {
@@ -45,7 +45,7 @@
 	opts.platform = conf.platform[0];
 }
 
-/* Reads one option. */
+/* Handles one option or argument. */
 static error_t
 parse(int key, char *arg, struct argp_state *st)
 {
@@ -73,7 +73,7 @@
 		break;
 	case ARGP_KEY_ARG:
 		if (opts.nwords == 4)
-			argp_error(st, "too many words");
+			argp_error(st, "too many arguments");
 		opts.words[opts.nwords++] = arg;
 		break;
 	case ARGP_KEY_END:
@@ -89,9 +89,9 @@
 static const struct argp argp = {options, parse,
     "status\nowner SERVICE KEY\ntimeline\ncatalogue show [SERVICE]\n"
     "catalogue check FILE\ncatalogue diff FILE\ncatalogue set FILE",
-    "Reads what is in force, and edits the catalogue.", 0, 0, 0};
+    "Shows the state of hosts and edits the catalogue.", 0, 0, 0};
 
-/* Each command, and whether it asks a host. */
+/* The commands. */
 static const struct command {
 	const char *name;
 	int (*fn)(const struct options *);
@@ -114,7 +114,7 @@
 		return (EXIT_INVALID);
 	if (opts.admin == NULL &&
 	    !(opts.nwords > 1 && strcmp(opts.words[1], "check") == 0)) {
-		fprintf(stderr, "gsparctl: which host? give -a or -f\n");
+		fprintf(stderr, "gsparctl: no host given, use -a or -f\n");
 		return (EXIT_USAGE);
 	}
 	curl_global_init(CURL_GLOBAL_DEFAULT);
@@ -125,7 +125,7 @@
 	if (i < sizeof(commands) / sizeof(commands[0]))
 		res = commands[i].fn(&opts);
 	else
-		fprintf(stderr, "gsparctl: no command '%s'\n", opts.words[0]);
+		fprintf(stderr, "gsparctl: unknown command '%s'\n", opts.words[0]);
 	curl_global_cleanup();
 	return (res);
 }
--- a/gsparctl/gsparctl.h
+++ b/gsparctl/gsparctl.h
@@ -1,4 +1,4 @@
-/* Shared by the parts of the operators' tool. */
+/* Declarations shared by the commands of gsparctl. */
 #ifndef GSPARCTL_H
 #define GSPARCTL_H
 
@@ -7,7 +7,7 @@
 #include "result.h"
 #include "str.h"
 
-/* Exit codes, as gsparctl.8 tells them. */
+/* Exit codes; documented in gsparctl(8). */
 enum {
 	EXIT_DONE = 0,
 	EXIT_USAGE = 1,
@@ -19,17 +19,17 @@
 };
 
 struct options {
-	const char *admin;    /* any host's admin address */
+	const char *admin;    /* admin address of the host to ask */
 	const char *platform; /* the platform's address, for edits */
 	int json;
 	int wait;
-	long base;
-	const char *match;
+	long base;	   /* version an edit began from; -1 if not given */
+	const char *match; /* print only events that contain this */
 	const char *words[4];
 	int nwords;
 };
 
-/* An HTTP answer; status 0 is none. */
+/* An HTTP response; the status is 0 if there was none. */
 struct reply {
 	int status;
 	unsigned long version;
--- a/gsparctl/status.c
+++ b/gsparctl/status.c
@@ -4,7 +4,7 @@
 
 #include "gsparctl.h"
 
-/* A text field, or "" where it is not there. */
+/* Returns a string member, or "" if there is none. */
 static const char *
 text(json_t *o, const char *key)
 {
@@ -13,7 +13,7 @@
 	return (s == NULL ? "" : s);
 }
 
-/* Prints JSON whole. */
+/* Prints a JSON value. */
 static void
 print_json(json_t *o)
 {
@@ -21,7 +21,7 @@
 	putchar('\n');
 }
 
-/* The hosts that the asked host knows of, or NULL. */
+/* Returns the hosts that the asked host knows, or NULL. */
 json_t *
 hosts_of(const struct options *o)
 {
@@ -34,7 +34,7 @@
 	return (hosts);
 }
 
-/* Prints what one host says of itself. */
+/* Prints the status of one host. */
 static void
 print_host(json_t *st)
 {
@@ -66,8 +66,8 @@
 }
 
 /*
- * Prints the status of every host on the list.  A host that does not answer
- * is "not known": what it has in force is never guessed.
+ * Prints the status of all hosts.  That of a host that does not answer is "not
+ * known": nothing is assumed about what it has in force.
  */
 int
 cmd_status(const struct options *o)
@@ -103,7 +103,7 @@
 	return (unheard > 0 ? EXIT_NOT_CONFIRMED : EXIT_DONE);
 }
 
-/* Prints who owns a key, and which controller's view that is. */
+/* Prints the owner of a key, and the controller that confirmed it. */
 int
 cmd_owner(const struct options *o)
 {
--- a/gsparctl/timeline.c
+++ b/gsparctl/timeline.c
@@ -7,7 +7,7 @@
 
 #define MAX_HOSTS 1024
 
-/* One event of one host, in the merged line. */
+/* An event of a host; event is NULL for a gap in its numbers. */
 struct item {
 	json_t *event;
 	const char *host;
@@ -15,11 +15,11 @@
 	long long seq;
 };
 
-/* The items of the hosts, one host after the other. */
+/* The items of all hosts, those of each host in one piece. */
 static struct item *items;
 static size_t nitems;
 
-/* Where the items of a host begin and end. */
+/* The items of one host that are not printed yet. */
 struct run {
 	size_t at;
 	size_t end;
@@ -27,7 +27,7 @@
 static struct run runs[MAX_HOSTS];
 static size_t nruns;
 
-/* Adds a host's events, and a mark where some are gone. */
+/* Adds the events of a host, and an item for each gap in their numbers. */
 static void
 add_host(json_t *page)
 {
@@ -63,7 +63,7 @@
 	runs[nruns++].end = nitems;
 }
 
-/* Prints one event as a line. */
+/* Prints an event or a gap as one line. */
 static void
 print_item(const struct item *it, const char *match)
 {
@@ -93,9 +93,9 @@
 }
 
 /*
- * Prints all hosts' events merged: of each host in the order of its numbers,
- * so that what follows from something comes after it, whatever the wall clock
- * did; between hosts by the wall clock, for they share no other.
+ * Prints the events of all hosts, merged.  Those of one host stay in the order
+ * of their numbers, so that an event follows its cause even if the wall clock
+ * stepped.  Hosts are merged by wall clock, the only clock that they share.
  */
 static void
 print_merged(const char *match)
@@ -117,7 +117,7 @@
 	}
 }
 
-/* Prints the events of all hosts as one line of time. */
+/* Prints the events of all hosts as one timeline. */
 int
 cmd_timeline(const struct options *o)
 {
--- a/gsparctl/web.c
+++ b/gsparctl/web.c
@@ -7,9 +7,9 @@
 
 #include "gsparctl.h"
 
-#define TIMEOUT_MS 2000L
+#define CALL_TIMEOUT_MS 2000L
 
-/* Collects the body. */
+/* Appends to the body; called by curl. */
 static size_t
 on_body(char *p, size_t n, size_t m, void *arg)
 {
@@ -18,7 +18,7 @@
 	return (str_add(&r->body, p, n * m) == 0 ? n * m : 0);
 }
 
-/* Picks the version out of the head. */
+/* Takes the object's version from its header; called by curl. */
 static size_t
 on_head(char *p, size_t n, size_t m, void *arg)
 {
@@ -36,8 +36,9 @@
 }
 
 /*
- * Makes one call; r->status is 0 where no answer came.  base, where not
- * below 0, is the version the object must still have.
+ * Sends a request.  r->status is 0 if there was no response.  If base is not
+ * negative, the request is made conditional on that version of the object.  The
+ * caller frees r->body.
  */
 void
 web_call(struct reply *r, const char *method, const char *url, const char *body,
@@ -59,7 +60,7 @@
 	curl_easy_setopt(c, CURLOPT_URL, url);
 	curl_easy_setopt(c, CURLOPT_CUSTOMREQUEST, method);
 	curl_easy_setopt(c, CURLOPT_NOSIGNAL, 1L);
-	curl_easy_setopt(c, CURLOPT_TIMEOUT_MS, TIMEOUT_MS);
+	curl_easy_setopt(c, CURLOPT_TIMEOUT_MS, CALL_TIMEOUT_MS);
 	curl_easy_setopt(c, CURLOPT_USERAGENT, "gsparctl");
 	curl_easy_setopt(c, CURLOPT_HTTPHEADER, heads);
 	if (body != NULL) {
@@ -77,7 +78,7 @@
 	curl_easy_cleanup(c);
 }
 
-/* Reads JSON from a host; NULL, with a line that says which and why. */
+/* Gets JSON from a host.  Returns NULL after printing an error. */
 json_t *
 web_json(const char *addr, const char *path)
 {
@@ -99,7 +100,7 @@
 	return (o);
 }
 
-/* Escapes text for a URL; the caller frees it. */
+/* Returns text escaped for a URL; the caller frees it. */
 char *
 web_escape(const char *s)
 {
--- a/lib/clock.c
+++ b/lib/clock.c
@@ -2,7 +2,7 @@
 
 #include "clock.h"
 
-/* Reads one clock in microseconds. */
+/* Returns the time of one clock, in microseconds. */
 static usec
 read_clock(clockid_t id)
 {
@@ -13,9 +13,10 @@
 }
 
 /*
- * Microseconds since some moment before the process began; never steps.  The
- * time for which the machine was suspended counts: a host that woke up would
- * otherwise take its lapsed leases for good, and give two targets one key.
+ * Returns the monotonic clock in microseconds, from an arbitrary start.  It
+ * includes the time that the machine was suspended: otherwise a host that
+ * resumes would believe that its lapsed leases are still valid, and two
+ * targets could own one key.
  */
 usec
 clock_mono(void)
@@ -23,7 +24,7 @@
 	return (read_clock(CLOCK_BOOTTIME));
 }
 
-/* Microseconds since 1970, for people to read; it may step. */
+/* Returns microseconds since 1970, for display only: this clock may step. */
 usec
 clock_wall(void)
 {
--- a/lib/clock.h
+++ b/lib/clock.h
@@ -1,10 +1,10 @@
-/* The two clocks, in microseconds; only the daemon's duties read them. */
+/* The monotonic and the wall clock; decide/ takes the time as an argument. */
 #ifndef CLOCK_H
 #define CLOCK_H
 
 #include <stdint.h>
 
-/* A moment or a span of the monotonic clock, in microseconds. */
+/* A time or a duration on the monotonic clock, in microseconds. */
 typedef int64_t usec;
 
 #define MS(n) ((usec)(n)*1000)
--- a/lib/conf.c
+++ b/lib/conf.c
@@ -65,7 +65,7 @@
 static const struct conf_alias *aliases;
 static int naliases;
 
-/* Sets the names that the platform has for keys of section [bounds]. */
+/* Sets the platform's names for the keys of section [bounds]. */
 void
 conf_aliases(const struct conf_alias *list, int n)
 {
@@ -73,7 +73,8 @@
 	naliases = n;
 }
 
-/* The key that a name of section [bounds] stands for; NULL where none. */
+/* Returns the key that a name in section [bounds] stands for, or NULL for a
+ * name that is not used here. */
 static const char *
 bound_name(const char *name)
 {
@@ -87,9 +88,9 @@
 }
 
 /*
- * Splits "IP:PORT" ("[IP]:PORT" for version 6); 0, or -1 where the first is
- * no IP number or the second no port.  Names are not looked up: a lookup may
- * hang when the network is cut, just when this host must go on.
+ * Splits "IP:PORT" ("[IP]:PORT" for IPv6).  Returns 0, or -1 if either part is
+ * invalid.  Host names are not resolved: a lookup may hang in a network
+ * partition, when this host has to keep working.
  */
 int
 addr_split(const char *addr, char *ip, size_t ipsize, int *port)
@@ -126,7 +127,7 @@
 	return (0);
 }
 
-/* Reports one fault and goes on, so that one run shows them all. */
+/* Reports an error; reading continues, so that one run shows all errors. */
 static void __attribute__((format(printf, 3, 4)))
 fault(struct reading *r, int line, const char *fmt, ...)
 {
@@ -140,7 +141,7 @@
 	r->faults++;
 }
 
-/* Stores one address; 0, or -1 where it is none, and that is reported. */
+/* Stores an address.  Returns 0, or -1 after reporting an invalid one. */
 static int
 store_addr(struct reading *r, const struct key *k, char *at, const char *value)
 {
@@ -150,7 +151,7 @@
 	if (strlen(value) >= ADDR_MAX_GS ||
 	    addr_split(value, ip, sizeof(ip), &port) != 0) {
 		fault(r, r->line,
-		    "%s: '%s' is no address; allowed: an IP number, "
+		    "%s: '%s' is not an address; allowed: an IP number, "
 		    "':' and a port from 1 to 65535",
 		    k->name, value);
 		return (-1);
@@ -159,7 +160,7 @@
 	return (0);
 }
 
-/* Stores the platform's addresses, which stand with blanks in between. */
+/* Stores the platform's addresses, which are separated by blanks. */
 static void
 store_platforms(struct reading *r, const struct key *k, const char *value)
 {
@@ -187,7 +188,7 @@
 		store_addr(r, k, c->platform[0], value);
 }
 
-/* Stores a whole number of milliseconds within the key's range. */
+/* Stores a time in milliseconds if it is within the key's range. */
 static void
 store_ms(struct reading *r, const struct key *k, const char *value, double n)
 {
@@ -201,7 +202,7 @@
 		memcpy(at, &(int){(int)n}, sizeof(int));
 }
 
-/* Stores a time: a number and its unit, ms or s. */
+/* Parses and stores a time: a number and its unit, ms or s. */
 static void
 store_span(struct reading *r, const struct key *k, const char *value)
 {
@@ -216,11 +217,11 @@
 		store_ms(r, k, value, n * 1000);
 	else
 		fault(r, r->line,
-		    "%s: '%s' is no time; allowed: a number and ms or s",
+		    "%s: '%s' is not a time; allowed: a number and ms or s",
 		    k->name, value);
 }
 
-/* Stores a number that need not be whole. */
+/* Parses and stores a real number. */
 static void
 store_real(struct reading *r, const struct key *k, const char *value)
 {
@@ -237,7 +238,7 @@
 		memcpy((char *)r->conf + k->at, &n, sizeof(n));
 }
 
-/* Stores how the platform is spoken to. */
+/* Stores which of the platform's interfaces to use. */
 static void
 store_form(struct reading *r, const struct key *k, const char *value)
 {
@@ -256,7 +257,7 @@
 	r->conf->form = form;
 }
 
-/* Stores one value after checking it against its key. */
+/* Checks a value against its key's type and range and stores it. */
 static void
 store(struct reading *r, const struct key *k, const char *value)
 {
@@ -268,7 +269,7 @@
 	case K_NAME:
 		if (!name_ok(value, strlen(value)))
 			fault(r, r->line,
-			    "%s: '%s' is no name; allowed: 1 to 63 letters, "
+			    "%s: '%s' is not a name; allowed: 1 to 63 letters, "
 			    "digits, '.', '-', '_', '+'",
 			    k->name, value);
 		else
@@ -305,7 +306,7 @@
 }
 
 #ifdef ABLATION
-/* Leaves out the mechanisms that section [ablation] names. */
+/* Disables the features that section [ablation] names. */
 static void
 store_features(struct reading *r, const char *name, const char *value)
 {
@@ -317,7 +318,7 @@
 }
 #endif
 
-/* Called by the INI reader for each pair. */
+/* Handles a key and its value; called by the INI reader. */
 static int
 pair(void *arg, const char *section, const char *name, const char *value)
 {
@@ -333,8 +334,7 @@
 #endif
 	if (strcmp(section, "bounds") == 0) {
 		name = bound_name(name);
-		/* The platform may tell of bounds that this host does not use.
-		 */
+		/* The platform may set bounds that are not used here. */
 		if (name == NULL)
 			return (1);
 	}
@@ -361,7 +361,7 @@
 	return (1);
 }
 
-/* Reads a line for the INI reader and counts it, for the reports. */
+/* Reads a line for the INI reader and counts it, for error messages. */
 static char *
 next_line(char *buf, int size, void *arg)
 {
@@ -371,7 +371,7 @@
 	return (fgets(buf, size, r->in));
 }
 
-/* True where the file must set the key. */
+/* True if the file must set the key. */
 static int
 needed(const struct conf *c, const struct key *k)
 {
@@ -383,7 +383,11 @@
 	    k->at != AT(reached));
 }
 
-/* The leases must nest, or a loss would take longer than is promised. */
+/*
+ * Checks that all required keys are set, and that each lease is renewed several
+ * times before it lapses and grants do not outlast the lease of their host:
+ * otherwise keys would take longer than specified to recover from a failure.
+ */
 static void
 check_whole(struct reading *r)
 {
@@ -407,8 +411,8 @@
 }
 
 /*
- * Reads and checks the whole file, reporting each fault through bad; 0, or
- * -1 where there was any.  Nothing of a faulty file is to be used.
+ * Reads and checks a settings file, reporting each error through on_error.
+ * Returns 0, or -1 on any error; the settings must not be used then.
  */
 int
 conf_read(struct conf *c, const char *file, conf_bad_fn bad)
--- a/lib/conf.h
+++ b/lib/conf.h
@@ -1,4 +1,4 @@
-/* The settings file of gspard, checked whole. */
+/* The settings file of gspard. */
 #ifndef CONF_H
 #define CONF_H
 
@@ -6,49 +6,49 @@
 
 #define ADDR_MAX_GS 64
 
-/* Addresses of the platform at most. */
+/* Maximum number of platform addresses. */
 #define PLATFORMS_MAX 4
 
-/* How the platform is spoken to: our own interface, or object by object. */
+/* The platform's interface: gspard's own, or the API of single objects. */
 enum conf_form { FORM_NATIVE, FORM_OBJECTS };
 
 /*
- * What the platform asks of the hosts, in milliseconds where the name ends in
- * _ms.  Read where form is FORM_OBJECTS, and may change while running.
+ * Limits that the platform sets for the hosts, in milliseconds if the name ends
+ * in _ms.  Used with FORM_OBJECTS only, and may change while running.
  */
 struct bounds {
-	int leave_ms;	     /* no new work to a leaving target after this */
-	int stop_ms;	     /* from the order to stop to the kill */
-	int apply_ms;	     /* a configuration is in force after this */
-	int retry_window_ms; /* in which retries are counted */
-	int hold_max_ms;     /* longest time that keys may be granted for */
-	double retry_share;  /* retries allowed for each request */
-	double retry_slack;  /* and beyond that, over all hosts */
-	int heartbeat_ms;    /* between signs of life of a target */
-	int evacuate_ms;     /* no new work in an evacuated data centre after
-				this; 0 is not asked for */
+	int leave_ms;	     /* until a leaving target gets no new work */
+	int stop_ms;	     /* from SIGTERM to SIGKILL */
+	int apply_ms;	     /* until a new configuration is in force */
+	int retry_window_ms; /* over which retries are counted */
+	int hold_max_ms;     /* maximum duration of a grant of keys */
+	double retry_share;  /* retries allowed per request */
+	double retry_slack;  /* retries allowed beyond these, over all hosts */
+	int heartbeat_ms;    /* interval of a target's heartbeats */
+	int evacuate_ms;     /* until an evacuated data centre gets no new
+				work; 0: evacuations are not followed */
 };
 
-/* Another name of a key in section [bounds], as the platform writes it. */
+/* The platform's name for a key of section [bounds]. */
 struct conf_alias {
 	const char *theirs;
 	const char *ours;
 };
 
-/* Starting point of the settings; see gspard.conf(5). */
+/* The settings; see gspard.conf(5). */
 struct conf {
 	char host[NAME_MAX_GS];
 	char dc[NAME_MAX_GS];
-	double cores;	  /* of a processor; 0 is not told */
-	double link_mbps; /* of its link, Mbit/s; 0 is not told */
+	double cores;	  /* processor cores; 0 if not set */
+	double link_mbps; /* network bandwidth in Mbit/s; 0 if not set */
 	char callers[ADDR_MAX_GS];
 	char peers[ADDR_MAX_GS];
-	char reached[ADDR_MAX_GS]; /* peers, as other hosts reach it */
+	char reached[ADDR_MAX_GS]; /* peers' address as seen by other hosts */
 	char admin[ADDR_MAX_GS];
 	char platform[PLATFORMS_MAX][ADDR_MAX_GS];
 	int nplatforms;
 	int form;		 /* enum conf_form */
-	char ready[ADDR_MAX_GS]; /* balancer's probes; FORM_OBJECTS */
+	char ready[ADDR_MAX_GS]; /* readiness probes; FORM_OBJECTS only */
 	struct bounds bounds;
 	int control_lease_ms;
 	int host_lease_ms;
@@ -56,7 +56,7 @@
 	int grant_ms;
 };
 
-/* Reports one fault: file, line (0 where none), what and what is allowed. */
+/* Reports an error with the values that are allowed; line is 0 if none. */
 typedef void (*conf_bad_fn)(const char *file, int line, const char *what);
 
 void conf_aliases(const struct conf_alias *, int n);
--- a/lib/count.c
+++ b/lib/count.c
@@ -16,21 +16,21 @@
 	atomic_fetch_add_explicit(&counts[c], n, memory_order_relaxed);
 }
 
-/* The counter's value now. */
+/* Returns the counter's value. */
 uint64_t
 count_get(enum counter c)
 {
 	return (atomic_load_explicit(&counts[c], memory_order_relaxed));
 }
 
-/* The name that the admin page prints. */
+/* Returns the name that the metrics page prints. */
 const char *
 count_name(enum counter c)
 {
 	return (names[c]);
 }
 
-/* One line for people, without units: all count things since the start. */
+/* Returns the help text. */
 const char *
 count_help(enum counter c)
 {
--- a/lib/count.h
+++ b/lib/count.h
@@ -1,11 +1,11 @@
-/* Counters that any thread adds to and the admin page prints. */
+/* Counters since the start of the process, for the metrics page; thread-safe. */
 #ifndef COUNT_H
 #define COUNT_H
 
 #include <stdint.h>
 #include <stdio.h>
 
-/* Each line: enum name, name printed, help printed. */
+/* X(identifier, metric name, help text) */
 #define COUNT_TABLE(X)                                                         \
 	X(C_CALLER_REQUESTS, "caller_requests", "Requests from callers")       \
 	X(C_CALLER_ANSWERS, "caller_answers", "Whole answers of targets")      \
--- a/lib/event.c
+++ b/lib/event.c
@@ -14,7 +14,7 @@
 static apr_pool_t *pool;
 static apr_thread_mutex_t *lock;
 
-/* Makes the ring ready; 0, or -1.  Call it before other threads start. */
+/* Initializes the log; call before starting threads.  Returns 0, or -1. */
 int
 event_open(void)
 {
@@ -27,9 +27,9 @@
 }
 
 /*
- * Records an event and returns its number, which later events may name as
- * their cause; 0 is no cause.  The oldest event gives way when the ring is
- * full; readers see the gap in the numbers.
+ * Records an event and returns its sequence number, which later events may give
+ * as their cause; a cause of 0 is none.  When the ring is full the oldest event
+ * is overwritten; readers see the gap in the numbers.
  */
 uint64_t
 event_add(const char *part, uint64_t cause, const char *fmt, ...)
@@ -56,7 +56,8 @@
 	return (seq);
 }
 
-/* Calls fn for the kept events from `from` on; returns the next number. */
+/* Calls fn for each event in the ring from number `from` on; returns the number
+ * of the next event. */
 uint64_t
 event_each(uint64_t from, event_fn fn, void *arg)
 {
--- a/lib/event.h
+++ b/lib/event.h
@@ -1,4 +1,4 @@
-/* The host's part of the time line: a bounded ring of events. */
+/* The event log of this host: a ring buffer of the last events. */
 #ifndef EVENT_H
 #define EVENT_H
 
@@ -6,19 +6,21 @@
 
 #include "clock.h"
 
+/* Size of an event's text with its NUL, in bytes. */
 #define EVENT_TEXT 200
+/* Size of the ring, in events. */
 #define EVENT_KEEP 4096
 
 struct event {
 	uint64_t seq;
-	uint64_t cause;
+	uint64_t cause; /* number of an earlier event, or 0 */
 	usec mono;
 	usec wall;
-	char part[16];
+	char part[16]; /* module that recorded it */
 	char text[EVENT_TEXT];
 };
 
-/* Called for each event of seq `from` or later that is still kept. */
+/* Called for an event, with the lock held. */
 typedef void (*event_fn)(const struct event *, void *);
 
 int event_open(void);
--- a/lib/feature.c
+++ b/lib/feature.c
@@ -1,4 +1,4 @@
-/* The switches of a build for measurements; of no other. */
+/* Switches features off; only in ablation builds. */
 #include <string.h>
 
 #include "feature.h"
@@ -24,25 +24,25 @@
     [FEATURE_STANDBY] = "standby",
 };
 
-/* Set by the settings before the threads that read it start; settings that are
- * read again name the same. */
+/* Written before the threads that read it start.  Settings that are reloaded
+ * name the same features. */
 static unsigned char off[FEATURES];
 
-/* True where a mechanism is in use. */
+/* True if the feature is enabled. */
 int
 feature_on(enum feature f)
 {
 	return (!off[f]);
 }
 
-/* The name of a mechanism in settings. */
+/* Returns the feature's name in the settings. */
 const char *
 feature_name(enum feature f)
 {
 	return (names[f]);
 }
 
-/* The mechanism that a word of n bytes names, or FEATURES. */
+/* Returns the feature that a word of n bytes names, or FEATURES if none. */
 static int
 feature_find(const char *word, size_t n)
 {
@@ -56,8 +56,8 @@
 }
 
 /*
- * Leaves out the mechanisms that are named, with blanks in between, and no
- * others; 0, or -1 where a name is unknown, and then nothing is changed.
+ * Disables the features in a list separated by blanks, and enables all others.
+ * Returns 0, or -1 without any change if a name is unknown.
  */
 int
 features_off(const char *list)
--- a/lib/feature.h
+++ b/lib/feature.h
@@ -1,30 +1,30 @@
 /*
- * Mechanisms of routing, ownership and control that can be left out, one by
- * one, to measure what each is worth.  Only a build for that (BUILD=ablation)
- * has the switches; in any other each of them is a constant.
+ * Features of routing, key ownership and control that can be disabled one by one
+ * to measure the effect of each.  Only ablation builds (BUILD=ablation) can
+ * disable them; in all others they are always on.
  */
 #ifndef FEATURE_H
 #define FEATURE_H
 
 enum feature {
-	FEATURE_COLD,	    /* targets that have just started count less */
-	FEATURE_DOUBT,	    /* entries that lapse in an outage are doubted */
-	FEATURE_EARLY,	    /* too late is said before the deadline */
-	FEATURE_FAILS,	    /* failures make a target less wanted */
-	FEATURE_FAR,	    /* targets of other data centres cost more */
-	FEATURE_FILL,	    /* a target is sent so much at a time */
-	FEATURE_HOTTEST,    /* the hottest key to the fastest target */
-	FEATURE_JOIN,	    /* small cold ranges are joined */
-	FEATURE_NEIGHBOURS, /* keys close together are as busy */
-	FEATURE_OTHERS,	    /* what other hosts have at a target */
-	FEATURE_PARK,	    /* requests wait while their key has no owner */
-	FEATURE_RESEND,	    /* what a target refused is sent once more */
-	FEATURE_REST,	    /* keys that moved stay for a while */
-	FEATURE_RETRY,	    /* when to come back follows the line */
-	FEATURE_SHUN,	    /* targets that fail are left alone */
-	FEATURE_SPEED,	    /* how fast a target is, is learnt */
-	FEATURE_SPREAD,	    /* hosts choose unlike each other */
-	FEATURE_STANDBY,    /* standbys are apart, large ones first */
+	FEATURE_COLD,	    /* weight of targets that have just started */
+	FEATURE_DOUBT,	    /* lapsed entries during store outages */
+	FEATURE_EARLY,	    /* refusal of requests that cannot be in time */
+	FEATURE_FAILS,	    /* higher cost of targets that fail */
+	FEATURE_FAR,	    /* higher cost of other data centres */
+	FEATURE_FILL,	    /* limit of requests in flight per target */
+	FEATURE_HOTTEST,    /* hottest key to the fastest target */
+	FEATURE_JOIN,	    /* merging of small cold ranges */
+	FEATURE_NEIGHBOURS, /* load estimate from neighbouring keys */
+	FEATURE_OTHERS,	    /* other hosts' requests at a target */
+	FEATURE_PARK,	    /* queueing while a key has no owner */
+	FEATURE_RESEND,	    /* retry of what a target refused */
+	FEATURE_REST,	    /* cooldown of keys that moved */
+	FEATURE_RETRY,	    /* retry delay from the queueing time */
+	FEATURE_SHUN,	    /* backoff from targets that fail */
+	FEATURE_SPEED,	    /* measured response times of targets */
+	FEATURE_SPREAD,	    /* random variation of target choice */
+	FEATURE_STANDBY,    /* choice of standbys by data centre and size */
 	FEATURES
 };
 
--- a/lib/frame.c
+++ b/lib/frame.c
@@ -2,7 +2,8 @@
 
 #include "frame.h"
 
-/* Packs head and payload into b, which the caller frees; 0, or -1. */
+/* Encodes a frame with its header into b, which the caller frees.  Returns 0,
+ * or -1 if it is too large or out of memory. */
 int
 frame_pack(struct bytes *b, const Gspar__Frame *f)
 {
@@ -23,7 +24,7 @@
 	return (0);
 }
 
-/* Reads a head; 0, or -1 where the length is not allowed. */
+/* Reads the payload size from a header.  Returns 0, or -1 if it is invalid. */
 int
 frame_size(const uint8_t *h, size_t *n)
 {
@@ -31,7 +32,7 @@
 	return (*n == 0 || *n > FRAME_MAX ? -1 : 0);
 }
 
-/* Unpacks a payload; NULL where it is malformed or of no known kind. */
+/* Decodes a payload.  Returns NULL if it is malformed or of unknown type. */
 Gspar__Frame *
 frame_unpack(const uint8_t *p, size_t n)
 {
@@ -45,7 +46,7 @@
 	return (f);
 }
 
-/* Frees what frame_unpack gave. */
+/* Frees a frame that frame_unpack returned. */
 void
 frame_free(Gspar__Frame *f)
 {
@@ -53,7 +54,7 @@
 		gspar__frame__free_unpacked(f, NULL);
 }
 
-/* True for frames that the limits on control traffic count. */
+/* True for frames that count as control traffic. */
 int
 frame_is_control(const Gspar__Frame *f)
 {
@@ -67,8 +68,8 @@
 	}
 }
 
-/* True for frames that tell what their sender knows, and are sent again by it
- * until they are seen to have arrived. */
+/* True for frames with state of the sender, which it repeats until they are
+ * acknowledged. */
 int
 frame_is_state(const Gspar__Frame *f)
 {
--- a/lib/frame.h
+++ b/lib/frame.h
@@ -1,4 +1,4 @@
-/* Frames between processes: a 4-byte length, then a packed Frame. */
+/* Frames between hosts: a 4-byte big-endian length, then an encoded Frame. */
 #ifndef FRAME_H
 #define FRAME_H
 
@@ -7,10 +7,11 @@
 
 #include "gspar.pb-c.h"
 
+/* Size of the header in bytes. */
 #define FRAME_HEAD 4
-/* Largest payload in bytes; an answer's body must fit. */
+/* Maximum payload in bytes; must hold the largest body of an answer. */
 #define FRAME_MAX (17u * 1024 * 1024)
-/* Of the peer protocol; 2 since views may carry only what changed. */
+/* Version of the peer protocol; since 2 views may carry differences only. */
 #define FRAME_VERSION 2
 
 struct bytes {
--- a/lib/hist.c
+++ b/lib/hist.c
@@ -4,7 +4,7 @@
 
 #include "hist.h"
 
-/* Upper bounds in milliseconds: a bucket a factor of about two. */
+/* Upper bounds of the buckets in milliseconds. */
 static const int bounds[] = {
     1, 2, 5, 10, 20, 50, 100, 200, 500, 1000, 2000, 5000};
 #define NBOUNDS (int)(sizeof(bounds) / sizeof(bounds[0]))
@@ -21,7 +21,7 @@
 static const char *const names[] = {HIST_TABLE(HIST_NAME)};
 static const char *const helps[] = {HIST_TABLE(HIST_HELP)};
 
-/* Counts one span of time. */
+/* Adds one duration; thread-safe. */
 void
 hist_add(enum hist h, usec span)
 {
@@ -35,7 +35,7 @@
 	    &c->sum, (uint64_t)(span > 0 ? span : 0), memory_order_relaxed);
 }
 
-/* Prints one histogram in the text form that collectors read, in seconds. */
+/* Appends one histogram in the Prometheus text format, in seconds. */
 static void
 print_one(struct str *out, enum hist h)
 {
@@ -69,7 +69,7 @@
 	str_add(out, line, (size_t)n);
 }
 
-/* Prints all histograms. */
+/* Appends all histograms. */
 void
 hist_print(struct str *out)
 {
--- a/lib/hist.h
+++ b/lib/hist.h
@@ -1,11 +1,11 @@
-/* Latency histograms that any thread adds to and the metrics page prints. */
+/* Latency histograms for the metrics page; thread-safe. */
 #ifndef HIST_H
 #define HIST_H
 
 #include "clock.h"
 #include "str.h"
 
-/* Each line: enum name, name printed, help printed. */
+/* X(identifier, metric name, help text) */
 #define HIST_TABLE(X)                                                          \
 	X(H_REQUEST, "request", "From a request's arrival to its answer")      \
 	X(H_QUEUE, "queue", "Waiting at this host before sending")             \
--- a/lib/log.c
+++ b/lib/log.c
@@ -10,8 +10,8 @@
 #include "count.h"
 #include "log.h"
 
-/* Lines about single requests that one process writes a second, at most; the
- * rest are counted.  A bad second of a small host has about as many. */
+/* Maximum log lines about single requests per second; others are counted as
+ * dropped.  About as many as a small host writes in a second with failures. */
 #define REQUEST_LINES 60
 
 static const char *const levels[] = {
@@ -20,7 +20,7 @@
 static const char *log_host = "-";
 static int log_max = LOG_INFO;
 
-/* Sets the host named in each line, and whether debug lines are written. */
+/* Sets the host name in each line, and whether debug lines are written. */
 void
 log_open(const char *host, int verbose)
 {
@@ -29,9 +29,9 @@
 }
 
 /*
- * Writes one line in one call, so that lines of threads do not mix.  Where
- * whoever reads them does not keep up the line is dropped and counted: waiting
- * would hold up requests for the sake of their log.
+ * Writes a line in a single call, so that lines of several threads do not mix.
+ * If the reader does not keep up, the line is dropped and counted: blocking
+ * would delay requests.
  */
 static void
 emit(int level, const char *part, const char *id, const char *text)
@@ -53,7 +53,7 @@
 		count_add(C_LOG_DROPPED, 1);
 }
 
-/* Writes one line. */
+/* Writes a log line. */
 void
 log_line(int level, const char *part, const char *fmt, ...)
 {
@@ -68,7 +68,7 @@
 	emit(level, part, NULL, text);
 }
 
-/* True where one more line about a request may be written this second. */
+/* True if another line about a request may be written in this second. */
 static int
 request_room(void)
 {
@@ -81,7 +81,7 @@
 	return (atomic_fetch_add(&lines, 1) < REQUEST_LINES);
 }
 
-/* Writes one line about a decision on one request, named by its id. */
+/* Writes a log line about the request with this id; rate-limited. */
 void
 log_request(const char *part, const char *id, const char *fmt, ...)
 {
--- a/lib/log.h
+++ b/lib/log.h
@@ -1,4 +1,4 @@
-/* Log lines to standard output: time, level, host, part, a short sentence. */
+/* Log lines on standard output: time, level, host, module, message. */
 #ifndef LOG_H
 #define LOG_H
 
--- a/lib/result.c
+++ b/lib/result.c
@@ -15,7 +15,7 @@
 	{num, #n, http, out, again, why},
 static const struct row rows[] = {RESULT_TABLE(RESULT_ROW)};
 
-/* Finds the row of a code; an unknown code reads as GS_IO. */
+/* Returns the row of a code; unknown codes are treated as GS_IO. */
 static const struct row *
 find(int code)
 {
@@ -31,42 +31,42 @@
 	return (io);
 }
 
-/* The code's name, as docs/ERRORS.md lists it. */
+/* Returns the code's name, as listed in docs/ERRORS.md. */
 const char *
 result_name(int code)
 {
 	return (find(code)->name);
 }
 
-/* A short reason for people. */
+/* Returns a short reason for humans. */
 const char *
 result_why(int code)
 {
 	return (find(code)->why);
 }
 
-/* The HTTP status that callers get with the code. */
+/* Returns the HTTP status that callers get with the code. */
 int
 result_http(int code)
 {
 	return (find(code)->http);
 }
 
-/* True where asking again later makes sense. */
+/* True if the request may be retried later. */
 int
 result_again(int code)
 {
 	return (find(code)->again);
 }
 
-/* What the code says of whether the request ran. */
+/* Returns whether the request was run, by default, when it ends so. */
 enum gs_outcome
 result_outcome(int code)
 {
 	return (find(code)->outcome);
 }
 
-/* The outcome as callers read it in JSON. */
+/* Returns the name of an outcome, as sent to callers. */
 const char *
 outcome_name(int outcome)
 {
@@ -80,7 +80,8 @@
 	}
 }
 
-/* The body of an answer of our own, as callers read it; gives its length. */
+/* Formats the body of an error that this host answers with; ms is the retry
+ * delay.  Returns its length, as snprintf does. */
 int
 result_json(char *buf, size_t size, int code, int outcome, uint32_t ms)
 {
--- a/lib/result.h
+++ b/lib/result.h
@@ -1,4 +1,4 @@
-/* Numbered result codes, shared by every part; docs/ERRORS.md explains them. */
+/* Result codes of requests; explained in docs/ERRORS.md. */
 #ifndef RESULT_H
 #define RESULT_H
 
@@ -6,8 +6,8 @@
 #include <stdint.h>
 
 /*
- * Each line: name, number, HTTP status, default outcome, whether asking again
- * makes sense, and a short reason.  Numbers are never reused.
+ * X(name, number, HTTP status, default outcome, may be retried, reason).
+ * Numbers are never reused.
  */
 #define RESULT_TABLE(X)                                                        \
 	X(GS_OK, 0, 200, OUT_RAN, 0, "done")                                   \
@@ -52,7 +52,7 @@
 #define RESULT_ENUM(n, num, http, out, again, why) n = num,
 enum gs_result { RESULT_TABLE(RESULT_ENUM) };
 
-/* What is known of whether a request ran. */
+/* Whether a request was run by a target. */
 enum gs_outcome { OUT_NOT_RUN = 1, OUT_UNKNOWN = 2, OUT_RAN = 3 };
 
 const char *result_name(int);
--- a/lib/ring.c
+++ b/lib/ring.c
@@ -19,7 +19,7 @@
 	void *wake_arg;
 };
 
-/* A ring of size slots, or NULL. */
+/* Creates a ring of size slots.  Returns NULL without memory. */
 struct ring *
 ring_new(unsigned size)
 {
@@ -41,7 +41,7 @@
 	return (r);
 }
 
-/* Frees the ring; what is still in it is the caller's to have taken out. */
+/* Frees the ring.  The caller must have removed all items before. */
 void
 ring_free(struct ring *r)
 {
@@ -49,7 +49,7 @@
 		apr_pool_destroy(r->pool);
 }
 
-/* Sets how the reader is woken where it sleeps outside ring_wait. */
+/* Sets how to wake a reader that does not sleep in ring_wait; NULL if it does. */
 void
 ring_on_put(struct ring *r, ring_wake_fn wake, void *arg)
 {
@@ -60,8 +60,8 @@
 }
 
 /*
- * Puts p in; 0, or -1 where the ring is full.  The refusal is the caller's to
- * act on: dropping it unseen would lose a request without an answer.
+ * Appends p.  Returns 0, or -1 if the ring is full.  The caller must handle
+ * that: a request that is dropped silently would never be answered.
  */
 int
 ring_put(struct ring *r, void *p)
@@ -87,7 +87,7 @@
 	return (0);
 }
 
-/* Takes one out with the lock held; NULL where the ring is empty. */
+/* Removes the oldest item, with the lock held.  Returns NULL if empty. */
 static void *
 take(struct ring *r)
 {
@@ -101,7 +101,7 @@
 	return (p);
 }
 
-/* Takes the oldest out without waiting, or NULL. */
+/* Removes the oldest item without waiting.  Returns NULL if empty. */
 void *
 ring_get(struct ring *r)
 {
@@ -113,7 +113,8 @@
 	return (p);
 }
 
-/* Takes the oldest out, waiting wait_us microseconds at most, or NULL. */
+/* Removes the oldest item, waiting for at most wait_us microseconds.  Returns
+ * NULL if there is none; it may also return early. */
 void *
 ring_wait(struct ring *r, int64_t wait_us)
 {
@@ -127,7 +128,7 @@
 	return (p);
 }
 
-/* How often ring_put refused. */
+/* Returns how often ring_put failed. */
 uint64_t
 ring_refused(struct ring *r)
 {
--- a/lib/ring.h
+++ b/lib/ring.h
@@ -1,4 +1,4 @@
-/* A bounded ring between threads; a full one refuses and counts. */
+/* A bounded queue between threads; when full, it refuses items and counts them. */
 #ifndef RING_H
 #define RING_H
 
@@ -6,7 +6,7 @@
 
 struct ring;
 
-/* Wakes the reader where it waits on something else than the ring. */
+/* Wakes a reader that waits for something else than the ring. */
 typedef void (*ring_wake_fn)(void *);
 
 struct ring *ring_new(unsigned size);
--- a/lib/str.c
+++ b/lib/str.c
@@ -5,7 +5,7 @@
 
 #include "str.h"
 
-/* Replaces what s holds by a copy of n bytes; 0, or -1 without memory. */
+/* Replaces the contents of s by n bytes.  Returns 0, or -1 without memory. */
 int
 str_set(struct str *s, const void *p, size_t n)
 {
@@ -14,8 +14,8 @@
 }
 
 /*
- * Appends n bytes; 0, or -1 without memory.  A NUL always follows the last
- * byte, so that text can be passed to libraries as it is.
+ * Appends n bytes.  Returns 0, or -1 without memory.  A NUL always follows the
+ * last byte, so that the contents can be passed on as a C string.
  */
 int
 str_add(struct str *s, const void *p, size_t n)
@@ -35,7 +35,7 @@
 	return (0);
 }
 
-/* Frees the bytes; s may be used again. */
+/* Frees the contents; s is empty and may be reused. */
 void
 str_free(struct str *s)
 {
@@ -44,7 +44,7 @@
 	s->n = 0;
 }
 
-/* True where the n bytes are a name: letters, digits, '.', '-', '_', '+'. */
+/* True if p is a valid name: letters, digits, '.', '-', '_', '+'. */
 int
 name_ok(const char *p, size_t n)
 {
@@ -60,7 +60,8 @@
 	return (1);
 }
 
-/* Copies a NUL-ended name; 0, or -1 where it does not fit and dst is empty. */
+/* Copies a NUL-terminated name.  Returns 0, or -1 if it does not fit; dst is the
+ * empty string then. */
 int
 name_copy(char *dst, size_t size, const char *src)
 {
--- a/lib/str.h
+++ b/lib/str.h
@@ -1,4 +1,4 @@
-/* Length-counted strings for data from outside. */
+/* Growable byte strings, and names. */
 #ifndef STR_H
 #define STR_H
 
@@ -9,7 +9,8 @@
 	size_t n;
 };
 
-/* Longest name of a host, data centre, target, service or cell, with NUL. */
+/* Maximum size of the name of a host, data centre, target, service or cell,
+ * with its NUL. */
 #define NAME_MAX_GS 64
 
 int str_set(struct str *, const void *, size_t);
--- a/regress/unit/t_conf.c
+++ b/regress/unit/t_conf.c
@@ -1,4 +1,4 @@
-/* The settings file: every fault told with its line, nothing used. */
+/* The settings file: every error is reported with its line. */
 #include <stdio.h>
 #include <stdlib.h>
 #include <string.h>
@@ -42,7 +42,7 @@
 	"[platform]\n"
 #define GOOD GOOD_BUT_PLATFORM "address = 127.0.0.1:83\n"
 
-/* How large a host is need not be told, but what is told must make sense. */
+/* The size of a host may be left out, but if set it must be valid. */
 static void
 size(void)
 {
@@ -56,8 +56,9 @@
 	CU_ASSERT_PTR_NOT_NULL(strstr(said, "cores: 'many'"));
 }
 
-/* An operator's daemon has no switches: a file that asks for one is refused,
- * or somebody would believe that a safeguard is off, or run without one. */
+/* Only ablation builds can disable features.  Any other refuses settings that
+ * ask for it, so that nobody runs without a safeguard or believes that one is
+ * off. */
 static void
 no_switches(void)
 {
@@ -92,7 +93,7 @@
 	"budget_window=10s\nretry_budget_ratio=0.2\n"                          \
 	"retry_budget_slack=64\nmax_hold=1.5s\nheartbeat=870ms\n"
 
-/* The platform's bounds by its own names; those it has beyond are left out. */
+/* Bounds by the platform's names; names that are not used here are ignored. */
 static void
 bounds(void)
 {
@@ -107,7 +108,7 @@
 	CU_ASSERT_PTR_NOT_NULL(strstr(said, "missing: apply in section"));
 	CU_ASSERT_EQUAL(read_text(OBJECTS BOUNDS "config_apply=soon\n"), -1);
 	CU_ASSERT_PTR_NOT_NULL(
-	    strstr(said, "21: apply: 'soon' is no time; allowed: a number"));
+	    strstr(said, "21: apply: 'soon' is not a time; allowed: a number"));
 	CU_ASSERT_EQUAL(
 	    read_text(OBJECTS BOUNDS "config_apply=2s\nmax_hold=3h\n"), -1);
 	CU_ASSERT_EQUAL(
@@ -130,12 +131,12 @@
 	    {GOOD "[leases]\nfoo = 1\n", "11: unknown key 'foo'"},
 	    {GOOD "[lease]\nfoo = 1\n", "unknown section [lease]"},
 	    {GOOD "[host]\nname = h2\n", "name: set twice"},
-	    {"[host]\nname = h 1\n", "2: name: 'h 1' is no name"},
+	    {"[host]\nname = h 1\n", "2: name: 'h 1' is not a name"},
 	    {"[listen]\npeers = db.example:80\n", "2: peers: 'db.example:80'"},
-	    {"[listen]\npeers = 127.0.0.1:0\n", "is no address"},
-	    {"[listen]\npeers = 127.0.0.1\n", "is no address"},
+	    {"[listen]\npeers = 127.0.0.1:0\n", "is not an address"},
+	    {"[listen]\npeers = 127.0.0.1\n", "is not an address"},
 	    {GOOD_BUT_PLATFORM "address = 127.0.0.1:83 db:84\n", "'db:84'"},
-	    {GOOD_BUT_PLATFORM "address =\n", "'' is no address"},
+	    {GOOD_BUT_PLATFORM "address =\n", "'' is not an address"},
 	    {GOOD_BUT_PLATFORM "address = 1.1.1.1:1 1.1.1.1:1 1.1.1.1:1 "
 			       "1.1.1.1:1 1.1.1.1:1\n",
 		"allowed: 1 to 4"},
@@ -154,5 +155,5 @@
 }
 
 static const struct unit_test tests[] = {{"good", good}, {"size", size},
-    {"bounds", bounds}, {"faults", faults}, {"no switches", no_switches}};
+    {"bounds", bounds}, {"faults", faults}, {"ablation refused", no_switches}};
 UNIT_MAIN("conf", tests)
--- a/regress/unit/t_feature.c
+++ b/regress/unit/t_feature.c
@@ -1,6 +1,6 @@
 /*
- * The switches of BUILD=ablation: each takes its mechanism out, and nothing
- * else.  Those in gspard/direct_*.c have no test without a network.
+ * The features of BUILD=ablation: disabling one disables that and nothing else.
+ * Those in gspard/direct_*.c cannot be tested without a network.
  */
 #include <stdlib.h>
 #include <string.h>
@@ -14,8 +14,8 @@
 
 static const struct dest_conf twelve = {12};
 
-/* Names that are unknown change nothing: a day would be played with the
- * mechanism that it was to do without. */
+/* A list with an unknown name is an error and changes nothing: otherwise an
+ * ablation run would measure with the feature still enabled. */
 static void
 names(void)
 {
@@ -39,7 +39,7 @@
 	CU_ASSERT(feature_on(FEATURE_FAR));
 }
 
-/* A target of which a host knows something bad in every way. */
+/* Returns a target for which every part of the cost is raised. */
 static struct dest
 bad_target(void)
 {
@@ -56,7 +56,7 @@
 	return (d);
 }
 
-/* What a request costs there with a mechanism left out. */
+/* Returns the cost of a request there with features disabled. */
 static double
 cost_without(const char *name)
 {
@@ -76,7 +76,7 @@
 
 	for (i = 0; i < sizeof(parts) / sizeof(parts[0]); i++)
 		CU_ASSERT(cost_without(parts[i]) < whole - 1);
-	/* What has no part in it changes nothing. */
+	/* Other features do not affect the cost. */
 	CU_ASSERT_DOUBLE_EQUAL(cost_without("rest join doubt"), whole, 1e-6);
 	CU_ASSERT_DOUBLE_EQUAL(
 	    cost_without("cold fails far others speed"), 100000, 1);
@@ -94,7 +94,7 @@
 	CU_ASSERT(!dest_can_send(&d, MS(1000), &twelve));
 	CU_ASSERT_EQUAL(features_off("fill"), 0);
 	CU_ASSERT(dest_can_send(&d, MS(1000), &twelve));
-	/* It is still not sent to while it leaves. */
+	/* A target that leaves still gets no requests. */
 	d.leaving = 1;
 	CU_ASSERT(!dest_can_send(&d, MS(1000), &twelve));
 }
@@ -120,7 +120,7 @@
 	}
 }
 
-/* An entry that lapses just after an outage. */
+/* Returns whether an entry that lapses just after an outage is gone. */
 static int
 lapsed_is_gone(void)
 {
@@ -173,7 +173,7 @@
 	CU_ASSERT_EQUAL(bootstrap_delay(50), 0);
 }
 
-/* Two targets, the second three times as fast, with half of the keys each. */
+/* Two targets with half of the keys each; the second is three times as fast. */
 static struct keys *
 two_targets(void)
 {
@@ -198,7 +198,7 @@
 	return (k);
 }
 
-/* Where a key is planned to be after one look. */
+/* Returns the owner of a key after one planning round. */
 static int
 planned(struct keys *k, uint32_t key)
 {
@@ -215,7 +215,7 @@
 	return (to);
 }
 
-/* One key is all that is asked for. */
+/* Returns the new owner of the only key with any load. */
 static int
 hottest_goes_to(void)
 {
@@ -225,7 +225,7 @@
 	return (planned(k, 100));
 }
 
-/* A busy neighbourhood, of which some keys moved just now. */
+/* Returns the new owner of a key in a busy range that moved at moved_at. */
 static int
 moved_goes_to(usec moved_at)
 {
@@ -251,7 +251,7 @@
 	CU_ASSERT_EQUAL(moved_goes_to(MS(4500)), 1);
 }
 
-/* What a key counts that was asked for once, and one beside it. */
+/* Load estimates of a key that was requested once, and of the next key. */
 static void
 neighbours(void)
 {
@@ -268,7 +268,8 @@
 	free(k);
 }
 
-/* Many small ranges that nobody asks for, by turns with each target. */
+/* Returns how many of many small ranges without load, which alternate between
+ * two targets, are planned to move. */
 static int
 joined(void)
 {
@@ -284,7 +285,7 @@
 	k->nranges = 40;
 	for (i = 0; i < KEYS; i++)
 		k->load[i] = i < 400 ? 0 : 1;
-	/* Balance has nothing to do: the large range is its owner's part. */
+	/* Nothing to balance: the large range matches its owner's capacity. */
 	k->targets[1].slots = 40;
 	keys_plan(k, MS(5000));
 	for (i = 0; i < k->nranges; i++)
@@ -306,12 +307,12 @@
 static const struct unit_test tests[] = {
     {"names", names},
     {"cost of a target", costs},
-    {"room", fill},
-    {"targets left alone", shun},
+    {"requests in flight", fill},
+    {"backoff", shun},
     {"lapsed entries", doubt},
     {"standbys", standby},
     {"moves", moves},
     {"neighbours", neighbours},
-    {"cold ranges", join},
+    {"merging of cold ranges", join},
 };
 UNIT_MAIN("feature", tests)
--- a/regress/unit/t_frame.c
+++ b/regress/unit/t_frame.c
@@ -1,4 +1,4 @@
-/* Frames: what one end packs the other reads; garbage is refused. */
+/* Encoding and decoding of frames; malformed input is rejected. */
 #include <stdlib.h>
 #include <string.h>
 
@@ -27,7 +27,7 @@
 	free(b.p);
 }
 
-/* Any bytes: read or refused, never a crash (run under sanitizers). */
+/* Random bytes are decoded or rejected, never a crash; run with sanitizers. */
 static void
 garbage(void)
 {
@@ -49,5 +49,5 @@
 }
 
 static const struct unit_test tests[] = {
-    {"there and back", there_and_back}, {"garbage", garbage}};
+    {"round trip", there_and_back}, {"garbage", garbage}};
 UNIT_MAIN("frame", tests)
--- a/regress/unit/t_ring.c
+++ b/regress/unit/t_ring.c
@@ -1,4 +1,4 @@
-/* The ring between threads: order kept, a full one refuses and counts. */
+/* The ring keeps the order of items; when full, it refuses and counts them. */
 #include <apr_general.h>
 #include <apr_thread_proc.h>
 
@@ -40,7 +40,7 @@
 	return (NULL);
 }
 
-/* Nothing is lost or turned round between two threads. */
+/* No item is lost or reordered between two threads. */
 static void
 two_threads(void)
 {
--- a/regress/unit/unit.h
+++ b/regress/unit/unit.h
@@ -1,4 +1,4 @@
-/* Runs one module's tests with CUnit; the exit status is 1 on a failure. */
+/* Runs the unit tests of one module with CUnit. */
 #ifndef UNIT_H
 #define UNIT_H
 
@@ -9,7 +9,8 @@
 	CU_TestFunc fn;
 };
 
-/* Runs the tests and returns what main returns. */
+/* Runs the tests.  Returns the exit status: 0, 1 on failures, 2 if CUnit cannot
+ * be initialized. */
 static inline int
 unit_run(const char *module, const struct unit_test *tests, size_t n)
 {
