--- a/gsparctl/catalogue.c
+++ b/gsparctl/catalogue.c
@@ -7,8 +7,8 @@
 #include "entry.h"
 #include "gsparctl.h"
 
-#define WAIT_STEP_US 100000
-#define WAIT_STEPS 100
+#define POLL_INTERVAL_US 100000
+#define POLLS_MAX 100
 #define PUT_TRIES 5
 
 /* Prints the entries in force on the host, or one of them. */
@@ -20,12 +20,12 @@
 
 	all = web_json(o->admin, "/v1/catalogue");
 	if (all == NULL)
-		return (EXIT_NOT_REACHED);
-	if (o->nwords > 2) {
-		e = json_object_get(all, o->words[2]);
+		return (EXIT_NO_ANSWER);
+	if (o->nargs > 2) {
+		e = json_object_get(all, o->args[2]);
 		if (e == NULL) {
 			fprintf(stderr, "gsparctl: %s has no entry %s\n",
-			    o->admin, o->words[2]);
+			    o->admin, o->args[2]);
 			json_decref(all);
 			return (EXIT_NOT_FOUND);
 		}
@@ -48,12 +48,12 @@
 		}
 	}
 	json_decref(all);
-	return (EXIT_DONE);
+	return (EXIT_OK);
 }
 
 /* Reads a whole file.  Returns 0, or -1 if it is empty or cannot be read. */
 static int
-read_whole(const char *name, struct str *out)
+read_file(const char *name, struct str *out)
 {
 	char buf[4096];
 	size_t n;
@@ -78,7 +78,7 @@
 	struct entry *e;
 	char why[300];
 
-	if (read_whole(file, out) != 0)
+	if (read_file(file, out) != 0)
 		return (-1);
 	e = entry_parse(out->p, out->n, why, sizeof(why));
 	if (e == NULL) {
@@ -92,7 +92,7 @@
 
 /* Prints the differences of two JSON values, by path. */
 static void
-differences(const char *path, json_t *a, json_t *b)
+print_differences(const char *path, json_t *a, json_t *b)
 {
 	char at[400], *x, *y;
 	const char *key;
@@ -105,13 +105,13 @@
 		json_object_foreach(a, key, v)
 		{
 			snprintf(at, sizeof(at), "%s.%s", path, key);
-			differences(at, v, json_object_get(b, key));
+			print_differences(at, v, json_object_get(b, key));
 		}
 		json_object_foreach(b, key, v)
 		{
 			snprintf(at, sizeof(at), "%s.%s", path, key);
 			if (json_object_get(a, key) == NULL)
-				differences(at, NULL, v);
+				print_differences(at, NULL, v);
 		}
 		return;
 	}
@@ -120,7 +120,7 @@
 		json_array_foreach(a, i, v)
 		{
 			snprintf(at, sizeof(at), "%s[%zu]", path, i);
-			differences(at, v, json_array_get(b, i));
+			print_differences(at, v, json_array_get(b, i));
 		}
 		return;
 	}
@@ -133,7 +133,7 @@
 
 /* Prints how the stored entry differs from ours after a concurrent write. */
 static int
-conflict(const struct options *o, const struct str *mine, const char *url)
+print_conflict(const struct options *o, const struct str *mine, const char *url)
 {
 	struct reply r;
 	json_t *a, *b;
@@ -145,7 +145,7 @@
 	    r.version, o->base);
 	a = json_loadb(mine->p, mine->n, 0, NULL);
 	b = r.status == 200 ? json_loadb(r.body.p, r.body.n, 0, NULL) : NULL;
-	differences("entry", a, b);
+	print_differences("entry", a, b);
 	json_decref(a);
 	json_decref(b);
 	str_free(&r.body);
@@ -155,7 +155,7 @@
 /* Returns the entry with a unique id of this edit, which tells after a lost
  * answer whether it was written.  The caller frees it. */
 static char *
-with_edit(const struct str *in, char *edit, size_t size)
+add_edit_id(const struct str *in, char *edit, size_t size)
 {
 	json_t *o = json_loadb(in->p, in->n, 0, NULL);
 	char *text;
@@ -170,7 +170,8 @@
 
 /* True if the stored entry has the edit's id; sets its version then. */
 static int
-is_stored(const char *url, const char *edit, unsigned long *version, int *heard)
+is_stored(
+    const char *url, const char *edit, unsigned long *version, int *answered)
 {
 	struct reply r;
 	json_t *o;
@@ -178,7 +179,7 @@
 	int yes = 0;
 
 	web_call(&r, "GET", url, NULL, 0, -1);
-	*heard = r.status != 0;
+	*answered = r.status != 0;
 	if (r.status == 200) {
 		o = json_loadb(r.body.p, r.body.n, 0, NULL);
 		id = json_string_value(json_object_get(o, "edit"));
@@ -200,7 +201,7 @@
     const char *edit, unsigned long *version)
 {
 	struct reply r;
-	int i, heard = 0, status;
+	int i, answered = 0, status;
 
 	for (i = 0; i < PUT_TRIES; i++) {
 		web_call(&r, "PUT", url, text, strlen(text), o->base);
@@ -208,28 +209,28 @@
 		*version = r.version;
 		str_free(&r.body);
 		if (status == 200)
-			return (EXIT_DONE);
-		if (is_stored(url, edit, version, &heard))
-			return (EXIT_DONE);
-		if (status == 412 && heard)
+			return (EXIT_OK);
+		if (is_stored(url, edit, version, &answered))
+			return (EXIT_OK);
+		if (status == 412 && answered)
 			return (EXIT_CONFLICT);
 	}
-	return (EXIT_NOT_REACHED);
+	return (EXIT_NO_ANSWER);
 }
 
 /* Waits until the version is in force on every host of the list. */
 static int
-wait_for(const struct options *o, const char *name, unsigned long version)
+wait_in_force(const struct options *o, const char *name, unsigned long version)
 {
 	json_t *hosts, *h, *st;
 	const char *missing = "";
 	size_t i;
 	int n, behind = 1;
 
-	hosts = hosts_of(o);
+	hosts = get_hosts(o);
 	if (hosts == NULL)
-		return (EXIT_NOT_REACHED);
-	for (n = 0; n < WAIT_STEPS && behind > 0; n++) {
+		return (EXIT_NO_ANSWER);
+	for (n = 0; n < POLLS_MAX && behind > 0; n++) {
 		behind = 0;
 		json_array_foreach(hosts, i, h)
 		{
@@ -242,20 +243,20 @@
 				behind++;
 				missing = json_string_value(
 				    json_object_get(h, "host"));
-				if (n == WAIT_STEPS - 1)
+				if (n == POLLS_MAX - 1)
 					printf(
 					    "not confirmed by %s\n", missing);
 			}
 			json_decref(st);
 		}
 		if (behind > 0)
-			usleep(WAIT_STEP_US);
+			usleep(POLL_INTERVAL_US);
 	}
 	if (behind == 0)
 		printf("in force on all %zu hosts of the list\n",
 		    json_array_size(hosts));
 	json_decref(hosts);
-	return (behind > 0 ? EXIT_NOT_CONFIRMED : EXIT_DONE);
+	return (behind > 0 ? EXIT_NOT_CONFIRMED : EXIT_OK);
 }
 
 /* Writes an entry to the platform. */
@@ -267,31 +268,31 @@
 	unsigned long version = 0;
 	int res;
 
-	if (o->nwords != 3 || o->platform == NULL || o->base < 0) {
+	if (o->nargs != 3 || o->platform == NULL || o->base < 0) {
 		fprintf(stderr,
 		    "usage: gsparctl -p PLATFORM [-w] -b VERSION "
 		    "catalogue set FILE\n");
 		return (EXIT_USAGE);
 	}
-	if (read_entry(o->words[2], &in, name) != 0) {
+	if (read_entry(o->args[2], &in, name) != 0) {
 		str_free(&in);
 		return (EXIT_INVALID);
 	}
 	snprintf(url, sizeof(url), "http://%s/v1/objects/catalogue/%s",
 	    o->platform, name);
-	text = with_edit(&in, edit, sizeof(edit));
+	text = add_edit_id(&in, edit, sizeof(edit));
 	res = put_entry(o, url, text, edit, &version);
 	if (res == EXIT_CONFLICT)
-		res = conflict(o, &in, url);
-	else if (res == EXIT_NOT_REACHED)
+		res = print_conflict(o, &in, url);
+	else if (res == EXIT_NO_ANSWER)
 		fprintf(stderr,
 		    "gsparctl: %s does not answer; whether %s was written is "
 		    "not known, check with 'catalogue show'\n",
 		    o->platform, name);
 	else
 		printf("%s written, version %lu\n", name, version);
-	if (res == EXIT_DONE && o->wait)
-		res = wait_for(o, name, version);
+	if (res == EXIT_OK && o->wait)
+		res = wait_in_force(o, name, version);
 	free(text);
 	str_free(&in);
 	return (res);
@@ -305,15 +306,15 @@
 	char name[NAME_MAX_GS];
 	int res;
 
-	if (o->nwords != 3) {
+	if (o->nargs != 3) {
 		fprintf(stderr, "usage: gsparctl catalogue check FILE\n");
 		return (EXIT_USAGE);
 	}
-	res = read_entry(o->words[2], &in, name);
+	res = read_entry(o->args[2], &in, name);
 	if (res == 0)
-		printf("%s: valid entry for %s\n", o->words[2], name);
+		printf("%s: valid entry for %s\n", o->args[2], name);
 	str_free(&in);
-	return (res == 0 ? EXIT_DONE : EXIT_INVALID);
+	return (res == 0 ? EXIT_OK : EXIT_INVALID);
 }
 
 /* Prints the differences of an entry in a file and the one in force. */
@@ -324,26 +325,26 @@
 	char name[NAME_MAX_GS];
 	json_t *all, *mine;
 
-	if (o->nwords != 3) {
+	if (o->nargs != 3) {
 		fprintf(stderr, "usage: gsparctl catalogue diff FILE\n");
 		return (EXIT_USAGE);
 	}
-	if (read_entry(o->words[2], &in, name) != 0) {
+	if (read_entry(o->args[2], &in, name) != 0) {
 		str_free(&in);
 		return (EXIT_INVALID);
 	}
 	all = web_json(o->admin, "/v1/catalogue");
 	if (all == NULL) {
 		str_free(&in);
-		return (EXIT_NOT_REACHED);
+		return (EXIT_NO_ANSWER);
 	}
 	mine = json_loadb(in.p, in.n, 0, NULL);
-	differences("entry", mine,
+	print_differences("entry", mine,
 	    json_object_get(json_object_get(all, name), "entry"));
 	json_decref(mine);
 	json_decref(all);
 	str_free(&in);
-	return (EXIT_DONE);
+	return (EXIT_OK);
 }
 
 /* Runs a command on the catalogue. */
@@ -357,8 +358,8 @@
 	    {"show", show}, {"set", set}, {"check", check}, {"diff", diff}};
 	size_t i;
 
-	for (i = 0; o->nwords > 1 && i < sizeof(cmds) / sizeof(cmds[0]); i++) {
-		if (strcmp(o->words[1], cmds[i].name) == 0)
+	for (i = 0; o->nargs > 1 && i < sizeof(cmds) / sizeof(cmds[0]); i++) {
+		if (strcmp(o->args[1], cmds[i].name) == 0)
 			return (cmds[i].fn(o));
 	}
 	fprintf(stderr, "usage: gsparctl catalogue show|set|check|diff ...\n");
--- a/gsparctl/gsparctl.c
+++ b/gsparctl/gsparctl.c
@@ -13,7 +13,7 @@
 
 static struct options opts = {.base = -1};
 static struct conf conf;
-static int conf_bad;
+static int conf_invalid;
 
 static const struct argp_option options[] = {
     {"admin", 'a', "IP:PORT", 0, "Admin address of the host to ask", 0},
@@ -28,17 +28,17 @@
 
 /* Prints an error in the settings. */
 static void
-bad_setting(const char *name, int line, const char *what)
+conf_error(const char *name, int line, const char *msg)
 {
-	fprintf(stderr, "%s:%d: %s\n", name, line, what);
+	fprintf(stderr, "%s:%d: %s\n", name, line, msg);
 }
 
 /* Takes the admin and platform addresses from a host's settings. */
 static void
 read_conf(const char *file)
 {
-	if (conf_read(&conf, file, bad_setting) != 0) {
-		conf_bad = 1;
+	if (conf_read(&conf, file, conf_error) != 0) {
+		conf_invalid = 1;
 		return;
 	}
 	opts.admin = conf.admin;
@@ -47,7 +47,7 @@
 
 /* Handles one option or argument. */
 static error_t
-parse(int key, char *arg, struct argp_state *st)
+parse_option(int key, char *arg, struct argp_state *st)
 {
 	switch (key) {
 	case 'a':
@@ -72,12 +72,12 @@
 		opts.match = arg;
 		break;
 	case ARGP_KEY_ARG:
-		if (opts.nwords == 4)
+		if (opts.nargs == 4)
 			argp_error(st, "too many arguments");
-		opts.words[opts.nwords++] = arg;
+		opts.args[opts.nargs++] = arg;
 		break;
 	case ARGP_KEY_END:
-		if (opts.nwords == 0)
+		if (opts.nargs == 0)
 			argp_usage(st);
 		break;
 	default:
@@ -86,7 +86,7 @@
 	return (0);
 }
 
-static const struct argp argp = {options, parse,
+static const struct argp argp = {options, parse_option,
     "status\nowner SERVICE KEY\ntimeline\ncatalogue show [SERVICE]\n"
     "catalogue check FILE\ncatalogue diff FILE\ncatalogue set FILE",
     "Shows the state of hosts and edits the catalogue.", 0, 0, 0};
@@ -110,22 +110,23 @@
 
 	argp_err_exit_status = EXIT_USAGE;
 	argp_parse(&argp, argc, argv, 0, NULL, NULL);
-	if (conf_bad)
+	if (conf_invalid)
 		return (EXIT_INVALID);
 	if (opts.admin == NULL &&
-	    !(opts.nwords > 1 && strcmp(opts.words[1], "check") == 0)) {
+	    !(opts.nargs > 1 && strcmp(opts.args[1], "check") == 0)) {
 		fprintf(stderr, "gsparctl: no host given, use -a or -f\n");
 		return (EXIT_USAGE);
 	}
 	curl_global_init(CURL_GLOBAL_DEFAULT);
 	for (i = 0; i < sizeof(commands) / sizeof(commands[0]); i++) {
-		if (strcmp(opts.words[0], commands[i].name) == 0)
+		if (strcmp(opts.args[0], commands[i].name) == 0)
 			break;
 	}
 	if (i < sizeof(commands) / sizeof(commands[0]))
 		res = commands[i].fn(&opts);
 	else
-		fprintf(stderr, "gsparctl: unknown command '%s'\n", opts.words[0]);
+		fprintf(
+		    stderr, "gsparctl: unknown command '%s'\n", opts.args[0]);
 	curl_global_cleanup();
 	return (res);
 }
--- a/gsparctl/gsparctl.h
+++ b/gsparctl/gsparctl.h
@@ -9,9 +9,9 @@
 
 /* Exit codes; documented in gsparctl(8). */
 enum {
-	EXIT_DONE = 0,
+	EXIT_OK = 0,
 	EXIT_USAGE = 1,
-	EXIT_NOT_REACHED = 2,
+	EXIT_NO_ANSWER = 2,
 	EXIT_CONFLICT = 3,
 	EXIT_INVALID = 4,
 	EXIT_NOT_CONFIRMED = 5,
@@ -25,8 +25,8 @@
 	int wait;
 	long base;	   /* version an edit began from; -1 if not given */
 	const char *match; /* print only events that contain this */
-	const char *words[4];
-	int nwords;
+	const char *args[4];
+	int nargs;
 };
 
 /* An HTTP response; the status is 0 if there was none. */
@@ -45,7 +45,7 @@
 /* status.c */
 int cmd_status(const struct options *);
 int cmd_owner(const struct options *);
-json_t *hosts_of(const struct options *);
+json_t *get_hosts(const struct options *);
 
 /* timeline.c */
 int cmd_timeline(const struct options *);
--- a/gsparctl/status.c
+++ b/gsparctl/status.c
@@ -6,7 +6,7 @@
 
 /* Returns a string member, or "" if there is none. */
 static const char *
-text(json_t *o, const char *key)
+get_string(json_t *o, const char *key)
 {
 	const char *s = json_string_value(json_object_get(o, key));
 
@@ -23,7 +23,7 @@
 
 /* Returns the hosts that the asked host knows, or NULL. */
 json_t *
-hosts_of(const struct options *o)
+get_hosts(const struct options *o)
 {
 	json_t *st = web_json(o->admin, "/v1/status"), *hosts;
 
@@ -42,7 +42,8 @@
 	const char *name;
 	size_t i;
 
-	printf("%-12s dc %-10s %s", text(st, "host"), text(st, "dc"),
+	printf("%-12s dc %-10s %s", get_string(st, "host"),
+	    get_string(st, "dc"),
 	    json_is_true(json_object_get(st, "stopping")) ? "stopping"
 							  : "running");
 	json_object_foreach(json_object_get(st, "catalogue"), name, v)
@@ -52,14 +53,14 @@
 	putchar('\n');
 	json_array_foreach(cells, i, c)
 	{
-		if (strcmp(text(c, "role"), "none") == 0)
+		if (strcmp(get_string(c, "role"), "none") == 0)
 			continue;
 		printf("%-12s   cell %-16s %-10s term %lld view %lld, "
 		       "controller %s, lease %lld ms\n",
-		    "", text(c, "cell"), text(c, "role"),
+		    "", get_string(c, "cell"), get_string(c, "role"),
 		    (long long)json_integer_value(json_object_get(c, "term")),
 		    (long long)json_integer_value(json_object_get(c, "view")),
-		    text(c, "controller"),
+		    get_string(c, "controller"),
 		    (long long)json_integer_value(
 			json_object_get(c, "lease_ms")));
 	}
@@ -73,22 +74,23 @@
 cmd_status(const struct options *o)
 {
 	json_t *hosts, *h, *st, *all;
-	size_t i, unheard = 0;
+	size_t i, unanswered = 0;
 
-	hosts = hosts_of(o);
+	hosts = get_hosts(o);
 	if (hosts == NULL)
-		return (EXIT_NOT_REACHED);
+		return (EXIT_NO_ANSWER);
 	all = json_array();
 	json_array_foreach(hosts, i, h)
 	{
-		st = web_json(text(h, "admin"), "/v1/status");
+		st = web_json(get_string(h, "admin"), "/v1/status");
 		if (st == NULL) {
-			unheard++;
-			st = json_pack("{s:s, s:b}", "host", text(h, "host"),
-			    "not_known", 1);
+			unanswered++;
+			st = json_pack("{s:s, s:b}", "host",
+			    get_string(h, "host"), "not_known", 1);
 			if (!o->json)
 				printf("%-12s not known: no answer from %s\n",
-				    text(h, "host"), text(h, "admin"));
+				    get_string(h, "host"),
+				    get_string(h, "admin"));
 		} else if (!o->json)
 			print_host(st);
 		json_array_append_new(all, st);
@@ -96,11 +98,12 @@
 	if (o->json)
 		print_json(all);
 	else
-		printf("%zu of %zu hosts heard\n",
-		    json_array_size(hosts) - unheard, json_array_size(hosts));
+		printf("%zu of %zu hosts answered\n",
+		    json_array_size(hosts) - unanswered,
+		    json_array_size(hosts));
 	json_decref(all);
 	json_decref(hosts);
-	return (unheard > 0 ? EXIT_NOT_CONFIRMED : EXIT_DONE);
+	return (unanswered > 0 ? EXIT_NOT_CONFIRMED : EXIT_OK);
 }
 
 /* Prints the owner of a key, and the controller that confirmed it. */
@@ -110,33 +113,34 @@
 	char path[2048], *service, *key;
 	json_t *a;
 
-	if (o->nwords != 3) {
+	if (o->nargs != 3) {
 		fprintf(stderr, "usage: gsparctl owner SERVICE KEY\n");
 		return (EXIT_USAGE);
 	}
-	service = web_escape(o->words[1]);
-	key = web_escape(o->words[2]);
+	service = web_escape(o->args[1]);
+	key = web_escape(o->args[2]);
 	snprintf(
 	    path, sizeof(path), "/v1/owner?service=%s&key=%s", service, key);
 	free(service);
 	free(key);
 	a = web_json(o->admin, path);
 	if (a == NULL)
-		return (EXIT_NOT_REACHED);
+		return (EXIT_NO_ANSWER);
 	if (o->json)
 		print_json(a);
 	else if (json_object_get(a, "error") != NULL)
-		printf("%s\n", text(a, "error"));
+		printf("%s\n", get_string(a, "error"));
 	else
 		printf("shard %lld of cell %s: target %s, dispatcher %s, fence "
 		       "%lld, confirmed by %s (term %lld, view %lld)\n",
 		    (long long)json_integer_value(json_object_get(a, "shard")),
-		    text(a, "cell"), text(a, "target"), text(a, "dispatcher"),
+		    get_string(a, "cell"), get_string(a, "target"),
+		    get_string(a, "dispatcher"),
 		    (long long)json_integer_value(json_object_get(a, "fence")),
-		    text(a, "confirmed_by"),
+		    get_string(a, "confirmed_by"),
 		    (long long)json_integer_value(json_object_get(a, "term")),
 		    (long long)json_integer_value(json_object_get(a, "view")));
 	service = json_object_get(a, "error") != NULL ? "" : NULL;
 	json_decref(a);
-	return (service != NULL ? EXIT_NOT_FOUND : EXIT_DONE);
+	return (service != NULL ? EXIT_NOT_FOUND : EXIT_OK);
 }
--- a/gsparctl/timeline.c
+++ b/gsparctl/timeline.c
@@ -5,7 +5,7 @@
 
 #include "gsparctl.h"
 
-#define MAX_HOSTS 1024
+#define HOSTS_MAX 1024
 
 /* An event of a host; event is NULL for a gap in its numbers. */
 struct item {
@@ -20,12 +20,12 @@
 static size_t nitems;
 
 /* The items of one host that are not printed yet. */
-struct run {
-	size_t at;
+struct host_range {
+	size_t next;
 	size_t end;
 };
-static struct run runs[MAX_HOSTS];
-static size_t nruns;
+static struct host_range ranges[HOSTS_MAX];
+static size_t nranges;
 
 /* Adds the events of a host, and an item for each gap in their numbers. */
 static void
@@ -37,7 +37,7 @@
 	long long last = 0;
 	size_t i, from = nitems;
 
-	if (nruns == MAX_HOSTS)
+	if (nranges == HOSTS_MAX)
 		return;
 	json_array_foreach(list, i, e)
 	{
@@ -59,8 +59,8 @@
 		last = it[it->event == NULL].seq;
 		nitems++;
 	}
-	runs[nruns].at = from;
-	runs[nruns++].end = nitems;
+	ranges[nranges].next = from;
+	ranges[nranges++].end = nitems;
 }
 
 /* Prints an event or a gap as one line. */
@@ -100,20 +100,21 @@
 static void
 print_merged(const char *match)
 {
-	struct run *first;
+	struct host_range *earliest;
 	size_t i;
 
 	for (;;) {
-		first = NULL;
-		for (i = 0; i < nruns; i++) {
-			if (runs[i].at < runs[i].end &&
-			    (first == NULL ||
-				items[runs[i].at].wall < items[first->at].wall))
-				first = &runs[i];
+		earliest = NULL;
+		for (i = 0; i < nranges; i++) {
+			if (ranges[i].next < ranges[i].end &&
+			    (earliest == NULL ||
+				items[ranges[i].next].wall <
+				    items[earliest->next].wall))
+				earliest = &ranges[i];
 		}
-		if (first == NULL)
+		if (earliest == NULL)
 			return;
-		print_item(&items[first->at++], match);
+		print_item(&items[earliest->next++], match);
 	}
 }
 
@@ -124,11 +125,11 @@
 	json_t *hosts, *h, *page, *pages;
 	const char *admin;
 	size_t i;
-	int res = EXIT_DONE;
+	int res = EXIT_OK;
 
-	hosts = hosts_of(o);
+	hosts = get_hosts(o);
 	if (hosts == NULL)
-		return (EXIT_NOT_REACHED);
+		return (EXIT_NO_ANSWER);
 	pages = json_array();
 	json_array_foreach(hosts, i, h)
 	{
--- a/gsparctl/web.c
+++ b/gsparctl/web.c
@@ -20,7 +20,7 @@
 
 /* Takes the object's version from its header; called by curl. */
 static size_t
-on_head(char *p, size_t n, size_t m, void *arg)
+on_header(char *p, size_t n, size_t m, void *arg)
 {
 	struct reply *r = arg;
 	char num[32];
@@ -44,7 +44,7 @@
 web_call(struct reply *r, const char *method, const char *url, const char *body,
     size_t n, long base)
 {
-	struct curl_slist *heads = NULL;
+	struct curl_slist *headers = NULL;
 	char line[64];
 	long status = 0;
 	CURL *c;
@@ -55,26 +55,26 @@
 		return;
 	if (base >= 0) {
 		snprintf(line, sizeof(line), "If-Version: %ld", base);
-		heads = curl_slist_append(heads, line);
+		headers = curl_slist_append(headers, line);
 	}
 	curl_easy_setopt(c, CURLOPT_URL, url);
 	curl_easy_setopt(c, CURLOPT_CUSTOMREQUEST, method);
 	curl_easy_setopt(c, CURLOPT_NOSIGNAL, 1L);
 	curl_easy_setopt(c, CURLOPT_TIMEOUT_MS, CALL_TIMEOUT_MS);
 	curl_easy_setopt(c, CURLOPT_USERAGENT, "gsparctl");
-	curl_easy_setopt(c, CURLOPT_HTTPHEADER, heads);
+	curl_easy_setopt(c, CURLOPT_HTTPHEADER, headers);
 	if (body != NULL) {
 		curl_easy_setopt(c, CURLOPT_POSTFIELDSIZE, (long)n);
 		curl_easy_setopt(c, CURLOPT_POSTFIELDS, body);
 	}
 	curl_easy_setopt(c, CURLOPT_WRITEFUNCTION, on_body);
 	curl_easy_setopt(c, CURLOPT_WRITEDATA, r);
-	curl_easy_setopt(c, CURLOPT_HEADERFUNCTION, on_head);
+	curl_easy_setopt(c, CURLOPT_HEADERFUNCTION, on_header);
 	curl_easy_setopt(c, CURLOPT_HEADERDATA, r);
 	if (curl_easy_perform(c) == CURLE_OK)
 		curl_easy_getinfo(c, CURLINFO_RESPONSE_CODE, &status);
 	r->status = (int)status;
-	curl_slist_free_all(heads);
+	curl_slist_free_all(headers);
 	curl_easy_cleanup(c);
 }
 
--- a/lib/conf.c
+++ b/lib/conf.c
@@ -12,52 +12,53 @@
 #include "conf.h"
 #include "feature.h"
 
-enum kind { K_NAME, K_ADDR, K_PLATFORMS, K_INT, K_FORM, K_SPAN, K_REAL };
+enum kind { K_NAME, K_ADDR, K_ADDRS, K_INT, K_FORM, K_TIME, K_REAL };
 
 struct key {
 	const char *section;
 	const char *name;
 	enum kind kind;
-	size_t at;
-	int low;
-	int high;
+	size_t offset;
+	int min;
+	int max;
 };
 
-#define AT(f) offsetof(struct conf, f)
+#define OFFSET(f) offsetof(struct conf, f)
 static const struct key keys[] = {
-    {"host", "name", K_NAME, AT(host), 0, 0},
-    {"host", "dc", K_NAME, AT(dc), 0, 0},
-    {"host", "cores", K_REAL, AT(cores), 0, 4096},
-    {"host", "link_mbps", K_REAL, AT(link_mbps), 0, 1000000},
-    {"listen", "callers", K_ADDR, AT(callers), 0, 0},
-    {"listen", "peers", K_ADDR, AT(peers), 0, 0},
-    {"listen", "reached", K_ADDR, AT(reached), 0, 0},
-    {"listen", "admin", K_ADDR, AT(admin), 0, 0},
-    {"listen", "ready", K_ADDR, AT(ready), 0, 0},
-    {"platform", "address", K_PLATFORMS, AT(platform), 0, 0},
-    {"platform", "form", K_FORM, AT(form), 0, 0},
-    {"bounds", "leave", K_SPAN, AT(bounds.leave_ms), 100, 60000},
-    {"bounds", "stop", K_SPAN, AT(bounds.stop_ms), 500, 600000},
-    {"bounds", "apply", K_SPAN, AT(bounds.apply_ms), 100, 60000},
-    {"bounds", "retry_window", K_SPAN, AT(bounds.retry_window_ms), 100, 600000},
-    {"bounds", "hold_max", K_SPAN, AT(bounds.hold_max_ms), 500, 600000},
-    {"bounds", "retry_share", K_REAL, AT(bounds.retry_share), 0, 10},
-    {"bounds", "retry_slack", K_REAL, AT(bounds.retry_slack), 0, 100000},
-    {"bounds", "heartbeat", K_SPAN, AT(bounds.heartbeat_ms), 50, 60000},
-    {"bounds", "evacuate", K_SPAN, AT(bounds.evacuate_ms), 500, 60000},
-    {"leases", "control_ms", K_INT, AT(control_lease_ms), 200, 10000},
-    {"leases", "host_ms", K_INT, AT(host_lease_ms), 300, 10000},
-    {"leases", "renew_ms", K_INT, AT(renew_ms), 20, 2000},
-    {"leases", "grant_ms", K_INT, AT(grant_ms), 200, 10000},
+    {"host", "name", K_NAME, OFFSET(host), 0, 0},
+    {"host", "dc", K_NAME, OFFSET(dc), 0, 0},
+    {"host", "cores", K_REAL, OFFSET(cores), 0, 4096},
+    {"host", "link_mbps", K_REAL, OFFSET(link_mbps), 0, 1000000},
+    {"listen", "callers", K_ADDR, OFFSET(callers), 0, 0},
+    {"listen", "peers", K_ADDR, OFFSET(peers), 0, 0},
+    {"listen", "reached", K_ADDR, OFFSET(reached), 0, 0},
+    {"listen", "admin", K_ADDR, OFFSET(admin), 0, 0},
+    {"listen", "ready", K_ADDR, OFFSET(ready), 0, 0},
+    {"platform", "address", K_ADDRS, OFFSET(platform), 0, 0},
+    {"platform", "form", K_FORM, OFFSET(form), 0, 0},
+    {"bounds", "leave", K_TIME, OFFSET(bounds.leave_ms), 100, 60000},
+    {"bounds", "stop", K_TIME, OFFSET(bounds.stop_ms), 500, 600000},
+    {"bounds", "apply", K_TIME, OFFSET(bounds.apply_ms), 100, 60000},
+    {"bounds", "retry_window", K_TIME, OFFSET(bounds.retry_window_ms), 100,
+	600000},
+    {"bounds", "hold_max", K_TIME, OFFSET(bounds.hold_max_ms), 500, 600000},
+    {"bounds", "retry_share", K_REAL, OFFSET(bounds.retry_share), 0, 10},
+    {"bounds", "retry_slack", K_REAL, OFFSET(bounds.retry_slack), 0, 100000},
+    {"bounds", "heartbeat", K_TIME, OFFSET(bounds.heartbeat_ms), 50, 60000},
+    {"bounds", "evacuate", K_TIME, OFFSET(bounds.evacuate_ms), 500, 60000},
+    {"leases", "control_ms", K_INT, OFFSET(control_lease_ms), 200, 10000},
+    {"leases", "host_ms", K_INT, OFFSET(host_lease_ms), 300, 10000},
+    {"leases", "renew_ms", K_INT, OFFSET(renew_ms), 20, 2000},
+    {"leases", "grant_ms", K_INT, OFFSET(grant_ms), 200, 10000},
 };
 #define NKEYS (sizeof(keys) / sizeof(keys[0]))
 
-struct reading {
+struct reader {
 	struct conf *conf;
 	const char *file;
-	conf_bad_fn bad;
+	conf_error_fn on_error;
 	int line;
-	int faults;
+	int nerrors;
 	unsigned char seen[NKEYS];
 	FILE *in;
 };
@@ -76,13 +77,13 @@
 /* Returns the key that a name in section [bounds] stands for, or NULL for a
  * name that is not used here. */
 static const char *
-bound_name(const char *name)
+bound_key(const char *name)
 {
 	int i;
 
 	for (i = 0; i < naliases; i++) {
-		if (strcmp(aliases[i].theirs, name) == 0)
-			return (aliases[i].ours);
+		if (strcmp(aliases[i].alias, name) == 0)
+			return (aliases[i].key);
 	}
 	return (naliases > 0 ? NULL : name);
 }
@@ -129,53 +130,53 @@
 
 /* Reports an error; reading continues, so that one run shows all errors. */
 static void __attribute__((format(printf, 3, 4)))
-fault(struct reading *r, int line, const char *fmt, ...)
+report_error(struct reader *r, int line, const char *fmt, ...)
 {
-	char what[400];
+	char msg[400];
 	va_list ap;
 
 	va_start(ap, fmt);
-	vsnprintf(what, sizeof(what), fmt, ap);
+	vsnprintf(msg, sizeof(msg), fmt, ap);
 	va_end(ap);
-	r->bad(r->file, line, what);
-	r->faults++;
+	r->on_error(r->file, line, msg);
+	r->nerrors++;
 }
 
 /* Stores an address.  Returns 0, or -1 after reporting an invalid one. */
 static int
-store_addr(struct reading *r, const struct key *k, char *at, const char *value)
+store_addr(struct reader *r, const struct key *k, char *dst, const char *value)
 {
 	char ip[ADDR_MAX_GS];
 	int port;
 
 	if (strlen(value) >= ADDR_MAX_GS ||
 	    addr_split(value, ip, sizeof(ip), &port) != 0) {
-		fault(r, r->line,
+		report_error(r, r->line,
 		    "%s: '%s' is not an address; allowed: an IP number, "
 		    "':' and a port from 1 to 65535",
 		    k->name, value);
 		return (-1);
 	}
-	name_copy(at, ADDR_MAX_GS, value);
+	name_copy(dst, ADDR_MAX_GS, value);
 	return (0);
 }
 
 /* Stores the platform's addresses, which are separated by blanks. */
 static void
-store_platforms(struct reading *r, const struct key *k, const char *value)
+store_addrs(struct reader *r, const struct key *k, const char *value)
 {
 	struct conf *c = r->conf;
 	char text[PLATFORMS_MAX * ADDR_MAX_GS * 2], *word, *rest;
 
 	if (name_copy(text, sizeof(text), value) != 0) {
-		fault(r, r->line, "%s: too long", k->name);
+		report_error(r, r->line, "%s: too long", k->name);
 		return;
 	}
 	c->nplatforms = 0;
 	for (word = strtok_r(text, " \t", &rest); word != NULL;
 	     word = strtok_r(NULL, " \t", &rest)) {
 		if (c->nplatforms == PLATFORMS_MAX) {
-			fault(r, r->line,
+			report_error(r, r->line,
 			    "%s: too many addresses; allowed: 1 to %d", k->name,
 			    PLATFORMS_MAX);
 			return;
@@ -190,21 +191,21 @@
 
 /* Stores a time in milliseconds if it is within the key's range. */
 static void
-store_ms(struct reading *r, const struct key *k, const char *value, double n)
+store_ms(struct reader *r, const struct key *k, const char *value, double n)
 {
-	char *at = (char *)r->conf + k->at;
+	char *dst = (char *)r->conf + k->offset;
 
-	if (!(n >= k->low && n <= k->high))
-		fault(r, r->line,
+	if (!(n >= k->min && n <= k->max))
+		report_error(r, r->line,
 		    "%s: '%s' is out of range; allowed: %d to %d milliseconds",
-		    k->name, value, k->low, k->high);
+		    k->name, value, k->min, k->max);
 	else
-		memcpy(at, &(int){(int)n}, sizeof(int));
+		memcpy(dst, &(int){(int)n}, sizeof(int));
 }
 
 /* Parses and stores a time: a number and its unit, ms or s. */
 static void
-store_span(struct reading *r, const struct key *k, const char *value)
+store_time(struct reader *r, const struct key *k, const char *value)
 {
 	char *end;
 	double n;
@@ -216,14 +217,14 @@
 	else if (errno == 0 && end != value && strcmp(end, "s") == 0)
 		store_ms(r, k, value, n * 1000);
 	else
-		fault(r, r->line,
+		report_error(r, r->line,
 		    "%s: '%s' is not a time; allowed: a number and ms or s",
 		    k->name, value);
 }
 
 /* Parses and stores a real number. */
 static void
-store_real(struct reading *r, const struct key *k, const char *value)
+store_real(struct reader *r, const struct key *k, const char *value)
 {
 	char *end;
 	double n;
@@ -231,16 +232,17 @@
 	errno = 0;
 	n = strtod(value, &end);
 	if (errno != 0 || end == value || *end != '\0' ||
-	    !(n >= k->low && n <= k->high))
-		fault(r, r->line, "%s: '%s' is out of range; allowed: %d to %d",
-		    k->name, value, k->low, k->high);
+	    !(n >= k->min && n <= k->max))
+		report_error(r, r->line,
+		    "%s: '%s' is out of range; allowed: %d to %d", k->name,
+		    value, k->min, k->max);
 	else
-		memcpy((char *)r->conf + k->at, &n, sizeof(n));
+		memcpy((char *)r->conf + k->offset, &n, sizeof(n));
 }
 
 /* Stores which of the platform's interfaces to use. */
 static void
-store_form(struct reading *r, const struct key *k, const char *value)
+store_form(struct reader *r, const struct key *k, const char *value)
 {
 	int form;
 
@@ -249,7 +251,7 @@
 	else if (strcmp(value, "objects") == 0)
 		form = FORM_OBJECTS;
 	else {
-		fault(r, r->line,
+		report_error(r, r->line,
 		    "%s: '%s' is unknown; allowed: native, objects", k->name,
 		    value);
 		return;
@@ -259,45 +261,45 @@
 
 /* Checks a value against its key's type and range and stores it. */
 static void
-store(struct reading *r, const struct key *k, const char *value)
+store(struct reader *r, const struct key *k, const char *value)
 {
-	char *at, *end;
+	char *dst, *end;
 	long n;
 
-	at = (char *)r->conf + k->at;
+	dst = (char *)r->conf + k->offset;
 	switch (k->kind) {
 	case K_NAME:
 		if (!name_ok(value, strlen(value)))
-			fault(r, r->line,
+			report_error(r, r->line,
 			    "%s: '%s' is not a name; allowed: 1 to 63 letters, "
 			    "digits, '.', '-', '_', '+'",
 			    k->name, value);
 		else
-			name_copy(at, NAME_MAX_GS, value);
+			name_copy(dst, NAME_MAX_GS, value);
 		break;
 	case K_ADDR:
-		store_addr(r, k, at, value);
+		store_addr(r, k, dst, value);
 		break;
-	case K_PLATFORMS:
-		store_platforms(r, k, value);
+	case K_ADDRS:
+		store_addrs(r, k, value);
 		break;
 	case K_INT:
 		errno = 0;
 		n = strtol(value, &end, 10);
-		if (errno != 0 || end == value || *end != '\0' || n < k->low ||
-		    n > k->high)
-			fault(r, r->line,
+		if (errno != 0 || end == value || *end != '\0' || n < k->min ||
+		    n > k->max)
+			report_error(r, r->line,
 			    "%s: '%s' is out of range; allowed: %d to %d "
 			    "milliseconds",
-			    k->name, value, k->low, k->high);
+			    k->name, value, k->min, k->max);
 		else
-			memcpy(at, &(int){(int)n}, sizeof(int));
+			memcpy(dst, &(int){(int)n}, sizeof(int));
 		break;
 	case K_FORM:
 		store_form(r, k, value);
 		break;
-	case K_SPAN:
-		store_span(r, k, value);
+	case K_TIME:
+		store_time(r, k, value);
 		break;
 	case K_REAL:
 		store_real(r, k, value);
@@ -308,10 +310,10 @@
 #ifdef ABLATION
 /* Disables the features that section [ablation] names. */
 static void
-store_features(struct reading *r, const char *name, const char *value)
+store_features(struct reader *r, const char *name, const char *value)
 {
 	if (strcmp(name, "off") != 0 || features_off(value) != 0)
-		fault(r, r->line,
+		report_error(r, r->line,
 		    "%s = %s: allowed in section [ablation]: off, and names "
 		    "from lib/feature.c",
 		    name, value);
@@ -320,11 +322,11 @@
 
 /* Handles a key and its value; called by the INI reader. */
 static int
-pair(void *arg, const char *section, const char *name, const char *value)
+handle_pair(void *arg, const char *section, const char *name, const char *value)
 {
-	struct reading *r = arg;
+	struct reader *r = arg;
 	size_t i;
-	int known = 0;
+	int section_known = 0;
 
 #ifdef ABLATION
 	if (strcmp(section, "ablation") == 0) {
@@ -333,7 +335,7 @@
 	}
 #endif
 	if (strcmp(section, "bounds") == 0) {
-		name = bound_name(name);
+		name = bound_key(name);
 		/* The platform may set bounds that are not used here. */
 		if (name == NULL)
 			return (1);
@@ -341,20 +343,20 @@
 	for (i = 0; i < NKEYS; i++) {
 		if (strcmp(keys[i].section, section) != 0)
 			continue;
-		known = 1;
+		section_known = 1;
 		if (strcmp(keys[i].name, name) != 0)
 			continue;
 		if (r->seen[i])
-			fault(r, r->line, "%s: set twice", name);
+			report_error(r, r->line, "%s: set twice", name);
 		r->seen[i] = 1;
 		store(r, &keys[i], value);
 		return (1);
 	}
-	if (known)
-		fault(r, r->line, "unknown key '%s' in section [%s]", name,
-		    section);
+	if (section_known)
+		report_error(r, r->line, "unknown key '%s' in section [%s]",
+		    name, section);
 	else
-		fault(r, r->line,
+		report_error(r, r->line,
 		    "unknown section [%s] (key '%s'); allowed: host, listen, "
 		    "platform, leases, bounds",
 		    section, name);
@@ -365,7 +367,7 @@
 static char *
 next_line(char *buf, int size, void *arg)
 {
-	struct reading *r = arg;
+	struct reader *r = arg;
 
 	r->line++;
 	return (fgets(buf, size, r->in));
@@ -373,14 +375,14 @@
 
 /* True if the file must set the key. */
 static int
-needed(const struct conf *c, const struct key *k)
+is_required(const struct conf *c, const struct key *k)
 {
-	if (k->at == AT(bounds.evacuate_ms))
+	if (k->offset == OFFSET(bounds.evacuate_ms))
 		return (0);
-	if (strcmp(k->section, "bounds") == 0 || k->at == AT(ready))
+	if (strcmp(k->section, "bounds") == 0 || k->offset == OFFSET(ready))
 		return (c->form == FORM_OBJECTS);
 	return (k->kind != K_INT && k->kind != K_FORM && k->kind != K_REAL &&
-	    k->at != AT(reached));
+	    k->offset != OFFSET(reached));
 }
 
 /*
@@ -389,25 +391,25 @@
  * otherwise keys would take longer than specified to recover from a failure.
  */
 static void
-check_whole(struct reading *r)
+check_settings(struct reader *r)
 {
 	struct conf *c = r->conf;
 	size_t i;
 
 	for (i = 0; i < NKEYS; i++) {
-		if (!r->seen[i] && needed(c, &keys[i]))
-			fault(r, 0, "missing: %s in section [%s]", keys[i].name,
-			    keys[i].section);
+		if (!r->seen[i] && is_required(c, &keys[i]))
+			report_error(r, 0, "missing: %s in section [%s]",
+			    keys[i].name, keys[i].section);
 	}
 	if (c->reached[0] == '\0')
 		name_copy(c->reached, sizeof(c->reached), c->peers);
 	if (c->renew_ms * 3 > c->control_lease_ms ||
 	    c->renew_ms * 3 > c->grant_ms)
-		fault(r, 0,
+		report_error(r, 0,
 		    "renew_ms: allowed: at most a third of control_ms and of "
 		    "grant_ms");
 	if (c->grant_ms > c->host_lease_ms)
-		fault(r, 0, "grant_ms: allowed: at most host_ms");
+		report_error(r, 0, "grant_ms: allowed: at most host_ms");
 }
 
 /*
@@ -415,10 +417,10 @@
  * Returns 0, or -1 on any error; the settings must not be used then.
  */
 int
-conf_read(struct conf *c, const char *file, conf_bad_fn bad)
+conf_read(struct conf *c, const char *file, conf_error_fn on_error)
 {
-	struct reading r = {.conf = c, .file = file, .bad = bad};
-	int bad_line;
+	struct reader r = {.conf = c, .file = file, .on_error = on_error};
+	int error_line;
 
 	memset(c, 0, sizeof(*c));
 	c->control_lease_ms = 600;
@@ -427,13 +429,14 @@
 	c->grant_ms = 900;
 	r.in = fopen(file, "r");
 	if (r.in == NULL) {
-		fault(&r, 0, "cannot be read: %s", strerror(errno));
+		report_error(&r, 0, "cannot be read: %s", strerror(errno));
 		return (-1);
 	}
-	bad_line = ini_parse_stream(next_line, &r, pair, &r);
+	error_line = ini_parse_stream(next_line, &r, handle_pair, &r);
 	fclose(r.in);
-	if (bad_line > 0)
-		fault(&r, bad_line, "neither section, key nor comment");
-	check_whole(&r);
-	return (r.faults == 0 ? 0 : -1);
+	if (error_line > 0)
+		report_error(
+		    &r, error_line, "neither section, key nor comment");
+	check_settings(&r);
+	return (r.nerrors == 0 ? 0 : -1);
 }
--- a/lib/conf.h
+++ b/lib/conf.h
@@ -18,7 +18,7 @@
  */
 struct bounds {
 	int leave_ms;	     /* until a leaving target gets no new work */
-	int stop_ms;	     /* from SIGTERM to SIGKILL */
+	int stop_ms;	     /* from SIGTERM until the process is killed */
 	int apply_ms;	     /* until a new configuration is in force */
 	int retry_window_ms; /* over which retries are counted */
 	int hold_max_ms;     /* maximum duration of a grant of keys */
@@ -31,8 +31,8 @@
 
 /* The platform's name for a key of section [bounds]. */
 struct conf_alias {
-	const char *theirs;
-	const char *ours;
+	const char *alias;
+	const char *key;
 };
 
 /* The settings; see gspard.conf(5). */
@@ -57,10 +57,10 @@
 };
 
 /* Reports an error with the values that are allowed; line is 0 if none. */
-typedef void (*conf_bad_fn)(const char *file, int line, const char *what);
+typedef void (*conf_error_fn)(const char *file, int line, const char *msg);
 
 void conf_aliases(const struct conf_alias *, int n);
-int conf_read(struct conf *, const char *file, conf_bad_fn);
+int conf_read(struct conf *, const char *file, conf_error_fn);
 int addr_split(const char *addr, char *ip, size_t ipsize, int *port);
 
 #endif
--- a/lib/count.h
+++ b/lib/count.h
@@ -1,4 +1,4 @@
-/* Counters since the start of the process, for the metrics page; thread-safe. */
+/* Counters since the start, for the metrics page; thread-safe. */
 #ifndef COUNT_H
 #define COUNT_H
 
--- a/lib/event.c
+++ b/lib/event.c
@@ -9,7 +9,7 @@
 #include "event.h"
 #include "str.h"
 
-static struct event kept[EVENT_KEEP];
+static struct event ring[EVENT_MAX];
 static uint64_t next_seq = 1;
 static apr_pool_t *pool;
 static apr_thread_mutex_t *lock;
@@ -42,7 +42,7 @@
 		return (0);
 	apr_thread_mutex_lock(lock);
 	seq = next_seq++;
-	e = &kept[seq % EVENT_KEEP];
+	e = &ring[seq % EVENT_MAX];
 	e->seq = seq;
 	e->cause = cause;
 	e->mono = clock_mono();
@@ -65,11 +65,11 @@
 
 	apr_thread_mutex_lock(lock);
 	end = next_seq;
-	s = end > EVENT_KEEP ? end - EVENT_KEEP : 1;
+	s = end > EVENT_MAX ? end - EVENT_MAX : 1;
 	if (from > s)
 		s = from;
 	for (; s < end; s++)
-		fn(&kept[s % EVENT_KEEP], arg);
+		fn(&ring[s % EVENT_MAX], arg);
 	apr_thread_mutex_unlock(lock);
 	return (end);
 }
--- a/lib/event.h
+++ b/lib/event.h
@@ -7,9 +7,9 @@
 #include "clock.h"
 
 /* Size of an event's text with its NUL, in bytes. */
-#define EVENT_TEXT 200
+#define EVENT_TEXT_SIZE 200
 /* Size of the ring, in events. */
-#define EVENT_KEEP 4096
+#define EVENT_MAX 4096
 
 struct event {
 	uint64_t seq;
@@ -17,7 +17,7 @@
 	usec mono;
 	usec wall;
 	char part[16]; /* module that recorded it */
-	char text[EVENT_TEXT];
+	char text[EVENT_TEXT_SIZE];
 };
 
 /* Called for an event, with the lock held. */
--- a/lib/feature.h
+++ b/lib/feature.h
@@ -1,14 +1,14 @@
 /*
- * Features of routing, key ownership and control that can be disabled one by one
- * to measure the effect of each.  Only ablation builds (BUILD=ablation) can
+ * Features of routing, key ownership and control that can be disabled one by
+ * one to measure the effect of each.  Only ablation builds (BUILD=ablation) can
  * disable them; in all others they are always on.
  */
 #ifndef FEATURE_H
 #define FEATURE_H
 
 enum feature {
-	FEATURE_COLD,	    /* weight of targets that have just started */
-	FEATURE_DOUBT,	    /* lapsed entries during store outages */
+	FEATURE_COLD,	    /* less load for targets that just started */
+	FEATURE_DOUBT,	    /* keeping entries that lapse in an outage */
 	FEATURE_EARLY,	    /* refusal of requests that cannot be in time */
 	FEATURE_FAILS,	    /* higher cost of targets that fail */
 	FEATURE_FAR,	    /* higher cost of other data centres */
@@ -17,8 +17,8 @@
 	FEATURE_JOIN,	    /* merging of small cold ranges */
 	FEATURE_NEIGHBOURS, /* load estimate from neighbouring keys */
 	FEATURE_OTHERS,	    /* other hosts' requests at a target */
-	FEATURE_PARK,	    /* queueing while a key has no owner */
-	FEATURE_RESEND,	    /* retry of what a target refused */
+	FEATURE_PARK,	    /* waiting while a key has no owner */
+	FEATURE_RESEND,	    /* retry of requests that a target refused */
 	FEATURE_REST,	    /* cooldown of keys that moved */
 	FEATURE_RETRY,	    /* retry delay from the queueing time */
 	FEATURE_SHUN,	    /* backoff from targets that fail */
--- a/lib/frame.h
+++ b/lib/frame.h
@@ -20,7 +20,7 @@
 };
 
 int frame_pack(struct bytes *, const Gspar__Frame *);
-int frame_size(const uint8_t *head, size_t *n);
+int frame_size(const uint8_t *header, size_t *n);
 Gspar__Frame *frame_unpack(const uint8_t *, size_t);
 void frame_free(Gspar__Frame *);
 int frame_is_control(const Gspar__Frame *);
--- a/lib/hist.c
+++ b/lib/hist.c
@@ -23,16 +23,16 @@
 
 /* Adds one duration; thread-safe. */
 void
-hist_add(enum hist h, usec span)
+hist_add(enum hist h, usec duration)
 {
 	struct counts *c = &counts[h];
 	int i = 0;
 
-	while (i < NBOUNDS && span > MS(bounds[i]))
+	while (i < NBOUNDS && duration > MS(bounds[i]))
 		i++;
 	atomic_fetch_add_explicit(&c->bucket[i], 1, memory_order_relaxed);
-	atomic_fetch_add_explicit(
-	    &c->sum, (uint64_t)(span > 0 ? span : 0), memory_order_relaxed);
+	atomic_fetch_add_explicit(&c->sum,
+	    (uint64_t)(duration > 0 ? duration : 0), memory_order_relaxed);
 }
 
 /* Appends one histogram in the Prometheus text format, in seconds. */
--- a/lib/log.c
+++ b/lib/log.c
@@ -12,7 +12,7 @@
 
 /* Maximum log lines about single requests per second; others are counted as
  * dropped.  About as many as a small host writes in a second with failures. */
-#define REQUEST_LINES 60
+#define REQUEST_LINES_MAX 60
 
 static const char *const levels[] = {
     "emerg", "alert", "crit", "err", "warning", "notice", "info", "debug"};
@@ -34,7 +34,7 @@
  * would delay requests.
  */
 static void
-emit(int level, const char *part, const char *id, const char *text)
+write_line(int level, const char *part, const char *id, const char *text)
 {
 	struct pollfd fd = {STDOUT_FILENO, POLLOUT, 0};
 	char line[900];
@@ -65,12 +65,12 @@
 	va_start(ap, fmt);
 	vsnprintf(text, sizeof(text), fmt, ap);
 	va_end(ap);
-	emit(level, part, NULL, text);
+	write_line(level, part, NULL, text);
 }
 
 /* True if another line about a request may be written in this second. */
 static int
-request_room(void)
+request_line_allowed(void)
 {
 	static _Atomic long long second;
 	static _Atomic int lines;
@@ -78,7 +78,7 @@
 
 	if (atomic_exchange(&second, now) != now)
 		atomic_store(&lines, 0);
-	return (atomic_fetch_add(&lines, 1) < REQUEST_LINES);
+	return (atomic_fetch_add(&lines, 1) < REQUEST_LINES_MAX);
 }
 
 /* Writes a log line about the request with this id; rate-limited. */
@@ -88,12 +88,12 @@
 	char text[512];
 	va_list ap;
 
-	if (!request_room()) {
+	if (!request_line_allowed()) {
 		count_add(C_LOG_DROPPED, 1);
 		return;
 	}
 	va_start(ap, fmt);
 	vsnprintf(text, sizeof(text), fmt, ap);
 	va_end(ap);
-	emit(LOG_INFO, part, id[0] == '\0' ? "-" : id, text);
+	write_line(LOG_INFO, part, id[0] == '\0' ? "-" : id, text);
 }
--- a/lib/result.c
+++ b/lib/result.c
@@ -7,17 +7,17 @@
 	const char *name;
 	int http;
 	enum gs_outcome outcome;
-	int again;
-	const char *why;
+	int retry;
+	const char *reason;
 };
 
-#define RESULT_ROW(n, num, http, out, again, why)                              \
-	{num, #n, http, out, again, why},
+#define RESULT_ROW(n, num, http, out, retry, reason)                           \
+	{num, #n, http, out, retry, reason},
 static const struct row rows[] = {RESULT_TABLE(RESULT_ROW)};
 
 /* Returns the row of a code; unknown codes are treated as GS_IO. */
 static const struct row *
-find(int code)
+find_row(int code)
 {
 	const struct row *io = NULL;
 	size_t i;
@@ -35,35 +35,35 @@
 const char *
 result_name(int code)
 {
-	return (find(code)->name);
+	return (find_row(code)->name);
 }
 
 /* Returns a short reason for humans. */
 const char *
 result_why(int code)
 {
-	return (find(code)->why);
+	return (find_row(code)->reason);
 }
 
 /* Returns the HTTP status that callers get with the code. */
 int
 result_http(int code)
 {
-	return (find(code)->http);
+	return (find_row(code)->http);
 }
 
 /* True if the request may be retried later. */
 int
 result_again(int code)
 {
-	return (find(code)->again);
+	return (find_row(code)->retry);
 }
 
 /* Returns whether the request was run, by default, when it ends so. */
 enum gs_outcome
 result_outcome(int code)
 {
-	return (find(code)->outcome);
+	return (find_row(code)->outcome);
 }
 
 /* Returns the name of an outcome, as sent to callers. */
--- a/lib/result.h
+++ b/lib/result.h
@@ -49,7 +49,7 @@
 	X(GS_NOMEM, 501, 500, OUT_NOT_RUN, 0, "out of memory")                 \
 	X(GS_RING_FULL, 503, 503, OUT_NOT_RUN, 1, "ring full")
 
-#define RESULT_ENUM(n, num, http, out, again, why) n = num,
+#define RESULT_ENUM(n, num, http, out, retry, reason) n = num,
 enum gs_result { RESULT_TABLE(RESULT_ENUM) };
 
 /* Whether a request was run by a target. */
--- a/lib/ring.c
+++ b/lib/ring.c
@@ -9,7 +9,7 @@
 struct ring {
 	apr_pool_t *pool;
 	apr_thread_mutex_t *lock;
-	apr_thread_cond_t *filled;
+	apr_thread_cond_t *not_empty;
 	void **slots;
 	unsigned size;
 	unsigned head;
@@ -34,7 +34,7 @@
 	r->slots = apr_pcalloc(pool, size * sizeof(void *));
 	if (apr_thread_mutex_create(&r->lock, APR_THREAD_MUTEX_DEFAULT, pool) !=
 		APR_SUCCESS ||
-	    apr_thread_cond_create(&r->filled, pool) != APR_SUCCESS) {
+	    apr_thread_cond_create(&r->not_empty, pool) != APR_SUCCESS) {
 		apr_pool_destroy(pool);
 		return (NULL);
 	}
@@ -49,7 +49,7 @@
 		apr_pool_destroy(r->pool);
 }
 
-/* Sets how to wake a reader that does not sleep in ring_wait; NULL if it does. */
+/* Sets how to wake the reader; NULL if it sleeps in ring_wait. */
 void
 ring_on_put(struct ring *r, ring_wake_fn wake, void *arg)
 {
@@ -67,7 +67,7 @@
 ring_put(struct ring *r, void *p)
 {
 	ring_wake_fn wake;
-	int first;
+	int was_empty;
 
 	apr_thread_mutex_lock(r->lock);
 	if (r->count == r->size) {
@@ -75,21 +75,21 @@
 		apr_thread_mutex_unlock(r->lock);
 		return (-1);
 	}
-	first = r->count == 0;
+	was_empty = r->count == 0;
 	r->slots[(r->head + r->count) % r->size] = p;
 	r->count++;
 	wake = r->wake;
-	if (first && wake == NULL)
-		apr_thread_cond_signal(r->filled);
+	if (was_empty && wake == NULL)
+		apr_thread_cond_signal(r->not_empty);
 	apr_thread_mutex_unlock(r->lock);
-	if (first && wake != NULL)
+	if (was_empty && wake != NULL)
 		wake(r->wake_arg);
 	return (0);
 }
 
 /* Removes the oldest item, with the lock held.  Returns NULL if empty. */
 static void *
-take(struct ring *r)
+remove_oldest(struct ring *r)
 {
 	void *p;
 
@@ -108,7 +108,7 @@
 	void *p;
 
 	apr_thread_mutex_lock(r->lock);
-	p = take(r);
+	p = remove_oldest(r);
 	apr_thread_mutex_unlock(r->lock);
 	return (p);
 }
@@ -122,8 +122,8 @@
 
 	apr_thread_mutex_lock(r->lock);
 	if (r->count == 0 && wait_us > 0)
-		apr_thread_cond_timedwait(r->filled, r->lock, wait_us);
-	p = take(r);
+		apr_thread_cond_timedwait(r->not_empty, r->lock, wait_us);
+	p = remove_oldest(r);
 	apr_thread_mutex_unlock(r->lock);
 	return (p);
 }
--- a/lib/ring.h
+++ b/lib/ring.h
@@ -1,4 +1,4 @@
-/* A bounded queue between threads; when full, it refuses items and counts them. */
+/* A bounded queue between threads; counts the items refused when full. */
 #ifndef RING_H
 #define RING_H
 
--- a/lib/str.c
+++ b/lib/str.c
@@ -60,8 +60,8 @@
 	return (1);
 }
 
-/* Copies a NUL-terminated name.  Returns 0, or -1 if it does not fit; dst is the
- * empty string then. */
+/* Copies a NUL-terminated name.  Returns 0, or -1 if it does not fit; dst is
+ * the empty string then. */
 int
 name_copy(char *dst, size_t size, const char *src)
 {
--- a/regress/unit/t_conf.c
+++ b/regress/unit/t_conf.c
@@ -8,15 +8,15 @@
 #include "settings.h"
 #include "unit.h"
 
-static char said[4096];
+static char errors[4096];
 
 static void
-bad(const char *file, int line, const char *what)
+on_error(const char *file, int line, const char *msg)
 {
 	char text[500];
 
-	snprintf(text, sizeof(text), "%d: %s\n", line, what);
-	strncat(said, text, sizeof(said) - strlen(said) - 1);
+	snprintf(text, sizeof(text), "%d: %s\n", line, msg);
+	strncat(errors, text, sizeof(errors) - strlen(errors) - 1);
 }
 
 static struct conf c;
@@ -27,11 +27,11 @@
 	char name[] = "/tmp/gsconfXXXXXX";
 	int fd = mkstemp(name), res;
 
-	said[0] = '\0';
+	errors[0] = '\0';
 	if (fd < 0 || write(fd, text, strlen(text)) < 0)
 		return (-2);
 	close(fd);
-	res = conf_read(&c, name, bad);
+	res = conf_read(&c, name, on_error);
 	unlink(name);
 	return (res);
 }
@@ -44,7 +44,7 @@
 
 /* The size of a host may be left out, but if set it must be valid. */
 static void
-size(void)
+host_size(void)
 {
 	CU_ASSERT_EQUAL(read_text(GOOD), 0);
 	CU_ASSERT_EQUAL(c.cores, 0);
@@ -53,17 +53,17 @@
 	CU_ASSERT_DOUBLE_EQUAL(c.cores, 0.2, 1e-9);
 	CU_ASSERT_DOUBLE_EQUAL(c.link_mbps, 10, 1e-9);
 	CU_ASSERT_NOT_EQUAL(read_text(GOOD "[host]\ncores = many\n"), 0);
-	CU_ASSERT_PTR_NOT_NULL(strstr(said, "cores: 'many'"));
+	CU_ASSERT_PTR_NOT_NULL(strstr(errors, "cores: 'many'"));
 }
 
 /* Only ablation builds can disable features.  Any other refuses settings that
  * ask for it, so that nobody runs without a safeguard or believes that one is
  * off. */
 static void
-no_switches(void)
+ablation_refused(void)
 {
 	CU_ASSERT_NOT_EQUAL(read_text(GOOD "[ablation]\noff = shun\n"), 0);
-	CU_ASSERT_PTR_NOT_NULL(strstr(said, "unknown section [ablation]"));
+	CU_ASSERT_PTR_NOT_NULL(strstr(errors, "unknown section [ablation]"));
 }
 
 static void
@@ -105,16 +105,16 @@
 	CU_ASSERT_EQUAL(c.bounds.hold_max_ms, 1500);
 	CU_ASSERT_EQUAL(c.bounds.retry_share, 0.2);
 	CU_ASSERT_EQUAL(read_text(OBJECTS BOUNDS), -1);
-	CU_ASSERT_PTR_NOT_NULL(strstr(said, "missing: apply in section"));
+	CU_ASSERT_PTR_NOT_NULL(strstr(errors, "missing: apply in section"));
 	CU_ASSERT_EQUAL(read_text(OBJECTS BOUNDS "config_apply=soon\n"), -1);
-	CU_ASSERT_PTR_NOT_NULL(
-	    strstr(said, "21: apply: 'soon' is not a time; allowed: a number"));
+	CU_ASSERT_PTR_NOT_NULL(strstr(
+	    errors, "21: apply: 'soon' is not a time; allowed: a number"));
 	CU_ASSERT_EQUAL(
 	    read_text(OBJECTS BOUNDS "config_apply=2s\nmax_hold=3h\n"), -1);
 	CU_ASSERT_EQUAL(
 	    read_text(OBJECTS BOUNDS "config_apply=2s\n[platform]\nform=x\n"),
 	    -1);
-	CU_ASSERT_PTR_NOT_NULL(strstr(said, "allowed: native, objects"));
+	CU_ASSERT_PTR_NOT_NULL(strstr(errors, "allowed: native, objects"));
 	conf_aliases(NULL, 0);
 }
 
@@ -122,7 +122,7 @@
 faults(void)
 {
 	static const struct {
-		const char *text, *says;
+		const char *text, *expected;
 	} f[] = {
 	    {GOOD "[leases]\nhost_ms = 99999999\n", "11: host_ms: '99999999'"},
 	    {GOOD "[leases]\nhost_ms = x\n", "allowed: 300 to 10000"},
@@ -147,13 +147,14 @@
 
 	for (i = 0; i < sizeof(f) / sizeof(f[0]); i++) {
 		CU_ASSERT_EQUAL(read_text(f[i].text), -1);
-		CU_ASSERT_PTR_NOT_NULL(strstr(said, f[i].says));
+		CU_ASSERT_PTR_NOT_NULL(strstr(errors, f[i].expected));
 	}
-	said[0] = '\0';
-	CU_ASSERT_EQUAL(conf_read(&c, "/nowhere/at.all", bad), -1);
-	CU_ASSERT_PTR_NOT_NULL(strstr(said, "cannot be read"));
+	errors[0] = '\0';
+	CU_ASSERT_EQUAL(conf_read(&c, "/nowhere/at.all", on_error), -1);
+	CU_ASSERT_PTR_NOT_NULL(strstr(errors, "cannot be read"));
 }
 
-static const struct unit_test tests[] = {{"good", good}, {"size", size},
-    {"bounds", bounds}, {"faults", faults}, {"ablation refused", no_switches}};
+static const struct unit_test tests[] = {{"good", good}, {"size", host_size},
+    {"bounds", bounds}, {"faults", faults},
+    {"ablation refused", ablation_refused}};
 UNIT_MAIN("conf", tests)
--- a/regress/unit/t_feature.c
+++ b/regress/unit/t_feature.c
@@ -70,20 +70,20 @@
 static void
 costs(void)
 {
-	const char *parts[] = {"cold", "fails", "far", "others", "speed"};
-	double whole = cost_without("");
+	const char *features[] = {"cold", "fails", "far", "others", "speed"};
+	double all_on = cost_without("");
 	size_t i;
 
-	for (i = 0; i < sizeof(parts) / sizeof(parts[0]); i++)
-		CU_ASSERT(cost_without(parts[i]) < whole - 1);
+	for (i = 0; i < sizeof(features) / sizeof(features[0]); i++)
+		CU_ASSERT(cost_without(features[i]) < all_on - 1);
 	/* Other features do not affect the cost. */
-	CU_ASSERT_DOUBLE_EQUAL(cost_without("rest join doubt"), whole, 1e-6);
+	CU_ASSERT_DOUBLE_EQUAL(cost_without("rest join doubt"), all_on, 1e-6);
 	CU_ASSERT_DOUBLE_EQUAL(
 	    cost_without("cold fails far others speed"), 100000, 1);
 }
 
 static void
-fill(void)
+inflight_limit(void)
 {
 	struct dest d;
 
@@ -100,7 +100,7 @@
 }
 
 static void
-shun(void)
+backoff(void)
 {
 	const enum dest_end ends[] = {DEST_UNREACHED, DEST_REFUSED};
 	struct dest_answer a = {DEST_UNREACHED, 0, MS(100), {0, 0, 0, 0, 0}};
@@ -200,7 +200,7 @@
 
 /* Returns the owner of a key after one planning round. */
 static int
-planned(struct keys *k, uint32_t key)
+planned_owner(struct keys *k, uint32_t key)
 {
 	int i, to = NO_TARGET;
 
@@ -217,17 +217,17 @@
 
 /* Returns the new owner of the only key with any load. */
 static int
-hottest_goes_to(void)
+hottest_key_owner(void)
 {
 	struct keys *k = two_targets();
 
 	k->load[100] = 1000;
-	return (planned(k, 100));
+	return (planned_owner(k, 100));
 }
 
 /* Returns the new owner of a key in a busy range that moved at moved_at. */
 static int
-moved_goes_to(usec moved_at)
+moved_key_owner(usec moved_at)
 {
 	struct keys *k = two_targets();
 	uint32_t i;
@@ -235,20 +235,20 @@
 	k->ranges[0].moved_at = moved_at;
 	for (i = 0; i < 1000; i++)
 		k->load[i] = 20;
-	return (planned(k, 0));
+	return (planned_owner(k, 0));
 }
 
 static void
 moves(void)
 {
 	CU_ASSERT_EQUAL(features_off(""), 0);
-	CU_ASSERT_EQUAL(hottest_goes_to(), 1);
-	CU_ASSERT_EQUAL(moved_goes_to(0), 1);
-	CU_ASSERT_EQUAL(moved_goes_to(MS(4500)), 0);
+	CU_ASSERT_EQUAL(hottest_key_owner(), 1);
+	CU_ASSERT_EQUAL(moved_key_owner(0), 1);
+	CU_ASSERT_EQUAL(moved_key_owner(MS(4500)), 0);
 	CU_ASSERT_EQUAL(features_off("hottest"), 0);
-	CU_ASSERT_EQUAL(hottest_goes_to(), 0);
+	CU_ASSERT_EQUAL(hottest_key_owner(), 0);
 	CU_ASSERT_EQUAL(features_off("rest"), 0);
-	CU_ASSERT_EQUAL(moved_goes_to(MS(4500)), 1);
+	CU_ASSERT_EQUAL(moved_key_owner(MS(4500)), 1);
 }
 
 /* Load estimates of a key that was requested once, and of the next key. */
@@ -271,7 +271,7 @@
 /* Returns how many of many small ranges without load, which alternate between
  * two targets, are planned to move. */
 static int
-joined(void)
+ranges_to_merge(void)
 {
 	struct keys *k = two_targets();
 	int i, n = 0;
@@ -296,23 +296,23 @@
 }
 
 static void
-join(void)
+merging(void)
 {
 	CU_ASSERT_EQUAL(features_off(""), 0);
-	CU_ASSERT(joined() > 0);
+	CU_ASSERT(ranges_to_merge() > 0);
 	CU_ASSERT_EQUAL(features_off("join"), 0);
-	CU_ASSERT_EQUAL(joined(), 0);
+	CU_ASSERT_EQUAL(ranges_to_merge(), 0);
 }
 
 static const struct unit_test tests[] = {
     {"names", names},
     {"cost of a target", costs},
-    {"requests in flight", fill},
-    {"backoff", shun},
+    {"requests in flight", inflight_limit},
+    {"backoff", backoff},
     {"lapsed entries", doubt},
     {"standbys", standby},
     {"moves", moves},
     {"neighbours", neighbours},
-    {"merging of cold ranges", join},
+    {"merging of cold ranges", merging},
 };
 UNIT_MAIN("feature", tests)
--- a/regress/unit/t_frame.c
+++ b/regress/unit/t_frame.c
@@ -6,7 +6,7 @@
 #include "unit.h"
 
 static void
-there_and_back(void)
+round_trip(void)
 {
 	Gspar__Frame f = GSPAR__FRAME__INIT, *g;
 	Gspar__Cancel c = GSPAR__CANCEL__INIT;
@@ -49,5 +49,5 @@
 }
 
 static const struct unit_test tests[] = {
-    {"round trip", there_and_back}, {"garbage", garbage}};
+    {"round trip", round_trip}, {"garbage", garbage}};
 UNIT_MAIN("frame", tests)
