--- a/gsparctl/gsparctl.h
+++ b/gsparctl/gsparctl.h
@@ -1,4 +1,4 @@
-/* Shared by the parts of the operators' tool. */
+/* Declarations shared by the commands of gsparctl. */
 #ifndef GSPARCTL_H
 #define GSPARCTL_H
 
@@ -7,11 +7,11 @@
 #include "result.h"
 #include "str.h"
 
-/* Exit codes, as gsparctl.8 tells them. */
+/* Exit codes; documented in gsparctl(8). */
 enum {
-	EXIT_DONE = 0,
+	EXIT_OK = 0,
 	EXIT_USAGE = 1,
-	EXIT_NOT_REACHED = 2,
+	EXIT_NO_ANSWER = 2,
 	EXIT_CONFLICT = 3,
 	EXIT_INVALID = 4,
 	EXIT_NOT_CONFIRMED = 5,
@@ -19,17 +19,17 @@
 };
 
 struct options {
-	const char *admin;    /* any host's admin address */
+	const char *admin;    /* admin address of the host to ask */
 	const char *platform; /* the platform's address, for edits */
 	int json;
 	int wait;
-	long base;
-	const char *match;
-	const char *words[4];
-	int nwords;
+	long base;	   /* version an edit began from; -1 if not given */
+	const char *match; /* print only events that contain this */
+	const char *args[4];
+	int nargs;
 };
 
-/* An HTTP answer; status 0 is none. */
+/* An HTTP response; the status is 0 if there was none. */
 struct reply {
 	int status;
 	unsigned long version;
@@ -45,7 +45,7 @@
 /* status.c */
 int cmd_status(const struct options *);
 int cmd_owner(const struct options *);
-json_t *hosts_of(const struct options *);
+json_t *get_hosts(const struct options *);
 
 /* timeline.c */
 int cmd_timeline(const struct options *);
--- a/lib/log.c
+++ b/lib/log.c
@@ -10,9 +10,9 @@
 #include "count.h"
 #include "log.h"
 
-/* Lines about single requests that one process writes a second, at most; the
- * rest are counted.  A bad second of a small host has about as many. */
-#define REQUEST_LINES 60
+/* Maximum log lines about single requests per second; others are counted as
+ * dropped.  About as many as a small host writes in a second with failures. */
+#define REQUEST_LINES_MAX 60
 
 static const char *const levels[] = {
     "emerg", "alert", "crit", "err", "warning", "notice", "info", "debug"};
@@ -20,7 +20,7 @@
 static const char *log_host = "-";
 static int log_max = LOG_INFO;
 
-/* Sets the host named in each line, and whether debug lines are written. */
+/* Sets the host name in each line, and whether debug lines are written. */
 void
 log_open(const char *host, int verbose)
 {
@@ -29,12 +29,12 @@
 }
 
 /*
- * Writes one line in one call, so that lines of threads do not mix.  Where
- * whoever reads them does not keep up the line is dropped and counted: waiting
- * would hold up requests for the sake of their log.
+ * Writes a line in a single call, so that lines of several threads do not mix.
+ * If the reader does not keep up, the line is dropped and counted: blocking
+ * would delay requests.
  */
 static void
-emit(int level, const char *part, const char *id, const char *text)
+write_line(int level, const char *part, const char *id, const char *text)
 {
 	struct pollfd fd = {STDOUT_FILENO, POLLOUT, 0};
 	char line[900];
@@ -53,7 +53,7 @@
 		count_add(C_LOG_DROPPED, 1);
 }
 
-/* Writes one line. */
+/* Writes a log line. */
 void
 log_line(int level, const char *part, const char *fmt, ...)
 {
@@ -65,12 +65,12 @@
 	va_start(ap, fmt);
 	vsnprintf(text, sizeof(text), fmt, ap);
 	va_end(ap);
-	emit(level, part, NULL, text);
+	write_line(level, part, NULL, text);
 }
 
-/* True where one more line about a request may be written this second. */
+/* True if another line about a request may be written in this second. */
 static int
-request_room(void)
+request_line_allowed(void)
 {
 	static _Atomic long long second;
 	static _Atomic int lines;
@@ -78,22 +78,22 @@
 
 	if (atomic_exchange(&second, now) != now)
 		atomic_store(&lines, 0);
-	return (atomic_fetch_add(&lines, 1) < REQUEST_LINES);
+	return (atomic_fetch_add(&lines, 1) < REQUEST_LINES_MAX);
 }
 
-/* Writes one line about a decision on one request, named by its id. */
+/* Writes a log line about the request with this id; rate-limited. */
 void
 log_request(const char *part, const char *id, const char *fmt, ...)
 {
 	char text[512];
 	va_list ap;
 
-	if (!request_room()) {
+	if (!request_line_allowed()) {
 		count_add(C_LOG_DROPPED, 1);
 		return;
 	}
 	va_start(ap, fmt);
 	vsnprintf(text, sizeof(text), fmt, ap);
 	va_end(ap);
-	emit(LOG_INFO, part, id[0] == '\0' ? "-" : id, text);
+	write_line(LOG_INFO, part, id[0] == '\0' ? "-" : id, text);
 }
--- a/lib/ring.c
+++ b/lib/ring.c
@@ -9,7 +9,7 @@
 struct ring {
 	apr_pool_t *pool;
 	apr_thread_mutex_t *lock;
-	apr_thread_cond_t *filled;
+	apr_thread_cond_t *not_empty;
 	void **slots;
 	unsigned size;
 	unsigned head;
@@ -19,7 +19,7 @@
 	void *wake_arg;
 };
 
-/* A ring of size slots, or NULL. */
+/* Creates a ring of size slots.  Returns NULL without memory. */
 struct ring *
 ring_new(unsigned size)
 {
@@ -34,14 +34,14 @@
 	r->slots = apr_pcalloc(pool, size * sizeof(void *));
 	if (apr_thread_mutex_create(&r->lock, APR_THREAD_MUTEX_DEFAULT, pool) !=
 		APR_SUCCESS ||
-	    apr_thread_cond_create(&r->filled, pool) != APR_SUCCESS) {
+	    apr_thread_cond_create(&r->not_empty, pool) != APR_SUCCESS) {
 		apr_pool_destroy(pool);
 		return (NULL);
 	}
 	return (r);
 }
 
-/* Frees the ring; what is still in it is the caller's to have taken out. */
+/* Frees the ring.  The caller must have removed all items before. */
 void
 ring_free(struct ring *r)
 {
@@ -49,7 +49,7 @@
 		apr_pool_destroy(r->pool);
 }
 
-/* Sets how the reader is woken where it sleeps outside ring_wait. */
+/* Sets how to wake the reader; NULL if it sleeps in ring_wait. */
 void
 ring_on_put(struct ring *r, ring_wake_fn wake, void *arg)
 {
@@ -60,14 +60,14 @@
 }
 
 /*
- * Puts p in; 0, or -1 where the ring is full.  The refusal is the caller's to
- * act on: dropping it unseen would lose a request without an answer.
+ * Appends p.  Returns 0, or -1 if the ring is full.  The caller must handle
+ * that: a request that is dropped silently would never be answered.
  */
 int
 ring_put(struct ring *r, void *p)
 {
 	ring_wake_fn wake;
-	int first;
+	int was_empty;
 
 	apr_thread_mutex_lock(r->lock);
 	if (r->count == r->size) {
@@ -75,21 +75,21 @@
 		apr_thread_mutex_unlock(r->lock);
 		return (-1);
 	}
-	first = r->count == 0;
+	was_empty = r->count == 0;
 	r->slots[(r->head + r->count) % r->size] = p;
 	r->count++;
 	wake = r->wake;
-	if (first && wake == NULL)
-		apr_thread_cond_signal(r->filled);
+	if (was_empty && wake == NULL)
+		apr_thread_cond_signal(r->not_empty);
 	apr_thread_mutex_unlock(r->lock);
-	if (first && wake != NULL)
+	if (was_empty && wake != NULL)
 		wake(r->wake_arg);
 	return (0);
 }
 
-/* Takes one out with the lock held; NULL where the ring is empty. */
+/* Removes the oldest item, with the lock held.  Returns NULL if empty. */
 static void *
-take(struct ring *r)
+remove_oldest(struct ring *r)
 {
 	void *p;
 
@@ -101,19 +101,20 @@
 	return (p);
 }
 
-/* Takes the oldest out without waiting, or NULL. */
+/* Removes the oldest item without waiting.  Returns NULL if empty. */
 void *
 ring_get(struct ring *r)
 {
 	void *p;
 
 	apr_thread_mutex_lock(r->lock);
-	p = take(r);
+	p = remove_oldest(r);
 	apr_thread_mutex_unlock(r->lock);
 	return (p);
 }
 
-/* Takes the oldest out, waiting wait_us microseconds at most, or NULL. */
+/* Removes the oldest item, waiting for at most wait_us microseconds.  Returns
+ * NULL if there is none; it may also return early. */
 void *
 ring_wait(struct ring *r, int64_t wait_us)
 {
@@ -121,13 +122,13 @@
 
 	apr_thread_mutex_lock(r->lock);
 	if (r->count == 0 && wait_us > 0)
-		apr_thread_cond_timedwait(r->filled, r->lock, wait_us);
-	p = take(r);
+		apr_thread_cond_timedwait(r->not_empty, r->lock, wait_us);
+	p = remove_oldest(r);
 	apr_thread_mutex_unlock(r->lock);
 	return (p);
 }
 
-/* How often ring_put refused. */
+/* Returns how often ring_put failed. */
 uint64_t
 ring_refused(struct ring *r)
 {
--- a/regress/unit/t_feature.c
+++ b/regress/unit/t_feature.c
@@ -1,6 +1,6 @@
 /*
- * The switches of BUILD=ablation: each takes its mechanism out, and nothing
- * else.  Those in gspard/direct_*.c have no test without a network.
+ * The features of BUILD=ablation: disabling one disables that and nothing else.
+ * Those in gspard/direct_*.c cannot be tested without a network.
  */
 #include <stdlib.h>
 #include <string.h>
@@ -14,8 +14,8 @@
 
 static const struct dest_conf twelve = {12};
 
-/* Names that are unknown change nothing: a day would be played with the
- * mechanism that it was to do without. */
+/* A list with an unknown name is an error and changes nothing: otherwise an
+ * ablation run would measure with the feature still enabled. */
 static void
 names(void)
 {
@@ -39,7 +39,7 @@
 	CU_ASSERT(feature_on(FEATURE_FAR));
 }
 
-/* A target of which a host knows something bad in every way. */
+/* Returns a target for which every part of the cost is raised. */
 static struct dest
 bad_target(void)
 {
@@ -56,7 +56,7 @@
 	return (d);
 }
 
-/* What a request costs there with a mechanism left out. */
+/* Returns the cost of a request there with features disabled. */
 static double
 cost_without(const char *name)
 {
@@ -70,20 +70,20 @@
 static void
 costs(void)
 {
-	const char *parts[] = {"cold", "fails", "far", "others", "speed"};
-	double whole = cost_without("");
+	const char *features[] = {"cold", "fails", "far", "others", "speed"};
+	double all_on = cost_without("");
 	size_t i;
 
-	for (i = 0; i < sizeof(parts) / sizeof(parts[0]); i++)
-		CU_ASSERT(cost_without(parts[i]) < whole - 1);
-	/* What has no part in it changes nothing. */
-	CU_ASSERT_DOUBLE_EQUAL(cost_without("rest join doubt"), whole, 1e-6);
+	for (i = 0; i < sizeof(features) / sizeof(features[0]); i++)
+		CU_ASSERT(cost_without(features[i]) < all_on - 1);
+	/* Other features do not affect the cost. */
+	CU_ASSERT_DOUBLE_EQUAL(cost_without("rest join doubt"), all_on, 1e-6);
 	CU_ASSERT_DOUBLE_EQUAL(
 	    cost_without("cold fails far others speed"), 100000, 1);
 }
 
 static void
-fill(void)
+inflight_limit(void)
 {
 	struct dest d;
 
@@ -94,13 +94,13 @@
 	CU_ASSERT(!dest_can_send(&d, MS(1000), &twelve));
 	CU_ASSERT_EQUAL(features_off("fill"), 0);
 	CU_ASSERT(dest_can_send(&d, MS(1000), &twelve));
-	/* It is still not sent to while it leaves. */
+	/* A target that leaves still gets no requests. */
 	d.leaving = 1;
 	CU_ASSERT(!dest_can_send(&d, MS(1000), &twelve));
 }
 
 static void
-shun(void)
+backoff(void)
 {
 	const enum dest_end ends[] = {DEST_UNREACHED, DEST_REFUSED};
 	struct dest_answer a = {DEST_UNREACHED, 0, MS(100), {0, 0, 0, 0, 0}};
@@ -120,7 +120,7 @@
 	}
 }
 
-/* An entry that lapses just after an outage. */
+/* Returns whether an entry that lapses just after an outage is gone. */
 static int
 lapsed_is_gone(void)
 {
@@ -173,7 +173,7 @@
 	CU_ASSERT_EQUAL(bootstrap_delay(50), 0);
 }
 
-/* Two targets, the second three times as fast, with half of the keys each. */
+/* Two targets with half of the keys each; the second is three times as fast. */
 static struct keys *
 two_targets(void)
 {
@@ -198,9 +198,9 @@
 	return (k);
 }
 
-/* Where a key is planned to be after one look. */
+/* Returns the owner of a key after one planning round. */
 static int
-planned(struct keys *k, uint32_t key)
+planned_owner(struct keys *k, uint32_t key)
 {
 	int i, to = NO_TARGET;
 
@@ -215,19 +215,19 @@
 	return (to);
 }
 
-/* One key is all that is asked for. */
+/* Returns the new owner of the only key with any load. */
 static int
-hottest_goes_to(void)
+hottest_key_owner(void)
 {
 	struct keys *k = two_targets();
 
 	k->load[100] = 1000;
-	return (planned(k, 100));
+	return (planned_owner(k, 100));
 }
 
-/* A busy neighbourhood, of which some keys moved just now. */
+/* Returns the new owner of a key in a busy range that moved at moved_at. */
 static int
-moved_goes_to(usec moved_at)
+moved_key_owner(usec moved_at)
 {
 	struct keys *k = two_targets();
 	uint32_t i;
@@ -235,23 +235,23 @@
 	k->ranges[0].moved_at = moved_at;
 	for (i = 0; i < 1000; i++)
 		k->load[i] = 20;
-	return (planned(k, 0));
+	return (planned_owner(k, 0));
 }
 
 static void
 moves(void)
 {
 	CU_ASSERT_EQUAL(features_off(""), 0);
-	CU_ASSERT_EQUAL(hottest_goes_to(), 1);
-	CU_ASSERT_EQUAL(moved_goes_to(0), 1);
-	CU_ASSERT_EQUAL(moved_goes_to(MS(4500)), 0);
+	CU_ASSERT_EQUAL(hottest_key_owner(), 1);
+	CU_ASSERT_EQUAL(moved_key_owner(0), 1);
+	CU_ASSERT_EQUAL(moved_key_owner(MS(4500)), 0);
 	CU_ASSERT_EQUAL(features_off("hottest"), 0);
-	CU_ASSERT_EQUAL(hottest_goes_to(), 0);
+	CU_ASSERT_EQUAL(hottest_key_owner(), 0);
 	CU_ASSERT_EQUAL(features_off("rest"), 0);
-	CU_ASSERT_EQUAL(moved_goes_to(MS(4500)), 1);
+	CU_ASSERT_EQUAL(moved_key_owner(MS(4500)), 1);
 }
 
-/* What a key counts that was asked for once, and one beside it. */
+/* Load estimates of a key that was requested once, and of the next key. */
 static void
 neighbours(void)
 {
@@ -268,9 +268,10 @@
 	free(k);
 }
 
-/* Many small ranges that nobody asks for, by turns with each target. */
+/* Returns how many of many small ranges without load, which alternate between
+ * two targets, are planned to move. */
 static int
-joined(void)
+ranges_to_merge(void)
 {
 	struct keys *k = two_targets();
 	int i, n = 0;
@@ -284,7 +285,7 @@
 	k->nranges = 40;
 	for (i = 0; i < KEYS; i++)
 		k->load[i] = i < 400 ? 0 : 1;
-	/* Balance has nothing to do: the large range is its owner's part. */
+	/* Nothing to balance: the large range matches its owner's capacity. */
 	k->targets[1].slots = 40;
 	keys_plan(k, MS(5000));
 	for (i = 0; i < k->nranges; i++)
@@ -295,23 +296,23 @@
 }
 
 static void
-join(void)
+merging(void)
 {
 	CU_ASSERT_EQUAL(features_off(""), 0);
-	CU_ASSERT(joined() > 0);
+	CU_ASSERT(ranges_to_merge() > 0);
 	CU_ASSERT_EQUAL(features_off("join"), 0);
-	CU_ASSERT_EQUAL(joined(), 0);
+	CU_ASSERT_EQUAL(ranges_to_merge(), 0);
 }
 
 static const struct unit_test tests[] = {
     {"names", names},
     {"cost of a target", costs},
-    {"room", fill},
-    {"targets left alone", shun},
+    {"requests in flight", inflight_limit},
+    {"backoff", backoff},
     {"lapsed entries", doubt},
     {"standbys", standby},
     {"moves", moves},
     {"neighbours", neighbours},
-    {"cold ranges", join},
+    {"merging of cold ranges", merging},
 };
 UNIT_MAIN("feature", tests)
