--- a/proto/gspar.pb-c.h
+++ b/proto/gspar.pb-c.h
@@ -61,7 +61,7 @@
 /* --- messages --- */
 
 /*
- * First frame on each connection, from both ends.
+ * First frame on each connection, sent by both ends.
  */
 struct  Gspar__Hello
 {
@@ -77,7 +77,7 @@
 
 
 /*
- * What a dispatcher says of one target it dispatches for.
+ * A dispatcher's report on one target that it dispatches for.
  */
 struct  Gspar__TargetState
 {
@@ -85,7 +85,7 @@
   char *target;
   uint64_t epoch;
   /*
-   * False once the target holds no grant of this epoch for sure.
+   * False once the target certainly holds no grant of this epoch.
    */
   protobuf_c_boolean granted;
   protobuf_c_boolean up;
@@ -94,14 +94,16 @@
   size_t n_freed;
   Gspar__Freed **freed;
   /*
-   * Loads are told once a second: the busiest shards, and all others.
+   * Loads are reported once a second: the busiest shards one by one, and
+   * the sum of all others.
    */
   protobuf_c_boolean has_loads;
   size_t n_loads;
   Gspar__ShardLoad **loads;
   uint32_t rest_busy;
   /*
-   * Requests that arrived, and the rate in force, in thousandths a second.
+   * Rate at which requests arrived, and rate limit in force, in requests
+   * per 1000 seconds.
    */
   uint32_t demand;
   uint32_t rate;
@@ -112,7 +114,7 @@
 
 
 /*
- * Shards of a target whose release was confirmed, as of a view.
+ * Shards that a target has confirmed to have released, as of a view.
  */
 struct  Gspar__Freed
 {
@@ -128,7 +130,7 @@
 
 
 /*
- * Busy time in milliseconds per second of one shard.
+ * Busy time of one shard, in milliseconds per second.
  */
 struct  Gspar__ShardLoad
 {
@@ -153,7 +155,8 @@
 
 
 /*
- * A host that sees another digest asks for what it lacks.
+ * Sent to a host whose catalogue has another digest: lists the sender's entries
+ * and requests the newer ones.
  */
 struct  Gspar__CatalogueAsk
 {
@@ -179,7 +182,7 @@
 
 
 /*
- * A host asks the controller to renew its lease.
+ * Sent by a host to the controller to renew its lease.
  */
 struct  Gspar__LeaseAsk
 {
@@ -194,7 +197,7 @@
   Gspar__TargetState **targets;
   uint64_t view;
   /*
-   * The last LeaseGive this host has acted on, by its seq.
+   * seq of the last LeaseGive that the host has applied.
    */
   uint64_t ack;
   char *addr;
@@ -211,7 +214,7 @@
   uint64_t epoch;
   uint64_t min_view;
   /*
-   * The share of the service's limit, in thousandths a second.
+   * Its share of the service's rate limit, in requests per 1000 seconds.
    */
   uint32_t rate;
   protobuf_c_boolean limited;
@@ -248,7 +251,7 @@
   uint64_t seq;
   uint64_t boot;
   /*
-   * The asker's own lease has run out: it lives by promises alone.
+   * The requester's own lease has expired: it relies on promises alone.
    */
   protobuf_c_boolean late;
 };
@@ -266,7 +269,7 @@
   uint64_t boot;
   protobuf_c_boolean yes;
   /*
-   * It stops, and its promise lasts longer than it is there.
+   * Final promise: the standby is stopping, and the promise outlasts it.
    */
   protobuf_c_boolean left;
 };
@@ -276,13 +279,14 @@
 
 
 /*
- * A shard whose owner or fence differs from those in the view's base.
+ * A shard whose owner or fence differs from the view's base.
  */
 struct  Gspar__ShardChange
 {
   ProtobufCMessage base;
   /*
-   * Counted from the cell's first shard.
+   * Index into owner and fence, from the service's first shard in the
+   * cell.
    */
   uint32_t shard;
   uint32_t owner;
@@ -301,14 +305,14 @@
   size_t n_targets;
   char **targets;
   /*
-   * Per shard: 0 is nobody, else 1 + index into targets.
+   * Per shard: 0 is no owner, else 1 + index into targets.
    */
   size_t n_owner;
   uint32_t *owner;
   size_t n_fence;
   uint64_t *fence;
   /*
-   * Shards on their way to another target.
+   * Shards with a pending move to another target.
    */
   size_t n_moving;
   uint32_t *moving;
@@ -346,9 +350,10 @@
   Gspar__DispatchView **dispatch;
   char *controller_addr;
   /*
-   * Where not 0: owners and fences are those of that view but for the
-   * changes, and are left out.  So are dispatchers and names of targets
-   * where they are said to be the same.  All else is whole.
+   * If not 0, the view is a difference to the view of this number: owners
+   * and fences are omitted, and those not in changes are the base's.
+   * Dispatchers and target names are omitted where same_dispatch or
+   * same_targets is set.  All else is complete.
    */
   uint64_t since;
   protobuf_c_boolean same_dispatch;
@@ -432,22 +437,23 @@
 
 
 /*
- * What a host that sends to targets itself tells the controller.
+ * What a host that sends to targets itself has measured of one of them.
  */
 struct  Gspar__TargetLearnt
 {
   ProtobufCMessage base;
   char *target;
   /*
-   * Time it takes over what others take, in thousandths.
+   * Response time relative to other targets, in thousandths.
    */
   uint32_t speed;
   /*
-   * Answers since the last report.
+   * Number of answers since the last report.
    */
   uint32_t answers;
   /*
-   * The limit that it names: 0 is none, else 1 + thousandths a second.
+   * Rate limit that the target states: 0 is none, else 1 + requests per
+   * 1000 seconds.
    */
   uint32_t limit;
 };
@@ -461,7 +467,8 @@
   ProtobufCMessage base;
   char *service;
   /*
-   * Keys asked for; each stands for `each` thousandths of a request.
+   * A sample of requested keys; each stands for `each` thousandths of a
+   * request.
    */
   size_t n_keys;
   uint32_t *keys;
@@ -480,7 +487,8 @@
   char *dc;
   protobuf_c_boolean stopping;
   /*
-   * The owners and the configuration that the host has.
+   * Number of the owners, and version of the site configuration, that the
+   * host has.
    */
   uint64_t owners;
   uint64_t site;
@@ -489,24 +497,25 @@
   size_t n_targets;
   Gspar__TargetLearnt **targets;
   /*
-   * Of the targets that the host knows.
+   * Digest of the targets that the host knows.
    */
   uint64_t fleet;
   /*
-   * Hosts that it could control; 0 is not known.
+   * Number of hosts that it could control; 0 if not known.
    */
   uint32_t bears;
   /*
-   * The store has answered it just now.
+   * The store has answered it recently.
    */
   protobuf_c_boolean store;
   /*
-   * It is to be told the configuration: the store does not give it.
+   * Requests the site configuration, which it cannot read from the store.
    */
   protobuf_c_boolean site_asked;
   /*
-   * Sends that broke and targets that ended lately, and what is
-   * quarantined here, where the controller has another list.
+   * Sends that broke and targets that ended recently; the checksum of
+   * this host's quarantine list, and the list where the controller's
+   * differs.
    */
   size_t n_broken;
   Gspar__BrokenSend **broken;
@@ -516,11 +525,11 @@
   size_t n_quarantined;
   Gspar__Quarantined **quarantined;
   /*
-   * Of the controller that it follows; 0 where it controls itself.
+   * Term of the controller that it follows; 0 where it is the controller.
    */
   uint64_t term;
   /*
-   * Contents on probation that were answered here.
+   * Digests of contents on probation that were answered here.
    */
   size_t n_answered;
   uint64_t *answered;
@@ -539,7 +548,7 @@
   uint64_t content;
   uint64_t target;
   /*
-   * How many in all; 0 is one.
+   * Number of such sends; 0 means one.
    */
   uint32_t sends;
   /*
@@ -553,15 +562,19 @@
 
 
 /*
- * A request's content that is sent to no target, for so many milliseconds.
+ * A request content that is quarantined, so that it is sent to no target, or on
+ * probation.
  */
 struct  Gspar__Quarantined
 {
   ProtobufCMessage base;
   uint64_t content;
+  /*
+   * Milliseconds until the entry expires.
+   */
   uint32_t left;
   /*
-   * It may run once at a time in the whole fleet.
+   * Not quarantined, but the fleet runs it one at a time.
    */
   protobuf_c_boolean probation;
 };
@@ -571,7 +584,7 @@
 
 
 /*
- * From the controller to all: what is quarantined.
+ * Sent by the controller to all hosts: the quarantine list.
  */
 struct  Gspar__QuarantineTold
 {
@@ -599,7 +612,7 @@
 
 
 /*
- * Who owns which keys: ranges in order, each up to the next one's first key.
+ * Owners of keys: ranges in order, each up to the first key of the next.
  */
 struct  Gspar__KeyOwners
 {
@@ -608,18 +621,18 @@
   size_t n_from;
   uint32_t *from;
   /*
-   * 0 is nobody, else 1 + index into the targets.
+   * Per range: 0 is no owner, else 1 + index into the targets.
    */
   size_t n_owner;
   uint32_t *owner;
   /*
-   * Per range: 0 is served, 1 is on its way, else 2 + milliseconds until
-   * it is served again.
+   * Per range: 0 is served, 1 is moving, else 2 + milliseconds until it
+   * is served again.
    */
   size_t n_state;
   uint32_t *state;
   /*
-   * Where only changes are told: the last key of each range.
+   * Only in a difference: the last key of each range.
    */
   size_t n_to;
   uint32_t *to;
@@ -630,7 +643,7 @@
 
 
 /*
- * From the controller to all: that it is there, and what changed.
+ * Sent by the controller to all hosts: its heartbeat, or the owners of keys.
  */
 struct  Gspar__Owners
 {
@@ -647,47 +660,49 @@
   Gspar__HostAddr **hosts;
   uint64_t site;
   /*
-   * The control record's version, as the controller wrote it last.
+   * Version of the control record that the controller wrote last.
    */
   uint64_t record;
   /*
-   * Of the targets that the controller knows.
+   * Digest of the targets that the controller knows.
    */
   uint64_t fleet;
   /*
-   * The controller follows the store and tells what changes.
+   * The controller follows the store and sends changes of targets.
    */
   protobuf_c_boolean follows;
   /*
-   * Where not 0: only what changed since that number is told.
+   * If not 0, a difference to the owners of this number.
    */
   uint64_t since;
   /*
-   * Hosts that send to targets, those lost lately included.
+   * Hosts that send to targets, including those that went down recently.
    */
   uint32_t host_count;
   /*
-   * Its lease in the store has run out: it lives by promises alone.
+   * Its lease in the store has expired: it relies on promises alone.
    */
   protobuf_c_boolean late;
   /*
-   * The controller itself: who has just started knows no address.
+   * The controller itself: a host that has just started does not know its
+   * address.
    */
   Gspar__HostAddr *self;
   /*
-   * There are more hosts than the controller can bear.
+   * The controller is overloaded: it has more hosts than it can control.
    */
   protobuf_c_boolean strained;
   /*
-   * The configuration was told to hosts before this; others read the store.
+   * The site configuration was pushed to hosts before this heartbeat; if
+   * not set, they read it from the store.
    */
   protobuf_c_boolean site_told;
   /*
-   * The host that is to tell the controller the one that it has.
+   * The host that is to send its site configuration to the controller.
    */
   char *site_from;
   /*
-   * Of what is quarantined.
+   * Checksum of the quarantine list.
    */
   uint64_t quarantine;
 };
@@ -697,7 +712,7 @@
 
 
 /*
- * A service of a configuration.
+ * A service of a site configuration.
  */
 struct  Gspar__SiteService
 {
@@ -706,12 +721,12 @@
   protobuf_c_boolean keyed;
   uint32_t max_conns;
   /*
-   * In microseconds, as all times here.
+   * In microseconds, as all times of a site configuration.
    */
   uint64_t warmup;
   /*
-   * How long a target is cold, and what it takes from all hosts
-   * meanwhile: 0 is any number, else thousandths of a request a second.
+   * How long a target is cold after its start, and its rate limit over
+   * all hosts meanwhile: 0 is none, else in requests per 1000 seconds.
    */
   uint64_t cold_start;
   uint32_t cold_rate;
@@ -722,13 +737,13 @@
 
 
 /*
- * A rule of a configuration.
+ * A rule of a site configuration.
  */
 struct  Gspar__SiteRule
 {
   ProtobufCMessage base;
   /*
-   * Index into the hosts that callers name.
+   * Index into SiteTold.hosts.
    */
   uint32_t host;
   char *prefix;
@@ -738,14 +753,14 @@
   uint32_t attempts;
   int32_t priority;
   /*
-   * Of each part: index into the services, and its weight.
+   * Per backend: index into the services, and its weight.
    */
   size_t n_service;
   uint32_t *service;
   size_t n_weight;
   uint32_t *weight;
   /*
-   * In a change: there is no such rule any more.
+   * Only in a difference: the rule was removed.
    */
   protobuf_c_boolean gone;
 };
@@ -755,16 +770,20 @@
 
 
 /*
- * A configuration, or what changed of one.
+ * A site configuration, or a difference to one.
  */
 struct  Gspar__SiteTold
 {
   ProtobufCMessage base;
   uint64_t version;
   /*
-   * Where not 0: only rules that changed since that version are told.
+   * If not 0, a difference to this version: rules holds only the changed
+   * ones.
    */
   uint64_t since;
+  /*
+   * Host names of the rules, as callers name them.
+   */
   size_t n_hosts;
   char **hosts;
   size_t n_services;
@@ -795,7 +814,7 @@
   protobuf_c_boolean leaving;
   protobuf_c_boolean gone;
   /*
-   * How much longer it is slow after its start, in milliseconds.
+   * Milliseconds until it is no longer cold.
    */
   uint32_t cold_ms;
 };
@@ -805,7 +824,7 @@
 
 
 /*
- * A data centre that is being evacuated, or was a little while ago.
+ * A data centre that is being evacuated, or was until recently.
  */
 struct  Gspar__Evacuation
 {
@@ -813,7 +832,8 @@
   char *dc;
   protobuf_c_boolean ended;
   /*
-   * For how many milliseconds it has been known to be so; 0 is not known.
+   * Milliseconds since its start or end became known, at least 1; 0 if
+   * not known.
    */
   uint32_t age;
 };
@@ -823,7 +843,7 @@
 
 
 /*
- * From the controller: all targets, or those that changed.
+ * Sent by the controller: all targets, or those that changed.
  */
 struct  Gspar__FleetTold
 {
@@ -833,7 +853,7 @@
   size_t n_targets;
   Gspar__TargetTold **targets;
   /*
-   * All evacuations, as of a revision of the store; 0 is not known.
+   * All evacuations, as of a revision of the store; 0 if not known.
    */
   size_t n_evacuations;
   Gspar__Evacuation **evacuations;
@@ -845,19 +865,20 @@
 
 
 /*
- * From a standby that reads the store while the controller does not: what all
- * hosts must hear of, and nothing that another may know better.
+ * Sent by a standby that reads the store while the controller does not: only
+ * what all hosts must know, and nothing of which another host may have a later
+ * state.
  */
 struct  Gspar__StoreNews
 {
   ProtobufCMessage base;
   uint64_t term;
   /*
-   * The configuration that there is.
+   * Version of the newest site configuration.
    */
   uint64_t site;
   /*
-   * Targets that leave or are gone.
+   * Targets that are leaving or gone.
    */
   size_t n_targets;
   Gspar__TargetTold **targets;
