--- a/standin/caller.c
+++ b/standin/caller.c
@@ -1,6 +1,6 @@
 /*
- * Stand-in for callers behind the platform's balancer: load at a given rate
- * for a bounded time, with each answer checked against its own request.
+ * Stand-in for callers behind the platform's load balancer: sends requests at a
+ * given rate for a bounded time and checks each answer against its request.
  */
 #include <argp.h>
 #include <err.h>
@@ -30,7 +30,7 @@
 
 struct host {
 	char addr[64];
-	usec away_until;
+	usec away_until; /* refused a connection: not used before then */
 };
 
 struct ask {
@@ -40,12 +40,12 @@
 	char key[32];
 	char id[64];
 	int host;
-	int want_ticket;
+	int want_ticket; /* gets a ticket first, then confirms with it */
 	int tries;
 	int error_code;
 	int not_run;
 	usec began;
-	usec due; /* start again then, or 0 */
+	usec due; /* time of the retry */
 	struct ask *next;
 };
 
@@ -79,23 +79,24 @@
 static usec first_fail, last_fail;
 
 static const struct argp_option options[] = {
-    {"to", 't', "IP:PORT,...", 0, "Entry hosts, as the balancer knows them", 0},
-    {"service", 's', "NAME", 0, "Service asked", 0},
-    {"rate", 'r', "N", 0, "Requests a second", 0},
-    {"seconds", 'd', "S", 0, "How long", 0},
+    {"to", 't', "IP:PORT,...", 0, "Hosts to send to, as a load balancer does",
+	0},
+    {"service", 's', "NAME", 0, "Service to request", 0},
+    {"rate", 'r', "N", 0, "Requests per second", 0},
+    {"seconds", 'd', "S", 0, "Duration of the load", 0},
     {"keys", 'k', "N", 0, "Number of keys", 0},
-    {"skew", 'z', "A", 0, "Zipf exponent of the keys; 0 is even", 0},
-    {"hot", 'h', "S", 0, "Other keys are hot every S seconds", 0},
-    {"confirm", 'c', NULL, 0, "POST with tickets, repeat on unknown", 0},
-    {"work", 'w', "MS", 0, "Ask the target to work so long", 0},
-    {"size", 'b', "BYTES", 0, "Ask for an answer of this size", 0},
-    {"deadline", 'D', "MS", 0, "Deadline told to the router", 0},
+    {"skew", 'z', "A", 0, "Zipf exponent of the keys; 0 is uniform", 0},
+    {"hot", 'h', "S", 0, "Change the most used keys every S seconds", 0},
+    {"confirm", 'c', NULL, 0, "POST with tickets, retry unknown outcomes", 0},
+    {"work", 'w', "MS", 0, "Time a request takes at the target", 0},
+    {"size", 'b', "BYTES", 0, "Size of an answer", 0},
+    {"deadline", 'D', "MS", 0, "Deadline of a request", 0},
     {"who", 'n', "NAME", 0, "Caller's name", 0},
-    {"quiet", 'q', NULL, 0, "No line for each failed request", 0},
+    {"quiet", 'q', NULL, 0, "Print no line for each failed request", 0},
     {0},
 };
 
-/* Reads the list of hosts. */
+/* Parses the list of hosts. */
 static void
 read_hosts(char *list)
 {
@@ -106,7 +107,7 @@
 		name_copy(hosts[nhosts++].addr, sizeof(hosts[0].addr), p);
 }
 
-/* Reads one option. */
+/* Parses one option. */
 static error_t
 parse(int key, char *arg, struct argp_state *st)
 {
@@ -153,7 +154,8 @@
 	case ARGP_KEY_END:
 		if (nhosts == 0 || rate <= 0 || rate > MAX_RATE ||
 		    seconds <= 0 || seconds > MAX_SECONDS || keys < 1)
-			argp_error(st, "--to is needed, and sane bounds");
+			argp_error(
+			    st, "--to is required, or a value is out of range");
 		break;
 	default:
 		return (ARGP_ERR_UNKNOWN);
@@ -162,10 +164,10 @@
 }
 
 static const struct argp argp = {options, parse, NULL,
-    "Load on entry hosts, each answer checked.  Exits 1 if any was wrong.", 0,
-    0, 0};
+    "Sends requests and checks each answer.  Exits 1 if any is wrong.", 0, 0,
+    0};
 
-/* Sums the weights of the keys, for drawing. */
+/* Sums the Zipf weights of the keys, so that draw() can pick keys by them. */
 static void
 make_zipf(void)
 {
@@ -179,7 +181,7 @@
 	}
 }
 
-/* Draws a key; which are hot changes with time where asked. */
+/* Draws a key; --hot moves the most used keys as time passes. */
 static long
 draw(usec since)
 {
@@ -198,7 +200,7 @@
 	return ((low + turn * 7919) % keys);
 }
 
-/* Collects the answer. */
+/* Collects the body of an answer. */
 static size_t
 on_body(char *p, size_t n, size_t m, void *arg)
 {
@@ -208,7 +210,7 @@
 	return (n * m);
 }
 
-/* Notes the router's own errors. */
+/* Reads the router's error code from the headers. */
 static size_t
 on_head(char *p, size_t n, size_t m, void *arg)
 {
@@ -219,7 +221,8 @@
 	return (n * m);
 }
 
-/* Picks a host that answered lately, as the balancer does. */
+/* Picks a random host that has not just refused a connection, as a load
+ * balancer does. */
 static int
 pick_host(usec now)
 {
@@ -232,7 +235,7 @@
 	return (h);
 }
 
-/* Sends a request, or sends it again. */
+/* Sends a request, or retries it. */
 static void
 start(struct ask *a, usec now)
 {
@@ -280,7 +283,7 @@
 	open_now++;
 }
 
-/* True where the body is the whole answer to this very request. */
+/* True if the body is the complete answer to this request. */
 static int
 is_mine(const struct ask *a)
 {
@@ -296,7 +299,7 @@
 	    strcmp(id, a->id) == 0 && n == size && a->body.n >= (size_t)n);
 }
 
-/* What an ended request came to. */
+/* Returns the outcome of a request. */
 static enum kind
 kind_of(const struct ask *a, CURLcode res, long status)
 {
@@ -321,7 +324,7 @@
 	free(a);
 }
 
-/* Puts a request aside, to be sent again. */
+/* Schedules a retry of a request. */
 static void
 later(struct ask *a, usec now, usec wait)
 {
@@ -330,7 +333,7 @@
 	again = a;
 }
 
-/* Counts an ended request. */
+/* Counts the outcome of a request and frees it. */
 static void
 count(struct ask *a, enum kind k, usec now)
 {
@@ -350,7 +353,7 @@
 	ask_free(a);
 }
 
-/* Takes one ended transfer. */
+/* Handles a finished transfer: retries, confirms with the ticket, or counts. */
 static void
 ended(struct ask *a, CURLcode res, usec now)
 {
@@ -376,7 +379,7 @@
 		return;
 	}
 	k = a->want_ticket ? K_NOT_RUN : kind_of(a, res, status);
-	/* As a buyer would: the same confirmation with the same ticket. */
+	/* A retry of a confirmation uses the same ticket. */
 	if (confirm && !a->want_ticket && a->tries < 3 &&
 	    (k == K_UNKNOWN || k == K_LOST) && a->error_code != 304) {
 		a->tries++;
@@ -387,7 +390,7 @@
 	count(a, k, now);
 }
 
-/* Makes a new request. */
+/* Creates and sends a new request. */
 static void
 begin(usec now, usec since)
 {
@@ -403,7 +406,7 @@
 	start(a, now);
 }
 
-/* Sends again what is due. */
+/* Sends the retries that are due. */
 static void
 send_again(usec now)
 {
@@ -421,7 +424,7 @@
 	}
 }
 
-/* Orders samples. */
+/* Compares samples for qsort. */
 static int
 by_value(const void *a, const void *b)
 {
@@ -430,7 +433,8 @@
 	return (x < y ? -1 : x > y);
 }
 
-/* A share of the samples, in milliseconds. */
+/* The response time below which a share of the samples lies, in
+ * milliseconds. */
 static double
 percentile(double share)
 {
@@ -439,7 +443,7 @@
 		: samples[(size_t)((double)(nsamples - 1) * share)]);
 }
 
-/* Prints the sums as one line of JSON. */
+/* Prints the results as one line of JSON. */
 static void
 report(double took)
 {
--- a/standin/jcheck.c
+++ b/standin/jcheck.c
@@ -1,7 +1,7 @@
 /*
- * Checks the journals of all targets: at most one owner of a shard at any
- * moment, fences that rise, each run inside its owner's time, and no
- * idempotency key run twice.  Exits 1 on the first fault of each kind.
+ * Checks the journals of all targets: a shard has at most one owner at any
+ * time, fences increase, each run lies within its target's period of ownership,
+ * and no ticket runs twice.  Exits 1 if there is any fault.
  */
 #include <err.h>
 #include <stdio.h>
@@ -12,7 +12,7 @@
 
 #define NAME 64
 
-/* One spell of ownership of one shard by one target. */
+/* A period in which one target owned one shard. */
 struct spell {
 	char service[NAME];
 	long shard;
@@ -39,7 +39,7 @@
 static size_t nruns;
 static int faults;
 
-/* The open spell of a shard in this file, or NULL. */
+/* The open period of a shard in this journal, or NULL. */
 static struct spell *
 find_open(const char *file, const char *service, long shard)
 {
@@ -54,7 +54,7 @@
 	return (NULL);
 }
 
-/* Makes room for one more; ends the program without memory. */
+/* Reallocates an array of n elements for one more; exits if out of memory. */
 static void *
 grow(void *p, size_t n, size_t size)
 {
@@ -65,7 +65,7 @@
 	return (q);
 }
 
-/* Starts a spell. */
+/* Begins a period. */
 static void
 hold(
     const char *file, const char *service, long shard, long long fence, usec at)
@@ -83,7 +83,7 @@
 	s->open = 1;
 }
 
-/* Ends a spell at the earlier of its grant's end and `at`. */
+/* Ends a period at the earlier of its grant's expiry and `at`. */
 static void
 end_spell(struct spell *s, usec until, usec at)
 {
@@ -93,7 +93,7 @@
 	s->open = 0;
 }
 
-/* Notes a run. */
+/* Adds a run. */
 static void
 note_run(const char *file, const char *service, long shard, long long fence,
     usec at, const char *id)
@@ -110,7 +110,7 @@
 	r->file = file;
 }
 
-/* Ends all spells that are open in a file when its grant ends. */
+/* Ends all open periods of a journal at the expiry of its grant. */
 static void
 end_all(const char *file, usec until)
 {
@@ -140,7 +140,7 @@
 		n = sscanf(line, "%15s %63s %ld %lld %lld %319s %159s", word,
 		    service, &shard, &fence, &at, key, id);
 		if (n < 5)
-			errx(2, "%s: bad line: %s", file, line);
+			errx(2, "%s: invalid line: %s", file, line);
 		if (strcmp(word, "hold") == 0)
 			hold(file, service, shard, fence, at);
 		else if (strcmp(word, "drop") == 0)
@@ -156,7 +156,7 @@
 	end_all(file, until);
 }
 
-/* Orders spells by shard and start. */
+/* Compares periods by shard and start, for qsort. */
 static int
 by_shard(const void *a, const void *b)
 {
@@ -170,7 +170,7 @@
 	return (x->from < y->from ? -1 : x->from > y->from);
 }
 
-/* Reports one fault. */
+/* Counts a fault, and prints the first ones. */
 static void
 fault(const char *what, const char *service, long shard, const char *a,
     const char *b, usec by)
@@ -180,7 +180,7 @@
 		    service, shard, a, b, (long long)by);
 }
 
-/* Two owners, or a fence that falls. */
+/* Checks for two owners at once, and fences that do not increase. */
 static void
 check_spells(void)
 {
@@ -203,7 +203,7 @@
 	}
 }
 
-/* Orders runs by idempotency key. */
+/* Compares runs by idempotency key, for qsort. */
 static int
 by_id(const void *a, const void *b)
 {
@@ -211,7 +211,7 @@
 	    strcmp(((const struct run *)a)->id, ((const struct run *)b)->id));
 }
 
-/* True where the run lies in a spell of its own target. */
+/* True if the run lies within a period of its target with its fence. */
 static int
 inside(const struct run *r)
 {
@@ -227,7 +227,7 @@
 	return (0);
 }
 
-/* A key run twice, or a run outside its owner's time. */
+/* Checks for tickets that ran twice, and runs outside of ownership. */
 static void
 check_runs(void)
 {
@@ -257,6 +257,7 @@
 		read_journal(argv[i]);
 	check_spells();
 	check_runs();
-	printf("%zu spells, %zu runs, %d faults\n", nspells, nruns, faults);
+	printf("%zu ownership periods, %zu runs, %d faults\n", nspells, nruns,
+	    faults);
 	return (faults > 0);
 }
--- a/standin/platform.c
+++ b/standin/platform.c
@@ -1,6 +1,7 @@
 /*
  * Stand-in for the platform: an object API with versions, conditional writes
- * and watches, a list of hosts that may lag, and faults on request.
+ * and watches, a list of hosts that the test sets, so that it may lag, and
+ * fault injection.
  */
 #include <err.h>
 #include <pthread.h>
@@ -18,7 +19,7 @@
 struct object {
 	char *path;
 	struct str value;
-	unsigned long version;
+	unsigned long version; /* 0 if it does not exist */
 };
 
 static struct object objects[MAX_OBJECTS];
@@ -29,14 +30,14 @@
 static struct str hosts;
 
 /* Faults, set through the control address. */
-static int down;
-static int slow_ms;
-static int lose;
-static char lose_path[256];
-static char cut[256];
+static int down;    /* closes connections without an answer */
+static int slow_ms; /* delay of each call */
+static int lose;    /* number of writes that take effect without an answer */
+static char lose_path[256]; /* only of paths that contain this */
+static char cut[256];	    /* ",HOST,...,": hosts that get no answer */
 static unsigned long n_get, n_put, n_watch, n_list, n_conflict;
 
-/* Finds an object that exists, or NULL; lock held. */
+/* Finds an existing object, or returns NULL; the lock is held. */
 static struct object *
 find(const char *path)
 {
@@ -50,7 +51,7 @@
 	return (NULL);
 }
 
-/* Finds or makes the slot of a path, or NULL when full; lock held. */
+/* Finds or adds the object of a path; NULL if full.  The lock is held. */
 static struct object *
 make(const char *path)
 {
@@ -71,7 +72,7 @@
 	return (o);
 }
 
-/* Answers with a copy of an object. */
+/* Answers with an object and its version. */
 static void
 give(struct web_ans *a, const struct object *o)
 {
@@ -79,7 +80,7 @@
 	snprintf(a->version, sizeof(a->version), "%lu", o->version);
 }
 
-/* Reads an object; with `after`, waits until its version is past that. */
+/* Handles a read; with `after`, waits until the version is greater. */
 static void
 get(const struct web_req *q, struct web_ans *a, const char *path)
 {
@@ -109,7 +110,8 @@
 		give(a, o);
 }
 
-/* Writes an object where its version is as the writer last saw it. */
+/* Handles a write, which takes effect only if If-Version is the current
+ * version. */
 static void
 put(const struct web_req *q, struct web_ans *a, const char *path)
 {
@@ -140,7 +142,7 @@
 	}
 }
 
-/* Lists paths and versions below a prefix, a line each. */
+/* Lists versions and paths with a prefix, one per line. */
 static void
 list(struct web_ans *a, const char *prefix)
 {
@@ -158,7 +160,7 @@
 	}
 }
 
-/* True where the caller is cut off: its name is in the list of cuts. */
+/* True if the fault `cut` names the calling host. */
 static int
 is_cut(const struct web_req *q)
 {
@@ -172,7 +174,7 @@
 	return (strstr(cut, word) != NULL);
 }
 
-/* Serves the object API. */
+/* Handles a call of the object API. */
 static void
 serve(const struct web_req *q, struct web_ans *a)
 {
@@ -208,14 +210,15 @@
 		str_set(&a->body, hosts.p == NULL ? "" : hosts.p, hosts.n);
 	} else
 		a->status = 404;
-	/* Cut off while waiting: the answer is lost, not the effect. */
+	/* If cut off while it waited, the call takes effect without an
+	 * answer. */
 	if (down || is_cut(q))
 		a->drop = 1;
 out:
 	pthread_mutex_unlock(&lock);
 }
 
-/* Sets faults and the list of hosts, and tells the counts. */
+/* Sets faults or the list of hosts, and answers with the call counts. */
 static void
 control(const struct web_req *q, struct web_ans *a)
 {
--- a/standin/server.c
+++ b/standin/server.c
@@ -1,7 +1,8 @@
 /*
- * Stand-in for a target of the platform: slots and a short queue, keys by
- * grants, its load with each answer, and faults on request.  The journal tells
- * what it held and ran, in the machine's clock, which all journals share.
+ * Stand-in for a target of the platform: request slots with a short queue, key
+ * ownership by grants, load reports in answers, and fault injection.  The
+ * journal records grants and runs, with times of the machine's monotonic clock,
+ * so that the journals of all targets can be compared.
  */
 #include <argp.h>
 #include <err.h>
@@ -37,32 +38,32 @@
 static int keyed;
 static const char *listen_addr;
 static const char *name = "i-1";
-static const char *crash_on; /* ends when it has run such a path */
+static const char *crash_on; /* exits after running a path with this text */
 static FILE *journal;
 
-/* Faults. */
-static int lose_answers; /* runs, and cuts the connection */
-static int cut_answers;	 /* breaks the body off */
+/* Faults, set by /_fault. */
+static int lose_answers; /* number of runs without an answer */
+static int cut_answers;	 /* number of answers with a truncated body */
 static int foreign;	 /* answers with another request's id */
-static int late_grants;	 /* carries grants out so many ms late, unanswered */
+static int late_grants;	 /* applies grants so many ms late, without an answer */
 static int fail;	 /* answers 500 */
-static int refuse;	 /* is full for so many requests */
-static double limit;	 /* names so many requests a second, but for failures;
-			    0 is none; set in hundredths */
-static int reset_new;	 /* ends new connections without an answer */
+static int refuse;	 /* number of requests refused as if full */
+static double limit;	 /* rate limit stated in answers, but not in failures,
+			    in requests per second; 0 is none */
+static int reset_new;	 /* closes new connections without an answer */
 
 static const struct argp_option options[] = {
     {"listen", 'l', "IP:PORT", 0, "Address to serve", 0},
-    {"name", 'n', "ID", 0, "Id of this start", 0},
+    {"name", 'n', "ID", 0, "Id of this incarnation", 0},
     {"journal", 'j', "FILE", 0, "Append the journal to FILE", 0},
     {"slots", 's', "N", 0, "Requests that run at once", 0},
     {"work", 'w', "MS", 0, "Time a request takes", 0},
-    {"crash", 'x', "TEXT", 0, "End at the end of a run whose path has TEXT", 0},
-    {"keyed", 'k', NULL, 0, "Run only what this server holds the key of", 0},
+    {"crash", 'x', "TEXT", 0, "Exit after a run whose path contains TEXT", 0},
+    {"keyed", 'k', NULL, 0, "Run only requests of keys that were granted", 0},
     {0},
 };
 
-/* Reads one option. */
+/* Parses one option. */
 static error_t
 parse(int key, char *arg, struct argp_state *st)
 {
@@ -93,7 +94,7 @@
 		break;
 	case ARGP_KEY_END:
 		if (listen_addr == NULL)
-			argp_error(st, "--listen is needed");
+			argp_error(st, "--listen is required");
 		break;
 	default:
 		return (ARGP_ERR_UNKNOWN);
@@ -111,7 +112,7 @@
 			fprintf(journal, __VA_ARGS__);                         \
 	} while (0)
 
-/* Answers that the request did not run. */
+/* Answers that the request was not executed. */
 static void
 not_run(struct web_ans *a, int status, const char *why)
 {
@@ -120,7 +121,7 @@
 	str_set(&a->body, why, strlen(why));
 }
 
-/* Carries a grant out; lock held; HTTP status. */
+/* Applies a grant and returns the HTTP status; the lock is held. */
 static int
 grant_now(long from, long to, long long f, usec end)
 {
@@ -141,8 +142,8 @@
 }
 
 /*
- * When a call arrived at this machine.  It may have waited there while the
- * process was paused; a grant's time counts from its arrival all the same.
+ * When a call arrived at this machine.  It may have waited in the socket while
+ * the process was paused, but the hold time of a grant starts at its arrival.
  */
 static usec
 arrived(const struct web_req *q)
@@ -157,7 +158,7 @@
 	return (clock_mono() - MS(info.tcpi_last_data_recv));
 }
 
-/* Takes a grant or a release. */
+/* Handles a grant or a release; a release waits for the runs of its keys. */
 static void
 take_order(const struct web_req *q, struct web_ans *a, int release)
 {
@@ -198,7 +199,8 @@
 	pthread_mutex_unlock(&lock);
 }
 
-/* Waits for a slot; 0, or -1 where there is no room; lock held. */
+/* Waits for a slot; returns 0, or -1 if the queue is full.  The lock is
+ * held. */
 static int
 take_slot(void)
 {
@@ -212,13 +214,13 @@
 	return (0);
 }
 
-/* Runs a request that is let in; lock held. */
+/* Runs an accepted request; the lock is held. */
 static void
 run(const struct web_req *q, struct web_ans *a, long key)
 {
 	const char *id = web_head(q, "X-Request-Id");
 	char text[600], load[32], rate[32];
-	const char *to = foreign ? "another" : id; /* whom the answer is for */
+	const char *to = foreign ? "another" : id; /* id in the answer */
 	int n;
 
 	ran++;
@@ -260,7 +262,7 @@
 	}
 }
 
-/* Takes a request. */
+/* Handles a request. */
 static void
 take_request(const struct web_req *q, struct web_ans *a)
 {
@@ -290,7 +292,7 @@
 	pthread_mutex_unlock(&lock);
 }
 
-/* Sets faults, and tells how many requests ran. */
+/* Sets faults, and answers with the number of requests that ran. */
 static void
 set_fault(const struct web_req *q, struct web_ans *a)
 {
@@ -312,7 +314,7 @@
 	str_set(&a->body, text, (size_t)n);
 }
 
-/* Serves one call. */
+/* Handles any call. */
 static void
 on_call(const struct web_req *q, struct web_ans *a)
 {
--- a/standin/store.c
+++ b/standin/store.c
@@ -1,6 +1,6 @@
 /*
- * Stand-in for the platform's store of objects: revisions, conditional writes,
- * lists with pages, watches, and faults on request.
+ * Stand-in for the platform's object store: revisions, conditional writes,
+ * paged lists, watches, and fault injection.
  */
 #include <err.h>
 #include <pthread.h>
@@ -21,7 +21,7 @@
 struct object {
 	char kind[NAME_AREA];
 	char name[NAME_AREA];
-	json_t *value; /* the whole object; NULL where it was deleted */
+	json_t *value; /* the whole object; NULL if deleted */
 };
 
 struct event {
@@ -36,19 +36,19 @@
 static struct event events[MAX_EVENTS];
 static int nevents;
 static json_int_t revision = 1;
-static json_int_t forgotten; /* changes up to here are not kept */
+static json_int_t forgotten; /* events up to this revision are compacted */
 static pthread_mutex_t lock = PTHREAD_MUTEX_INITIALIZER;
 static pthread_cond_t changed = PTHREAD_COND_INITIALIZER;
 
 /* Faults, set through the control address. */
-static int down;   /* answers 503 */
-static int silent; /* answers nothing, seconds long */
-static int slow_ms;
-static int lose; /* answers of so many writes are lost */
-static int page = 500;
+static int down;       /* answers 503 */
+static int silent;     /* closes connections after 3 s without an answer */
+static int slow_ms;    /* delay of each answer */
+static int lose;       /* number of writes that take effect without an answer */
+static int page = 500; /* objects per page of a list */
 static unsigned long reads, writes, watches;
 
-/* Finds an object that exists, or NULL; lock held. */
+/* Finds an existing object, or returns NULL; the lock is held. */
 static struct object *
 find(const char *kind, const char *name)
 {
@@ -81,14 +81,14 @@
 	    json_object_get(json_object_get(o, "metadata"), "revision")));
 }
 
-/* Notes a change for watches; lock held. */
+/* Records a change for watches; the lock is held. */
 static void
 note(const char *kind, json_t *o, int deleted)
 {
 	struct event *e;
 
 	if (nevents == MAX_EVENTS)
-		errx(1, "too many changes");
+		errx(1, "too many events");
 	e = &events[nevents++];
 	snprintf(e->kind, sizeof(e->kind), "%s", kind);
 	e->revision = revision;
@@ -97,7 +97,7 @@
 	pthread_cond_broadcast(&changed);
 }
 
-/* Sets an object's name and the revision of its last change; lock held. */
+/* Sets an object's metadata with a new revision; the lock is held. */
 static void
 stamp(json_t *o, const char *name)
 {
@@ -106,7 +106,7 @@
 		++revision, "finalizers", "deleting", 0));
 }
 
-/* Makes an object; lock held. */
+/* Creates an object; the lock is held. */
 static void
 create(struct web_ans *a, const char *kind, json_t *o)
 {
@@ -135,7 +135,7 @@
 	give(a, have->value);
 }
 
-/* Replaces an object where its revision is as the writer last saw it. */
+/* Replaces an object if the writer gives its current revision, or none. */
 static void
 replace(struct web_ans *a, const char *kind, const char *name, json_t *o)
 {
@@ -161,7 +161,7 @@
 	give(a, have->value);
 }
 
-/* Removes an object; lock held. */
+/* Deletes an object; the lock is held. */
 static void
 take_away(struct web_ans *a, const char *kind, const char *name)
 {
@@ -178,7 +178,8 @@
 	have->value = NULL;
 }
 
-/* Lists the objects of a kind, a page at a time; lock held. */
+/* Lists one page of the objects of a kind, by name, starting after a name;
+ * the lock is held. */
 static void
 list(struct web_ans *a, const char *kind, const char *after)
 {
@@ -207,7 +208,7 @@
 	json_decref(o);
 }
 
-/* The changes of a kind after a revision; lock held. */
+/* Returns the changes of a kind after a revision; the lock is held. */
 static json_t *
 changes(const char *kind, json_int_t after)
 {
@@ -224,7 +225,7 @@
 	return (all);
 }
 
-/* Waits for changes of a kind; lock held. */
+/* Waits for changes of a kind; the lock is held. */
 static void
 watch(struct web_ans *a, const char *kind, json_int_t after, long wait_ms)
 {
@@ -254,7 +255,7 @@
 	json_decref(o);
 }
 
-/* Splits a path into kind and name; name is "" where there is none. */
+/* Splits a path into kind and name, which is "" if missing. */
 static void
 split(const char *path, char *kind, char *name)
 {
@@ -267,7 +268,7 @@
 	snprintf(name, NAME_AREA, "%s", slash == NULL ? "" : slash + 1);
 }
 
-/* Serves a read; lock held. */
+/* Handles a read; the lock is held. */
 static void
 read_one(const struct web_req *q, struct web_ans *a, const char *kind,
     const char *name)
@@ -288,7 +289,7 @@
 		give(a, o->value);
 }
 
-/* Serves a write; lock held. */
+/* Handles a write; the lock is held. */
 static void
 write_one(const struct web_req *q, struct web_ans *a, const char *kind,
     const char *name)
@@ -312,7 +313,7 @@
 	}
 }
 
-/* Serves one call. */
+/* Handles a call of the object API. */
 static void
 on_call(const struct web_req *q, struct web_ans *a)
 {
@@ -338,7 +339,7 @@
 		usleep((unsigned)wait * 1000);
 }
 
-/* Drops the history, and ends all watches. */
+/* Compacts the history: a watch from an older revision fails with 410. */
 static void
 compact(void)
 {
@@ -346,7 +347,7 @@
 	pthread_cond_broadcast(&changed);
 }
 
-/* Sets faults, and tells counts. */
+/* Sets faults, and answers with the call counts. */
 static void
 on_control(const struct web_req *q, struct web_ans *a)
 {
@@ -373,6 +374,6 @@
 int
 main(int argc, char **argv)
 {
-	return (web_pair(argc, argv, "Stand-in for the platform's store",
+	return (web_pair(argc, argv, "Stand-in for the platform's object store",
 	    on_call, on_control));
 }
--- a/standin/target.c
+++ b/standin/target.c
@@ -1,5 +1,5 @@
 /*
- * Stand-in for a target: a server that owns keys by fenced grants, runs
+ * Stand-in for a target: a server that owns shards by fenced grants, runs
  * requests in slots, and writes a journal of grants and runs.
  */
 #include <argp.h>
@@ -34,10 +34,10 @@
 
 static struct service services[MAX_SERVICES];
 static int nservices;
-static usec until;
+static usec until; /* expiry of the grant, by own_clock */
 static json_int_t top_epoch;
 static json_int_t top_seq;
-static usec clock_shift;
+static usec clock_shift; /* own_clock minus the machine's clock */
 static long boot;
 static struct run running[MAX_RUNNING];
 static int nrunning;
@@ -48,9 +48,9 @@
 static int work_ms = 2;
 static int unchecked;
 static int fail_all;
-static int lie_load = -1;
-static int cut_answers;
-static int draining;
+static int lie_load = -1; /* load to report instead of the real one */
+static int cut_answers;	  /* truncates bodies */
+static int draining;	  /* 1 reports that it is leaving, 2 also refuses */
 static const char *listen_addr;
 static const char *name = "target";
 static FILE *journal;
@@ -63,11 +63,11 @@
     {"journal", 'j', "FILE", 0, "Append the journal to FILE", 0},
     {"slots", 's', "N", 0, "Requests that run at once", 0},
     {"work", 'w', "MS", 0, "Time a request takes", 0},
-    {"unchecked", 'u', NULL, 0, "Do not check who gives orders", 0},
+    {"unchecked", 'u', NULL, 0, "Accept any grant and request unchecked", 0},
     {0},
 };
 
-/* Reads one option. */
+/* Parses one option. */
 static error_t
 parse(int key, char *arg, struct argp_state *st)
 {
@@ -95,7 +95,7 @@
 		break;
 	case ARGP_KEY_END:
 		if (listen_addr == NULL)
-			argp_error(st, "--listen is needed");
+			argp_error(st, "--listen is required");
 		break;
 	default:
 		return (ARGP_ERR_UNKNOWN);
@@ -106,14 +106,14 @@
 static const struct argp argp = {
     options, parse, NULL, "Stand-in for a target", 0, 0, 0};
 
-/* This server's own clock: no other process shares its zero. */
+/* This server's own clock, which has another origin in each process. */
 static usec
 own_clock(void)
 {
 	return (clock_mono() + clock_shift);
 }
 
-/* Finds or makes a service; lock held. */
+/* Finds or adds a service; the lock is held. */
 static struct service *
 service(const char *s)
 {
@@ -130,8 +130,9 @@
 }
 
 /*
- * Writes to the journal, in the machine's clock, which all journals share:
- * hold SERVICE SHARD FENCE FROM, drop SERVICE SHARD AT, until AT.
+ * Writes a line to the journal: hold, drop, until or boot, then service, shard,
+ * fence and time.  Times are of the machine's monotonic clock, so that the
+ * journals of all targets can be compared.
  */
 static void
 note(const char *fmt, const char *s, long shard, json_int_t fence, usec at)
@@ -141,7 +142,8 @@
 		    journal, fmt, s, shard, (long long)fence, (long long)at);
 }
 
-/* Drops everything where the grant has lapsed, as of the lapse; lock held. */
+/* Drops all shards, as of the grant's expiry, if it has expired; the lock is
+ * held. */
 static void
 lapse(void)
 {
@@ -161,7 +163,7 @@
 	}
 }
 
-/* Replaces the shards held by those of the grant; lock held. */
+/* Replaces the owned shards by those of a grant; the lock is held. */
 static void
 take_shards(json_t *all, usec now)
 {
@@ -204,7 +206,8 @@
 	free(want);
 }
 
-/* Takes a grant or a renewal; refuses an old giver and a past expiry. */
+/* Handles a grant or renewal; refuses one of an older epoch or sequence number,
+ * or that has expired. */
 static void
 grant(const struct web_req *q, struct web_ans *a)
 {
@@ -248,7 +251,7 @@
 	str_set(&a->body, text, (size_t)n);
 }
 
-/* True while this server owns the shard with that fence; lock held. */
+/* True if this server owns the shard with that fence; the lock is held. */
 static int
 owns(const char *s, long shard, long long fence)
 {
@@ -258,7 +261,7 @@
 	    v->fence[shard] != 0 && v->fence[shard] == fence);
 }
 
-/* Refuses a request that has not run. */
+/* Answers that a request was not run. */
 static void
 refuse(struct web_ans *a, int status, const char *why)
 {
@@ -268,7 +271,8 @@
 	str_set(&a->body, why, strlen(why));
 }
 
-/* Sleeps for the work's time, or less where it is cancelled; lock held. */
+/* Waits for the time of a run, or until it is cancelled; returns true if it
+ * was.  The lock is held. */
 static int
 work(struct run *r, int ms)
 {
@@ -285,7 +289,7 @@
 	return (r->cancelled);
 }
 
-/* Finds a free place for a run; lock held. */
+/* Finds a free entry for a run, or NULL; the lock is held. */
 static struct run *
 place(void)
 {
@@ -298,7 +302,7 @@
 	return (NULL);
 }
 
-/* Runs a request: /run/SERVICE/KEY[/REST]. */
+/* Handles a request: /run/SERVICE/KEY[/REST]; the lock is held. */
 static void
 run(const struct web_req *q, struct web_ans *a)
 {
@@ -367,7 +371,7 @@
 		a->cut_at = a->body.n / 2;
 }
 
-/* Stops a run by its id; says whether it had started. */
+/* Cancels a run by its id; answers 404 if there is none. */
 static void
 cancel(const struct web_req *q, struct web_ans *a)
 {
@@ -384,7 +388,7 @@
 	}
 }
 
-/* Tells the load, or the lie that was asked for. */
+/* Answers with the load, or with the false one that was set. */
 static void
 load(struct web_ans *a)
 {
@@ -397,7 +401,7 @@
 	str_set(&a->body, text, (size_t)n);
 }
 
-/* Changes how the stand-in behaves, for tests. */
+/* Sets faults. */
 static void
 fault(const struct web_req *q)
 {
@@ -408,7 +412,7 @@
 	draining = (int)web_num(web_arg(q, "drain"), draining);
 }
 
-/* Serves all paths. */
+/* Handles any call. */
 static void
 serve(const struct web_req *q, struct web_ans *a)
 {
--- a/standin/web.c
+++ b/standin/web.c
@@ -15,7 +15,7 @@
 	size_t at;
 };
 
-/* An argument of the request's URL, or NULL. */
+/* Returns a query argument of the request, or NULL. */
 const char *
 web_arg(const struct web_req *q, const char *name)
 {
@@ -23,21 +23,21 @@
 	    MHD_lookup_connection_value(q->conn, MHD_GET_ARGUMENT_KIND, name));
 }
 
-/* A header of the request, or NULL. */
+/* Returns a header of the request, or NULL. */
 const char *
 web_head(const struct web_req *q, const char *name)
 {
 	return (MHD_lookup_connection_value(q->conn, MHD_HEADER_KIND, name));
 }
 
-/* Reads a number, or other where there is none. */
+/* Parses a number; returns other if s is NULL. */
 long
 web_num(const char *s, long other)
 {
 	return (s == NULL ? other : strtol(s, NULL, 10));
 }
 
-/* The time so many milliseconds from now, for pthread_cond_timedwait. */
+/* Sets the time ms milliseconds from now, for pthread_cond_timedwait. */
 void
 web_until(struct timespec *until, long ms)
 {
@@ -50,7 +50,7 @@
 	}
 }
 
-/* Adds a header to an answer; a value that is NULL is left out. */
+/* Adds a header to an answer, unless value is NULL or WEB_HEADS are set. */
 void
 web_add(struct web_ans *a, const char *name, const char *value)
 {
@@ -62,7 +62,8 @@
 	a->nheads++;
 }
 
-/* Gives the first bytes of a body and then fails, as a dying server does. */
+/* Returns the first bytes of a body and then fails, as a crashing server
+ * does. */
 static ssize_t
 read_cut(void *arg, uint64_t pos, char *buf, size_t max)
 {
@@ -78,7 +79,7 @@
 	return ((ssize_t)n);
 }
 
-/* Frees what read_cut used. */
+/* Frees the argument of read_cut. */
 static void
 free_cut(void *arg)
 {
@@ -88,7 +89,7 @@
 	free(c);
 }
 
-/* Turns the stand-in's answer into the library's. */
+/* Converts an answer to a libmicrohttpd response; takes over its body. */
 static struct MHD_Response *
 respond(struct web_ans *a)
 {
@@ -115,7 +116,7 @@
 	return (r);
 }
 
-/* Keeps how many requests came on a connection. */
+/* Allocates and frees the request counter of a connection. */
 static void
 on_connection(void *cls, struct MHD_Connection *conn, void **state,
     enum MHD_ConnectionNotificationCode what)
@@ -126,7 +127,8 @@
 		free(*state);
 }
 
-/* Counts a request on its connection; 1 is the first. */
+/* Counts a request on its connection and returns its number, from 1; 0 if
+ * unknown. */
 static int
 count_request(struct MHD_Connection *conn)
 {
@@ -137,7 +139,7 @@
 	return (n == NULL ? 0 : ++*n);
 }
 
-/* Collects the body, then calls the stand-in's function. */
+/* Collects the body, then calls the stand-in's handler. */
 static enum MHD_Result
 handle(void *cls, struct MHD_Connection *conn, const char *url,
     const char *method, const char *version, const char *data, size_t *size,
@@ -175,7 +177,7 @@
 	return (res);
 }
 
-/* Frees the request when the library is done with it. */
+/* Frees the request when libmicrohttpd has finished with it. */
 static void
 done(void *cls, struct MHD_Connection *conn, void **state,
     enum MHD_RequestTerminationCode why)
@@ -189,7 +191,7 @@
 	*state = NULL;
 }
 
-/* Serves fn on "IP:PORT"; NULL where the address cannot be had. */
+/* Serves fn on "IP:PORT"; returns NULL if the address is invalid or in use. */
 struct MHD_Daemon *
 web_start(const char *addr, web_fn fn)
 {
@@ -213,7 +215,7 @@
 	    MHD_OPTION_CONNECTION_LIMIT, 2000u, MHD_OPTION_END));
 }
 
-/* Addresses of a stand-in that serves what it stands for, and faults. */
+/* Addresses of a stand-in: for its service, and for faults and counts. */
 struct pair {
 	const char *data;
 	const char *control;
@@ -225,7 +227,7 @@
     {0},
 };
 
-/* Reads one option. */
+/* Parses one option. */
 static error_t
 pair_parse(int key, char *arg, struct argp_state *st)
 {
@@ -240,7 +242,7 @@
 		break;
 	case ARGP_KEY_END:
 		if (p->data == NULL || p->control == NULL)
-			argp_error(st, "--listen and --control are needed");
+			argp_error(st, "--listen and --control are required");
 		break;
 	default:
 		return (ARGP_ERR_UNKNOWN);
@@ -248,7 +250,8 @@
 	return (0);
 }
 
-/* All of a stand-in with two addresses: its arguments, serving, its end. */
+/* Main function of a stand-in with two addresses: parses its arguments and
+ * serves until SIGTERM or SIGINT. */
 int
 web_pair(int argc, char **argv, const char *doc, web_fn data, web_fn control)
 {
--- a/standin/web.h
+++ b/standin/web.h
@@ -1,4 +1,4 @@
-/* A tiny HTTP server for the stand-ins: one thread a connection. */
+/* A small HTTP server for the stand-ins, with one thread per connection. */
 #ifndef WEB_H
 #define WEB_H
 
@@ -8,12 +8,12 @@
 
 #include "str.h"
 
-/* Headers that one answer may have beside the two above. */
+/* Maximum of headers that web_add can add to an answer. */
 #define WEB_HEADS 6
 
 struct web_req {
 	struct MHD_Connection *conn;
-	int nth; /* on its connection; 1 is the first */
+	int nth; /* number on its connection, from 1; 0 if unknown */
 	const char *method;
 	const char *path;
 	struct str body;
@@ -30,9 +30,10 @@
 		char value[128];
 	} heads[WEB_HEADS];
 	int nheads;
-	/* Closes the connection without an answer. */
+	/* Close the connection without an answer. */
 	int drop;
-	/* Ends the body after this many bytes, below the announced length. */
+	/* If not 0, end the body after so many bytes, before its
+	 * Content-Length. */
 	size_t cut_at;
 };
 
--- a/standin/wire.c
+++ b/standin/wire.c
@@ -1,8 +1,8 @@
 /*
- * Stand-in for the network between hosts: passes connections on, and on
- * request lets those that are open go silent, or cuts some hosts off.  Can be
- * told to pass each frame twice.  Several ways in and out may share one rate,
- * as all connections of a host share its link.
+ * Stand-in for the network between hosts: a TCP proxy that can silence open
+ * connections, cut hosts off, delay data, and duplicate frames.  Several
+ * listening addresses can share one rate limit, as all connections of a host
+ * share its link.
  */
 #include <argp.h>
 #include <arpa/inet.h>
@@ -19,17 +19,17 @@
 #include "web.h"
 
 #define NAME_AREA 1024
-/* Addresses to listen on, each with one to pass on to. */
+/* Maximum of addresses to listen on, each with one to forward to. */
 #define MAX_PAIRS 4
-/* With a rate, so much is passed at a time, and kept by the kernel for either
- * side: a link that stands still is felt by who sends. */
+/* With a rate limit, bytes forwarded at a time, and size of the socket buffers:
+ * they are small so that a sender notices a link that is stalled. */
 #define RATED_CHUNK 8192
 #define RATED_BUFFER 65536
 
 struct link {
 	int fd[2];
 	int silent;
-	unsigned char first[NAME_AREA]; /* the hello names the host */
+	unsigned char first[NAME_AREA]; /* first bytes; they name the host */
 	size_t nfirst;
 	struct link *next;
 };
@@ -41,26 +41,27 @@
 
 static struct link *links;
 static char cut[512];
-static int one_way = -1; /* only what comes from this side is swallowed */
+static int one_way = -1; /* side whose data is dropped; -1 is both */
 static long delay_ms;
 static int doubles;
 static pthread_mutex_t lock = PTHREAD_MUTEX_INITIALIZER;
 static const char *listen_addr[MAX_PAIRS], *to_addr[MAX_PAIRS];
 static const char *control_addr;
 static int nlisten, nto;
-static long rate; /* bytes a second over all connections; 0 is no bound */
-static struct timespec link_free; /* when the link has passed all before */
+static long rate; /* bytes per second of all connections; 0 is no limit */
+static struct timespec link_free; /* when the link can send the next bytes */
 
 static const struct argp_option options[] = {
-    {"listen", 'l', "IP:PORT", 0, "Address to take connections on", 0},
-    {"to", 't', "IP:PORT", 0, "Address to pass them on to", 0},
-    {"rate", 'r', "BYTES", 0, "Pass so many a second, all ways together", 0},
+    {"listen", 'l', "IP:PORT", 0, "Address to listen on", 0},
+    {"to", 't', "IP:PORT", 0, "Address to forward to", 0},
+    {"rate", 'r', "BYTES", 0, "Limit of all connections together, per second",
+	0},
     {"control", 'c', "IP:PORT", 0, "Address for faults", 0},
-    {"double", 'd', NULL, 0, "Pass each frame twice, but for the hello", 0},
+    {"double", 'd', NULL, 0, "Send each frame twice, except for the hello", 0},
     {0},
 };
 
-/* Reads one option. */
+/* Parses one option. */
 static error_t
 parse(int key, char *arg, struct argp_state *st)
 {
@@ -86,7 +87,8 @@
 		break;
 	case ARGP_KEY_END:
 		if (nlisten == 0 || nto != nlisten || !control_addr)
-			argp_error(st, "all three addresses are needed");
+			argp_error(st,
+			    "--control is required, and a --to for each --listen");
 		break;
 	default:
 		return (ARGP_ERR_UNKNOWN);
@@ -97,7 +99,7 @@
 static const struct argp argp = {
     options, parse, NULL, "Stand-in for the network", 0, 0, 0};
 
-/* Reads "IP:PORT". */
+/* Parses "IP:PORT"; exits if it is invalid. */
 static struct sockaddr_in
 address(const char *at)
 {
@@ -106,13 +108,13 @@
 	int port;
 
 	if (addr_split(at, ip, sizeof(ip), &port) != 0)
-		errx(1, "bad address %s", at);
+		errx(1, "invalid address %s", at);
 	inet_pton(AF_INET, ip, &sin.sin_addr);
 	sin.sin_port = htons((uint16_t)port);
 	return (sin);
 }
 
-/* True where the link is of a host that is cut off; lock held. */
+/* True if the link is one of a host that is cut off; the lock is held. */
 static int
 is_cut(const struct link *l)
 {
@@ -121,7 +123,7 @@
 	memcpy(list, cut, sizeof(cut));
 	for (word = strtok_r(list, ",", &rest); word != NULL;
 	     word = strtok_r(NULL, ",", &rest)) {
-		/* A host is named in its hello, or to targets by HTTP. */
+		/* Its hello names a host, or its User-Agent header. */
 		snprintf(name, sizeof(name), "%c%s", (int)strlen(word), word);
 		snprintf(agent, sizeof(agent), "User-Agent: %s\r", word);
 		if (strcmp(word, "*") == 0 ||
@@ -132,7 +134,7 @@
 	return (0);
 }
 
-/* Notes the first bytes from the side that opened the link; lock held. */
+/* Saves the first bytes from the side that connected; the lock is held. */
 static void
 note_first(struct link *l, const char *buf, size_t n)
 {
@@ -142,7 +144,7 @@
 	l->nfirst += n;
 }
 
-/* Sends bytes, n times. */
+/* Sends n bytes, several times; returns 0 or -1. */
 static int
 send_times(int fd, const char *p, size_t n, int times)
 {
@@ -154,8 +156,8 @@
 }
 
 /*
- * Passes on the whole frames among n bytes, each twice but for the first of a
- * connection; gives how many bytes were passed, or -1.
+ * Forwards the complete frames among n bytes, each twice except for the first
+ * of a connection; returns the number of bytes forwarded, or -1.
  */
 static ssize_t
 pass_frames(int fd, const char *p, size_t n, int *first)
@@ -176,7 +178,7 @@
 	return ((ssize_t)at);
 }
 
-/* Passes frames one way, each twice. */
+/* Forwards frames in one direction, each twice. */
 static void *
 pass_double(void *arg)
 {
@@ -202,7 +204,7 @@
 	return (NULL);
 }
 
-/* Waits until the link has passed n more bytes. */
+/* Waits for the time that the link takes for n bytes. */
 static void
 wait_link(size_t n)
 {
@@ -225,7 +227,7 @@
 	clock_nanosleep(CLOCK_MONOTONIC, TIMER_ABSTIME, &until, NULL);
 }
 
-/* Bounds what the kernel keeps of a rated link's connection. */
+/* Limits the socket buffers of a connection of a link with a rate limit. */
 static void
 bound_buffers(int fd)
 {
@@ -237,7 +239,8 @@
 	setsockopt(fd, SOL_SOCKET, SO_SNDBUF, &n, sizeof(n));
 }
 
-/* Passes bytes one way; what is silent or cut is swallowed. */
+/* Forwards bytes in one direction; drops those of silent links and of hosts
+ * that are cut off. */
 static void *
 pass(void *arg)
 {
@@ -256,7 +259,8 @@
 			note_first(l, buf, (size_t)n);
 		drop = l->silent ||
 		    (is_cut(l) && (one_way < 0 || one_way == w->from));
-		/* A connection that lost bytes can never be whole again. */
+		/* A connection that has lost bytes stays silent: its stream
+		 * has a gap for good. */
 		l->silent = drop;
 		wait = delay_ms;
 		pthread_mutex_unlock(&lock);
@@ -275,7 +279,7 @@
 	return (NULL);
 }
 
-/* Starts passing one way. */
+/* Starts forwarding in one direction. */
 static void
 start(struct link *l, int from)
 {
@@ -288,13 +292,13 @@
 	pthread_detach(t);
 }
 
-/* An address that connections are taken on, and where they are passed to. */
+/* A listening socket, and the address to forward its connections to. */
 struct pair {
 	int fd;
 	struct sockaddr_in to;
 };
 
-/* Takes connections in. */
+/* Accepts connections. */
 static void *
 take(void *arg)
 {
@@ -326,7 +330,7 @@
 	return (NULL);
 }
 
-/* Resets an open connection: both ends learn of it at once. */
+/* Resets an open connection, so that both ends notice at once. */
 static void
 reset(const struct link *l)
 {
@@ -340,8 +344,12 @@
 	}
 }
 
-/* Sets faults: silent=1 for open links; reset=1 for them; delay=MS for all
- * bytes; cut=NAME,... or * or nothing, and way=0 or 1 for one side alone. */
+/*
+ * Sets faults: silent=1 drops the data of all open links, reset=1 resets them,
+ * delay=MS delays all data, and cut=HOST,... drops the data of these hosts (*
+ * is all hosts, empty is none): with way=0 only what the side that connected
+ * sends, with way=1 only what the other side sends.
+ */
 static void
 control(const struct web_req *q, struct web_ans *a)
 {
@@ -365,7 +373,7 @@
 	pthread_mutex_unlock(&lock);
 }
 
-/* Listens on an address and passes on what comes there. */
+/* Listens on an address and forwards its connections. */
 static void
 serve(const char *from, const char *to)
 {
