--- a/standin/caller.c
+++ b/standin/caller.c
@@ -19,23 +19,31 @@
 #define MAX_HOSTS 64
 #define MAX_SECONDS 300
 #define MAX_RATE 50000
-#define MAX_OPEN 20000
-#define AWAY_US MS(200)
+#define MAX_INFLIGHT 20000
+#define HOST_BACKOFF MS(200)
 #define MAX_SAMPLES 4000000
 #define TRIES_MAX 20
 
-enum kind { K_OK, K_NOT_RUN, K_UNKNOWN, K_BAD, K_WRONG, K_LOST, K_N };
-static const char *const kind_names[K_N] = {
+enum outcome {
+	OUTCOME_OK,
+	OUTCOME_NOT_RUN,
+	OUTCOME_UNKNOWN,
+	OUTCOME_BAD,
+	OUTCOME_WRONG,
+	OUTCOME_LOST,
+	OUTCOME_N
+};
+static const char *const outcome_names[OUTCOME_N] = {
     "ok", "not_run", "unknown", "bad", "wrong", "lost"};
 
 struct host {
 	char addr[64];
-	usec away_until; /* refused a connection: not used before then */
+	usec backoff_until; /* refused a connection: not used before then */
 };
 
-struct ask {
+struct request {
 	CURL *easy;
-	struct curl_slist *heads;
+	struct curl_slist *headers;
 	struct str body;
 	char key[32];
 	char id[64];
@@ -44,9 +52,9 @@
 	int tries;
 	int error_code;
 	int not_run;
-	usec began;
-	usec due; /* time of the retry */
-	struct ask *next;
+	usec started_at;
+	usec retry_at; /* time of the retry */
+	struct request *next;
 };
 
 static struct host hosts[MAX_HOSTS];
@@ -56,24 +64,24 @@
 static double seconds = 5;
 static long keys = 1000;
 static double skew;
-static int hot_every;
+static int hot_interval_s;
 static int confirm;
 static long work = -1;
 static long size;
 static long deadline_ms;
 static long timeout_ms = 5000;
-static const char *who = "caller";
+static const char *caller_name = "caller";
 static int quiet;
 
 static CURLM *multi;
-static struct ask *again;
-static unsigned long counts[K_N];
-static unsigned long by_error[1000];
+static struct request *retry_list;
+static unsigned long counts[OUTCOME_N];
+static unsigned long error_counts[1000];
 static unsigned long refused;
-static unsigned long repeats;
+static unsigned long retries;
 static float *samples;
 static size_t nsamples;
-static int open_now;
+static int inflight;
 static unsigned long serial;
 static double *zipf;
 static usec first_fail, last_fail;
@@ -98,7 +106,7 @@
 
 /* Parses the list of hosts. */
 static void
-read_hosts(char *list)
+parse_hosts(char *list)
 {
 	char *p, *rest;
 
@@ -109,11 +117,11 @@
 
 /* Parses one option. */
 static error_t
-parse(int key, char *arg, struct argp_state *st)
+parse_option(int key, char *arg, struct argp_state *st)
 {
 	switch (key) {
 	case 't':
-		read_hosts(arg);
+		parse_hosts(arg);
 		break;
 	case 's':
 		service = arg;
@@ -131,7 +139,7 @@
 		skew = atof(arg);
 		break;
 	case 'h':
-		hot_every = atoi(arg);
+		hot_interval_s = atoi(arg);
 		break;
 	case 'c':
 		confirm = 1;
@@ -146,7 +154,7 @@
 		deadline_ms = atol(arg);
 		break;
 	case 'n':
-		who = arg;
+		caller_name = arg;
 		break;
 	case 'q':
 		quiet = 1;
@@ -163,13 +171,13 @@
 	return (0);
 }
 
-static const struct argp argp = {options, parse, NULL,
+static const struct argp argp = {options, parse_option, NULL,
     "Sends requests and checks each answer.  Exits 1 if any is wrong.", 0, 0,
     0};
 
-/* Sums the Zipf weights of the keys, so that draw() can pick keys by them. */
+/* Sums the Zipf weights of the keys, for draw_key(). */
 static void
-make_zipf(void)
+zipf_init(void)
 {
 	double sum = 0;
 	long i;
@@ -183,10 +191,10 @@
 
 /* Draws a key; --hot moves the most used keys as time passes. */
 static long
-draw(usec since)
+draw_key(usec since)
 {
 	double x = (double)random() / RAND_MAX * zipf[keys - 1];
-	long low = 0, high = keys - 1, mid, turn = 0;
+	long low = 0, high = keys - 1, mid, hot_round = 0;
 
 	while (low < high) {
 		mid = (low + high) / 2;
@@ -195,16 +203,16 @@
 		else
 			high = mid;
 	}
-	if (hot_every > 0)
-		turn = since / US_PER_SEC / hot_every;
-	return ((low + turn * 7919) % keys);
+	if (hot_interval_s > 0)
+		hot_round = since / US_PER_SEC / hot_interval_s;
+	return ((low + hot_round * 7919) % keys);
 }
 
 /* Collects the body of an answer. */
 static size_t
 on_body(char *p, size_t n, size_t m, void *arg)
 {
-	struct ask *a = arg;
+	struct request *a = arg;
 
 	str_add(&a->body, p, n * m);
 	return (n * m);
@@ -212,9 +220,9 @@
 
 /* Reads the router's error code from the headers. */
 static size_t
-on_head(char *p, size_t n, size_t m, void *arg)
+on_header(char *p, size_t n, size_t m, void *arg)
 {
-	struct ask *a = arg;
+	struct request *a = arg;
 
 	if (n * m > 12 && strncasecmp(p, "Gspar-Error:", 12) == 0)
 		a->error_code = atoi(p + 12);
@@ -229,7 +237,7 @@
 	int i, h = (int)(random() % nhosts);
 
 	for (i = 0; i < nhosts; i++) {
-		if (hosts[(h + i) % nhosts].away_until <= now)
+		if (hosts[(h + i) % nhosts].backoff_until <= now)
 			return ((h + i) % nhosts);
 	}
 	return (h);
@@ -237,9 +245,9 @@
 
 /* Sends a request, or retries it. */
 static void
-start(struct ask *a, usec now)
+send_request(struct request *a, usec now)
 {
-	char url[400], line[128], extra[96] = "";
+	char url[400], line[128], query[96] = "";
 
 	a->host = pick_host(now);
 	a->error_code = 0;
@@ -248,25 +256,25 @@
 		a->easy = curl_easy_init();
 	else
 		curl_easy_reset(a->easy);
-	curl_slist_free_all(a->heads);
-	a->heads = NULL;
+	curl_slist_free_all(a->headers);
+	a->headers = NULL;
 	if (work >= 0 && !a->want_ticket)
 		snprintf(
-		    extra, sizeof(extra), "?work=%ld&size=%ld", work, size);
+		    query, sizeof(query), "?work=%ld&size=%ld", work, size);
 	else if (size > 0 && !a->want_ticket)
-		snprintf(extra, sizeof(extra), "?size=%ld", size);
+		snprintf(query, sizeof(query), "?size=%ld", size);
 	snprintf(url, sizeof(url), "http://%s/v1/%s/%s%s%s",
 	    hosts[a->host].addr, service, a->key,
-	    a->want_ticket ? "/ticket" : "", extra);
+	    a->want_ticket ? "/ticket" : "", query);
 	snprintf(line, sizeof(line), "Idempotency-Key: %s", a->id);
 	if (!a->want_ticket)
-		a->heads = curl_slist_append(a->heads, line);
-	snprintf(line, sizeof(line), "Gspar-Caller: %s", who);
-	a->heads = curl_slist_append(a->heads, line);
+		a->headers = curl_slist_append(a->headers, line);
+	snprintf(line, sizeof(line), "Gspar-Caller: %s", caller_name);
+	a->headers = curl_slist_append(a->headers, line);
 	if (deadline_ms > 0) {
 		snprintf(
 		    line, sizeof(line), "Gspar-Deadline-Ms: %ld", deadline_ms);
-		a->heads = curl_slist_append(a->heads, line);
+		a->headers = curl_slist_append(a->headers, line);
 	}
 	curl_easy_setopt(a->easy, CURLOPT_URL, url);
 	curl_easy_setopt(a->easy, CURLOPT_NOSIGNAL, 1L);
@@ -274,18 +282,18 @@
 	curl_easy_setopt(a->easy, CURLOPT_TIMEOUT_MS, timeout_ms);
 	curl_easy_setopt(a->easy, CURLOPT_WRITEFUNCTION, on_body);
 	curl_easy_setopt(a->easy, CURLOPT_WRITEDATA, a);
-	curl_easy_setopt(a->easy, CURLOPT_HEADERFUNCTION, on_head);
+	curl_easy_setopt(a->easy, CURLOPT_HEADERFUNCTION, on_header);
 	curl_easy_setopt(a->easy, CURLOPT_HEADERDATA, a);
 	if (confirm && !a->want_ticket)
 		curl_easy_setopt(a->easy, CURLOPT_POSTFIELDS, "");
-	curl_easy_setopt(a->easy, CURLOPT_HTTPHEADER, a->heads);
+	curl_easy_setopt(a->easy, CURLOPT_HTTPHEADER, a->headers);
 	curl_multi_add_handle(multi, a->easy);
-	open_now++;
+	inflight++;
 }
 
 /* True if the body is the complete answer to this request. */
 static int
-is_mine(const struct ask *a)
+answer_matches(const struct request *a)
 {
 	char t[64], s[64], k[64], id[128];
 	long n;
@@ -300,74 +308,76 @@
 }
 
 /* Returns the outcome of a request. */
-static enum kind
-kind_of(const struct ask *a, CURLcode res, long status)
+static enum outcome
+outcome_of(const struct request *a, CURLcode res, long status)
 {
 	if (res != CURLE_OK)
-		return (K_LOST);
+		return (OUTCOME_LOST);
 	if (a->error_code == 0)
-		return (status == 200 && is_mine(a) ? K_OK : K_WRONG);
+		return (status == 200 && answer_matches(a) ? OUTCOME_OK
+							   : OUTCOME_WRONG);
 	if (a->error_code < 200)
-		return (K_BAD);
+		return (OUTCOME_BAD);
 	return (a->body.p != NULL && strstr(a->body.p, "\"not_run\"") != NULL
-		? K_NOT_RUN
-		: K_UNKNOWN);
+		? OUTCOME_NOT_RUN
+		: OUTCOME_UNKNOWN);
 }
 
 /* Frees a request. */
 static void
-ask_free(struct ask *a)
+request_free(struct request *a)
 {
 	curl_easy_cleanup(a->easy);
-	curl_slist_free_all(a->heads);
+	curl_slist_free_all(a->headers);
 	str_free(&a->body);
 	free(a);
 }
 
 /* Schedules a retry of a request. */
 static void
-later(struct ask *a, usec now, usec wait)
+schedule_retry(struct request *a, usec now, usec wait)
 {
-	a->due = now + wait;
-	a->next = again;
-	again = a;
+	a->retry_at = now + wait;
+	a->next = retry_list;
+	retry_list = a;
 }
 
 /* Counts the outcome of a request and frees it. */
 static void
-count(struct ask *a, enum kind k, usec now)
+count_outcome(struct request *a, enum outcome k, usec now)
 {
 	counts[k]++;
 	if (a->error_code > 0 && a->error_code < 1000)
-		by_error[a->error_code]++;
-	if (k == K_OK && nsamples < MAX_SAMPLES)
-		samples[nsamples++] = (float)(now - a->began) / 1000;
-	if (k != K_OK) {
+		error_counts[a->error_code]++;
+	if (k == OUTCOME_OK && nsamples < MAX_SAMPLES)
+		samples[nsamples++] = (float)(now - a->started_at) / 1000;
+	if (k != OUTCOME_OK) {
 		if (first_fail == 0)
 			first_fail = now;
 		last_fail = now;
 		if (!quiet)
-			printf("failed %s %s code %d at %lld\n", kind_names[k],
-			    a->key, a->error_code, (long long)now);
+			printf("failed %s %s code %d at %lld\n",
+			    outcome_names[k], a->key, a->error_code,
+			    (long long)now);
 	}
-	ask_free(a);
+	request_free(a);
 }
 
 /* Handles a finished transfer: retries, confirms with the ticket, or counts. */
 static void
-ended(struct ask *a, CURLcode res, usec now)
+transfer_done(struct request *a, CURLcode res, usec now)
 {
-	enum kind k;
+	enum outcome k;
 	long status = 0;
 	char *p;
 
 	curl_multi_remove_handle(multi, a->easy);
-	open_now--;
+	inflight--;
 	curl_easy_getinfo(a->easy, CURLINFO_RESPONSE_CODE, &status);
 	if (res == CURLE_COULDNT_CONNECT && a->tries++ < TRIES_MAX) {
 		refused++;
-		hosts[a->host].away_until = now + AWAY_US;
-		later(a, now, MS(1));
+		hosts[a->host].backoff_until = now + HOST_BACKOFF;
+		schedule_retry(a, now, MS(1));
 		return;
 	}
 	if (a->want_ticket && res == CURLE_OK && a->error_code == 0 &&
@@ -375,58 +385,59 @@
 		snprintf(
 		    a->id, sizeof(a->id), "%.*s", (int)strcspn(p, "\""), p);
 		a->want_ticket = 0;
-		start(a, now);
+		send_request(a, now);
 		return;
 	}
-	k = a->want_ticket ? K_NOT_RUN : kind_of(a, res, status);
+	k = a->want_ticket ? OUTCOME_NOT_RUN : outcome_of(a, res, status);
 	/* A retry of a confirmation uses the same ticket. */
 	if (confirm && !a->want_ticket && a->tries < 3 &&
-	    (k == K_UNKNOWN || k == K_LOST) && a->error_code != 304) {
+	    (k == OUTCOME_UNKNOWN || k == OUTCOME_LOST) &&
+	    a->error_code != 304) {
 		a->tries++;
-		repeats++;
-		later(a, now, MS(50));
+		retries++;
+		schedule_retry(a, now, MS(50));
 		return;
 	}
-	count(a, k, now);
+	count_outcome(a, k, now);
 }
 
 /* Creates and sends a new request. */
 static void
-begin(usec now, usec since)
+new_request(usec now, usec since)
 {
-	struct ask *a;
+	struct request *a;
 
-	if (open_now >= MAX_OPEN)
+	if (inflight >= MAX_INFLIGHT)
 		return;
 	a = calloc(1, sizeof(*a));
-	a->began = now;
+	a->started_at = now;
 	a->want_ticket = confirm;
-	snprintf(a->key, sizeof(a->key), "key-%ld", draw(since));
-	snprintf(a->id, sizeof(a->id), "%s-%lu", who, ++serial);
-	start(a, now);
+	snprintf(a->key, sizeof(a->key), "key-%ld", draw_key(since));
+	snprintf(a->id, sizeof(a->id), "%s-%lu", caller_name, ++serial);
+	send_request(a, now);
 }
 
 /* Sends the retries that are due. */
 static void
-send_again(usec now)
+send_retries(usec now)
 {
-	struct ask *list = again, *a;
+	struct request *list = retry_list, *a;
 
-	again = NULL;
+	retry_list = NULL;
 	while ((a = list) != NULL) {
 		list = a->next;
-		if (a->due <= now)
-			start(a, now);
+		if (a->retry_at <= now)
+			send_request(a, now);
 		else {
-			a->next = again;
-			again = a;
+			a->next = retry_list;
+			retry_list = a;
 		}
 	}
 }
 
 /* Compares samples for qsort. */
 static int
-by_value(const void *a, const void *b)
+compare_samples(const void *a, const void *b)
 {
 	float x = *(const float *)a, y = *(const float *)b;
 
@@ -445,23 +456,24 @@
 
 /* Prints the results as one line of JSON. */
 static void
-report(double took)
+print_report(double duration_s)
 {
 	int i, sep = 0;
 
-	qsort(samples, nsamples, sizeof(*samples), by_value);
+	qsort(samples, nsamples, sizeof(*samples), compare_samples);
 	printf("{");
-	for (i = 0; i < K_N; i++)
-		printf("\"%s\": %lu, ", kind_names[i], counts[i]);
+	for (i = 0; i < OUTCOME_N; i++)
+		printf("\"%s\": %lu, ", outcome_names[i], counts[i]);
 	printf("\"refused\": %lu, \"repeats\": %lu, \"seconds\": %.2f, "
 	       "\"fail_span_ms\": %.0f, \"p50\": %.2f, \"p99\": %.2f, "
 	       "\"max\": %.2f, \"codes\": {",
-	    refused, repeats, took, (double)(last_fail - first_fail) / 1000,
-	    percentile(0.5), percentile(0.99), percentile(1));
+	    refused, retries, duration_s,
+	    (double)(last_fail - first_fail) / 1000, percentile(0.5),
+	    percentile(0.99), percentile(1));
 	for (i = 0; i < 1000; i++) {
-		if (by_error[i] == 0)
+		if (error_counts[i] == 0)
 			continue;
-		printf("%s\"%d\": %lu", sep ? ", " : "", i, by_error[i]);
+		printf("%s\"%d\": %lu", sep ? ", " : "", i, error_counts[i]);
 		sep = 1;
 	}
 	printf("}}\n");
@@ -472,7 +484,7 @@
 {
 	usec from, now, next;
 	CURLMsg *cm;
-	struct ask *a;
+	struct request *a;
 	int running, left;
 
 	argp_parse(&argp, argc, argv, 0, NULL, NULL);
@@ -480,7 +492,7 @@
 	setvbuf(stdout, NULL, _IOLBF, 0);
 	srandom((unsigned)clock_wall());
 	samples = malloc(MAX_SAMPLES * sizeof(*samples));
-	make_zipf();
+	zipf_init();
 	curl_global_init(CURL_GLOBAL_DEFAULT);
 	multi = curl_multi_init();
 	curl_multi_setopt(multi, CURLMOPT_MAXCONNECTS, 512L);
@@ -490,21 +502,21 @@
 		now = clock_mono();
 		if (now - from < (usec)(seconds * US_PER_SEC)) {
 			for (; next <= now; next += (usec)(US_PER_SEC / rate))
-				begin(now, now - from);
-		} else if ((open_now == 0 && again == NULL) ||
+				new_request(now, now - from);
+		} else if ((inflight == 0 && retry_list == NULL) ||
 		    now - from > (usec)((seconds + 15) * US_PER_SEC))
 			break;
-		send_again(now);
+		send_retries(now);
 		curl_multi_perform(multi, &running);
 		while ((cm = curl_multi_info_read(multi, &left)) != NULL) {
 			if (cm->msg != CURLMSG_DONE)
 				continue;
 			curl_easy_getinfo(
 			    cm->easy_handle, CURLINFO_PRIVATE, &a);
-			ended(a, cm->data.result, clock_mono());
+			transfer_done(a, cm->data.result, clock_mono());
 		}
 		curl_multi_poll(multi, NULL, 0, 1, NULL);
 	}
-	report((double)(clock_mono() - from) / US_PER_SEC);
-	return (counts[K_WRONG] > 0);
+	print_report((double)(clock_mono() - from) / US_PER_SEC);
+	return (counts[OUTCOME_WRONG] > 0);
 }
--- a/standin/jcheck.c
+++ b/standin/jcheck.c
@@ -10,11 +10,11 @@
 
 #include "clock.h"
 
-#define NAME 64
+#define NAME_SIZE 64
 
 /* A period in which one target owned one shard. */
-struct spell {
-	char service[NAME];
+struct period {
+	char service[NAME_SIZE];
 	long shard;
 	long long fence;
 	usec from;
@@ -25,7 +25,7 @@
 
 /* One run of a request. */
 struct run {
-	char service[NAME];
+	char service[NAME_SIZE];
 	long shard;
 	long long fence;
 	usec at;
@@ -33,30 +33,30 @@
 	const char *file;
 };
 
-static struct spell *spells;
-static size_t nspells;
+static struct period *periods;
+static size_t nperiods;
 static struct run *runs;
 static size_t nruns;
 static int faults;
 
 /* The open period of a shard in this journal, or NULL. */
-static struct spell *
-find_open(const char *file, const char *service, long shard)
+static struct period *
+find_open_period(const char *file, const char *service, long shard)
 {
 	size_t i;
 
-	for (i = nspells; i > 0; i--) {
-		if (spells[i - 1].open && spells[i - 1].file == file &&
-		    spells[i - 1].shard == shard &&
-		    strcmp(spells[i - 1].service, service) == 0)
-			return (&spells[i - 1]);
+	for (i = nperiods; i > 0; i--) {
+		if (periods[i - 1].open && periods[i - 1].file == file &&
+		    periods[i - 1].shard == shard &&
+		    strcmp(periods[i - 1].service, service) == 0)
+			return (&periods[i - 1]);
 	}
 	return (NULL);
 }
 
 /* Reallocates an array of n elements for one more; exits if out of memory. */
 static void *
-grow(void *p, size_t n, size_t size)
+grow_array(void *p, size_t n, size_t size)
 {
 	void *q = realloc(p, (n + 1) * size);
 
@@ -67,13 +67,13 @@
 
 /* Begins a period. */
 static void
-hold(
+begin_period(
     const char *file, const char *service, long shard, long long fence, usec at)
 {
-	struct spell *s;
+	struct period *s;
 
-	spells = grow(spells, nspells, sizeof(*spells));
-	s = &spells[nspells++];
+	periods = grow_array(periods, nperiods, sizeof(*periods));
+	s = &periods[nperiods++];
 	snprintf(s->service, sizeof(s->service), "%s", service);
 	s->shard = shard;
 	s->fence = fence;
@@ -85,7 +85,7 @@
 
 /* Ends a period at the earlier of its grant's expiry and `at`. */
 static void
-end_spell(struct spell *s, usec until, usec at)
+end_period(struct period *s, usec until, usec at)
 {
 	if (s == NULL)
 		return;
@@ -95,12 +95,12 @@
 
 /* Adds a run. */
 static void
-note_run(const char *file, const char *service, long shard, long long fence,
+add_run(const char *file, const char *service, long shard, long long fence,
     usec at, const char *id)
 {
 	struct run *r;
 
-	runs = grow(runs, nruns, sizeof(*runs));
+	runs = grow_array(runs, nruns, sizeof(*runs));
 	r = &runs[nruns++];
 	snprintf(r->service, sizeof(r->service), "%s", service);
 	r->shard = shard;
@@ -112,13 +112,13 @@
 
 /* Ends all open periods of a journal at the expiry of its grant. */
 static void
-end_all(const char *file, usec until)
+end_all_periods(const char *file, usec until)
 {
 	size_t i;
 
-	for (i = 0; i < nspells; i++) {
-		if (spells[i].open && spells[i].file == file)
-			end_spell(&spells[i], until, until);
+	for (i = 0; i < nperiods; i++) {
+		if (periods[i].open && periods[i].file == file)
+			end_period(&periods[i], until, until);
 	}
 }
 
@@ -126,7 +126,7 @@
 static void
 read_journal(const char *file)
 {
-	char line[1024], word[16], service[NAME], key[320], id[160];
+	char line[1024], word[16], service[NAME_SIZE], key[320], id[160];
 	long shard;
 	long long fence, at;
 	usec until = 0;
@@ -142,25 +142,26 @@
 		if (n < 5)
 			errx(2, "%s: invalid line: %s", file, line);
 		if (strcmp(word, "hold") == 0)
-			hold(file, service, shard, fence, at);
+			begin_period(file, service, shard, fence, at);
 		else if (strcmp(word, "drop") == 0)
-			end_spell(find_open(file, service, shard), until, at);
+			end_period(
+			    find_open_period(file, service, shard), until, at);
 		else if (strcmp(word, "until") == 0)
 			until = at;
 		else if (strcmp(word, "boot") == 0)
-			end_all(file, until);
+			end_all_periods(file, until);
 		else if (strcmp(word, "start") == 0 && n == 7)
-			note_run(file, service, shard, fence, at, id);
+			add_run(file, service, shard, fence, at, id);
 	}
 	fclose(f);
-	end_all(file, until);
+	end_all_periods(file, until);
 }
 
 /* Compares periods by shard and start, for qsort. */
 static int
-by_shard(const void *a, const void *b)
+compare_periods(const void *a, const void *b)
 {
-	const struct spell *x = a, *y = b;
+	const struct period *x = a, *y = b;
 	int c = strcmp(x->service, y->service);
 
 	if (c != 0)
@@ -172,7 +173,7 @@
 
 /* Counts a fault, and prints the first ones. */
 static void
-fault(const char *what, const char *service, long shard, const char *a,
+report_fault(const char *what, const char *service, long shard, const char *a,
     const char *b, usec by)
 {
 	if (faults++ < 20)
@@ -182,30 +183,30 @@
 
 /* Checks for two owners at once, and fences that do not increase. */
 static void
-check_spells(void)
+check_periods(void)
 {
-	const struct spell *a, *b;
+	const struct period *a, *b;
 	size_t i;
 
-	qsort(spells, nspells, sizeof(*spells), by_shard);
-	for (i = 1; i < nspells; i++) {
-		a = &spells[i - 1];
-		b = &spells[i];
+	qsort(periods, nperiods, sizeof(*periods), compare_periods);
+	for (i = 1; i < nperiods; i++) {
+		a = &periods[i - 1];
+		b = &periods[i];
 		if (a->shard != b->shard ||
 		    strcmp(a->service, b->service) != 0 || a->file == b->file)
 			continue;
 		if (b->from < a->to)
-			fault("two owners", a->service, a->shard, a->file,
-			    b->file, a->to - b->from);
+			report_fault("two owners", a->service, a->shard,
+			    a->file, b->file, a->to - b->from);
 		if (b->fence <= a->fence)
-			fault("fence fell", a->service, a->shard, a->file,
-			    b->file, 0);
+			report_fault("fence fell", a->service, a->shard,
+			    a->file, b->file, 0);
 	}
 }
 
 /* Compares runs by idempotency key, for qsort. */
 static int
-by_id(const void *a, const void *b)
+compare_runs(const void *a, const void *b)
 {
 	return (
 	    strcmp(((const struct run *)a)->id, ((const struct run *)b)->id));
@@ -213,15 +214,16 @@
 
 /* True if the run lies within a period of its target with its fence. */
 static int
-inside(const struct run *r)
+in_owned_period(const struct run *r)
 {
 	size_t i;
 
-	for (i = 0; i < nspells; i++) {
-		if (spells[i].file == r->file && spells[i].shard == r->shard &&
-		    spells[i].fence == r->fence &&
-		    strcmp(spells[i].service, r->service) == 0 &&
-		    r->at >= spells[i].from && r->at <= spells[i].to)
+	for (i = 0; i < nperiods; i++) {
+		if (periods[i].file == r->file &&
+		    periods[i].shard == r->shard &&
+		    periods[i].fence == r->fence &&
+		    strcmp(periods[i].service, r->service) == 0 &&
+		    r->at >= periods[i].from && r->at <= periods[i].to)
 			return (1);
 	}
 	return (0);
@@ -233,16 +235,16 @@
 {
 	size_t i;
 
-	qsort(runs, nruns, sizeof(*runs), by_id);
+	qsort(runs, nruns, sizeof(*runs), compare_runs);
 	for (i = 0; i < nruns; i++) {
 		if (i > 0 && strncmp(runs[i].id, "gs1-", 4) == 0 &&
 		    strcmp(runs[i].id, runs[i - 1].id) == 0)
-			fault("run twice", runs[i].service, runs[i].shard,
-			    runs[i - 1].file, runs[i].file,
+			report_fault("run twice", runs[i].service,
+			    runs[i].shard, runs[i - 1].file, runs[i].file,
 			    runs[i].at - runs[i - 1].at);
-		if (!inside(&runs[i]))
-			fault("run by no owner", runs[i].service, runs[i].shard,
-			    runs[i].file, runs[i].id, 0);
+		if (!in_owned_period(&runs[i]))
+			report_fault("run by no owner", runs[i].service,
+			    runs[i].shard, runs[i].file, runs[i].id, 0);
 	}
 }
 
@@ -255,9 +257,9 @@
 		errx(2, "usage: jcheck JOURNAL ...");
 	for (i = 1; i < argc; i++)
 		read_journal(argv[i]);
-	check_spells();
+	check_periods();
 	check_runs();
-	printf("%zu ownership periods, %zu runs, %d faults\n", nspells, nruns,
+	printf("%zu ownership periods, %zu runs, %d faults\n", nperiods, nruns,
 	    faults);
 	return (faults > 0);
 }
--- a/standin/platform.c
+++ b/standin/platform.c
@@ -30,11 +30,11 @@
 static struct str hosts;
 
 /* Faults, set through the control address. */
-static int down;    /* closes connections without an answer */
-static int slow_ms; /* delay of each call */
-static int lose;    /* number of writes that take effect without an answer */
+static int down;	    /* closes connections without an answer */
+static int slow_ms;	    /* delay of each call */
+static int lose_answers;    /* number of writes to apply without an answer */
 static char lose_path[256]; /* only of paths that contain this */
-static char cut[256];	    /* ",HOST,...,": hosts that get no answer */
+static char cut_hosts[256]; /* ",HOST,...,": hosts that get no answer */
 static unsigned long n_get, n_put, n_watch, n_list, n_conflict;
 
 /* Finds an existing object, or returns NULL; the lock is held. */
@@ -53,7 +53,7 @@
 
 /* Finds or adds the object of a path; NULL if full.  The lock is held. */
 static struct object *
-make(const char *path)
+find_or_add(const char *path)
 {
 	struct object *o;
 	int i;
@@ -74,7 +74,7 @@
 
 /* Answers with an object and its version. */
 static void
-give(struct web_ans *a, const struct object *o)
+reply_object(struct web_answer *a, const struct object *o)
 {
 	str_set(&a->body, o->value.p, o->value.n);
 	snprintf(a->version, sizeof(a->version), "%lu", o->version);
@@ -82,7 +82,7 @@
 
 /* Handles a read; with `after`, waits until the version is greater. */
 static void
-get(const struct web_req *q, struct web_ans *a, const char *path)
+handle_get(const struct web_request *q, struct web_answer *a, const char *path)
 {
 	struct object *o;
 	struct timespec until;
@@ -90,12 +90,12 @@
 	long wait_ms;
 
 	after = web_arg(q, "after");
-	wait_ms = web_num(web_arg(q, "wait_ms"), 0);
+	wait_ms = web_parse_number(web_arg(q, "wait_ms"), 0);
 	if (after != NULL)
 		n_watch++;
 	else
 		n_get++;
-	web_until(&until, wait_ms);
+	web_deadline(&until, wait_ms);
 	while ((o = find(path)),
 	    after != NULL && !down &&
 		(o == NULL || o->version <= strtoul(after, NULL, 10))) {
@@ -107,28 +107,29 @@
 	else if (after != NULL && o->version <= strtoul(after, NULL, 10))
 		a->status = 304;
 	else
-		give(a, o);
+		reply_object(a, o);
 }
 
 /* Handles a write, which takes effect only if If-Version is the current
  * version. */
 static void
-put(const struct web_req *q, struct web_ans *a, const char *path)
+handle_put(const struct web_request *q, struct web_answer *a, const char *path)
 {
 	struct object *o;
-	unsigned long want, have;
+	unsigned long expected, current;
 
 	n_put++;
-	want = (unsigned long)web_num(web_head(q, "If-Version"), 0);
+	expected =
+	    (unsigned long)web_parse_number(web_header(q, "If-Version"), 0);
 	o = find(path);
-	have = o == NULL ? 0 : o->version;
-	if (want != have) {
+	current = o == NULL ? 0 : o->version;
+	if (expected != current) {
 		n_conflict++;
 		a->status = 412;
-		snprintf(a->version, sizeof(a->version), "%lu", have);
+		snprintf(a->version, sizeof(a->version), "%lu", current);
 		return;
 	}
-	if (q->body.n > 1024 * 1024 || (o = make(path)) == NULL) {
+	if (q->body.n > 1024 * 1024 || (o = find_or_add(path)) == NULL) {
 		a->status = 413;
 		return;
 	}
@@ -136,15 +137,15 @@
 	o->version = ++last_version;
 	snprintf(a->version, sizeof(a->version), "%lu", o->version);
 	pthread_cond_broadcast(&changed);
-	if (lose > 0 && strstr(path, lose_path) != NULL) {
-		lose--;
+	if (lose_answers > 0 && strstr(path, lose_path) != NULL) {
+		lose_answers--;
 		a->drop = 1;
 	}
 }
 
 /* Lists versions and paths with a prefix, one per line. */
 static void
-list(struct web_ans *a, const char *prefix)
+handle_list(struct web_answer *a, const char *prefix)
 {
 	char line[512];
 	int i, n;
@@ -162,21 +163,21 @@
 
 /* True if the fault `cut` names the calling host. */
 static int
-is_cut(const struct web_req *q)
+is_cut(const struct web_request *q)
 {
-	const char *who;
+	const char *host;
 	char word[128];
 
-	who = web_head(q, "User-Agent");
-	if (who == NULL || cut[0] == '\0')
+	host = web_header(q, "User-Agent");
+	if (host == NULL || cut_hosts[0] == '\0')
 		return (0);
-	snprintf(word, sizeof(word), ",%s,", who);
-	return (strstr(cut, word) != NULL);
+	snprintf(word, sizeof(word), ",%s,", host);
+	return (strstr(cut_hosts, word) != NULL);
 }
 
 /* Handles a call of the object API. */
 static void
-serve(const struct web_req *q, struct web_ans *a)
+handle_call(const struct web_request *q, struct web_answer *a)
 {
 	const char *path;
 	struct object *o;
@@ -195,16 +196,16 @@
 	if (strncmp(q->path, OBJECT_PREFIX, strlen(OBJECT_PREFIX)) == 0) {
 		path = q->path + strlen(OBJECT_PREFIX);
 		if (strcmp(q->method, "GET") == 0)
-			get(q, a, path);
+			handle_get(q, a, path);
 		else if (strcmp(q->method, "PUT") == 0)
-			put(q, a, path);
+			handle_put(q, a, path);
 		else if (strcmp(q->method, "DELETE") == 0) {
 			o = find(path);
 			if (o != NULL)
 				o->version = 0;
 		}
 	} else if (strncmp(q->path, "/v1/list/", 9) == 0)
-		list(a, q->path + 9);
+		handle_list(a, q->path + 9);
 	else if (strcmp(q->path, "/v1/hosts") == 0) {
 		n_list++;
 		str_set(&a->body, hosts.p == NULL ? "" : hosts.p, hosts.n);
@@ -220,7 +221,7 @@
 
 /* Sets faults or the list of hosts, and answers with the call counts. */
 static void
-control(const struct web_req *q, struct web_ans *a)
+handle_control(const struct web_request *q, struct web_answer *a)
 {
 	const char *s;
 	char text[256];
@@ -230,13 +231,14 @@
 	if (strcmp(q->path, "/hosts") == 0)
 		str_set(&hosts, q->body.p == NULL ? "" : q->body.p, q->body.n);
 	else if (strcmp(q->path, "/fault") == 0) {
-		down = (int)web_num(web_arg(q, "down"), down);
-		slow_ms = (int)web_num(web_arg(q, "slow_ms"), slow_ms);
-		lose = (int)web_num(web_arg(q, "lose"), lose);
+		down = (int)web_parse_number(web_arg(q, "down"), down);
+		slow_ms = (int)web_parse_number(web_arg(q, "slow_ms"), slow_ms);
+		lose_answers =
+		    (int)web_parse_number(web_arg(q, "lose"), lose_answers);
 		if ((s = web_arg(q, "path")) != NULL)
 			snprintf(lose_path, sizeof(lose_path), "%s", s);
 		if ((s = web_arg(q, "cut")) != NULL)
-			snprintf(cut, sizeof(cut), ",%s,", s);
+			snprintf(cut_hosts, sizeof(cut_hosts), ",%s,", s);
 		pthread_cond_broadcast(&changed);
 	}
 	n = snprintf(text, sizeof(text),
@@ -249,6 +251,7 @@
 int
 main(int argc, char **argv)
 {
-	return (web_pair(argc, argv, "Stand-in for the platform's object API",
-	    serve, control));
+	return (
+	    web_run_pair(argc, argv, "Stand-in for the platform's object API",
+		handle_call, handle_control));
 }
--- a/standin/server.c
+++ b/standin/server.c
@@ -22,18 +22,18 @@
 #include "clock.h"
 #include "web.h"
 
-#define KEYS 65536
+#define KEY_COUNT 65536
 
-static long long fence[KEYS];
-static usec until[KEYS];
-static int busy[KEYS];
+static long long fence[KEY_COUNT];
+static usec held_until[KEY_COUNT];
+static int key_runs[KEY_COUNT];
 static int running, waiting;
 static unsigned long ran;
 static pthread_mutex_t lock = PTHREAD_MUTEX_INITIALIZER;
-static pthread_cond_t freed = PTHREAD_COND_INITIALIZER;
+static pthread_cond_t run_ended = PTHREAD_COND_INITIALIZER;
 
 static int slots = 2;
-static int places = 8;
+static int queue_max = 8;
 static int work_ms = 5;
 static int keyed;
 static const char *listen_addr;
@@ -42,15 +42,15 @@
 static FILE *journal;
 
 /* Faults, set by /_fault. */
-static int lose_answers; /* number of runs without an answer */
-static int cut_answers;	 /* number of answers with a truncated body */
-static int foreign;	 /* answers with another request's id */
-static int late_grants;	 /* applies grants so many ms late, without an answer */
-static int fail;	 /* answers 500 */
-static int refuse;	 /* number of requests refused as if full */
-static double limit;	 /* rate limit stated in answers, but not in failures,
-			    in requests per second; 0 is none */
-static int reset_new;	 /* closes new connections without an answer */
+static int lose_answers;     /* number of runs without an answer */
+static int truncate_answers; /* number of answers with a truncated body */
+static int wrong_ids;	     /* answers with another request's id */
+static int grant_delay_ms;   /* applies grants late, without an answer */
+static int fail_all;	     /* answers 500 */
+static int refusals_left;    /* number of requests refused as if full */
+static double rate_limit;    /* stated in answers, but not in failures; in
+				 requests per second, 0 is none */
+static int reset_new;	     /* closes new connections without an answer */
 
 static const struct argp_option options[] = {
     {"listen", 'l', "IP:PORT", 0, "Address to serve", 0},
@@ -65,7 +65,7 @@
 
 /* Parses one option. */
 static error_t
-parse(int key, char *arg, struct argp_state *st)
+parse_option(int key, char *arg, struct argp_state *st)
 {
 	switch (key) {
 	case 'l':
@@ -102,11 +102,11 @@
 	return (0);
 }
 
-static const struct argp argp = {
-    options, parse, NULL, "Stand-in for a target of the platform", 0, 0, 0};
+static const struct argp argp = {options, parse_option, NULL,
+    "Stand-in for a target of the platform", 0, 0, 0};
 
 /* Writes a line to the journal. */
-#define NOTE(...)                                                              \
+#define JOURNAL(...)                                                           \
 	do {                                                                   \
 		if (journal != NULL)                                           \
 			fprintf(journal, __VA_ARGS__);                         \
@@ -114,16 +114,16 @@
 
 /* Answers that the request was not executed. */
 static void
-not_run(struct web_ans *a, int status, const char *why)
+reply_not_run(struct web_answer *a, int status, const char *why)
 {
 	a->status = status;
-	web_add(a, "X-Not-Executed", "1");
+	web_add_header(a, "X-Not-Executed", "1");
 	str_set(&a->body, why, strlen(why));
 }
 
 /* Applies a grant and returns the HTTP status; the lock is held. */
 static int
-grant_now(long from, long to, long long f, usec end)
+apply_grant(long from, long to, long long f, usec end)
 {
 	long k;
 
@@ -133,10 +133,10 @@
 	}
 	for (k = from; k <= to; k++) {
 		fence[k] = f;
-		if (until[k] < end)
-			until[k] = end;
+		if (held_until[k] < end)
+			held_until[k] = end;
 	}
-	NOTE("grant %ld %ld %lld %lld %lld\n", from, to, f,
+	JOURNAL("grant %ld %ld %lld %lld %lld\n", from, to, f,
 	    (long long)clock_mono(), (long long)end);
 	return (200);
 }
@@ -146,7 +146,7 @@
  * the process was paused, but the hold time of a grant starts at its arrival.
  */
 static usec
-arrived(const struct web_req *q)
+arrival_time(const struct web_request *q)
 {
 	const union MHD_ConnectionInfo *c =
 	    MHD_get_connection_info(q->conn, MHD_CONNECTION_INFO_CONNECTION_FD);
@@ -160,41 +160,42 @@
 
 /* Handles a grant or a release; a release waits for the runs of its keys. */
 static void
-take_order(const struct web_req *q, struct web_ans *a, int release)
+handle_order(const struct web_request *q, struct web_answer *a, int release)
 {
 	json_t *o = json_loadb(q->body.p, q->body.n, 0, NULL);
 	const char *hold = json_string_value(json_object_get(o, "hold_time"));
 	long from = (long)json_integer_value(json_object_get(o, "from")), k;
 	long to = (long)json_integer_value(json_object_get(o, "target"));
 	long long f = json_integer_value(json_object_get(o, "fence"));
-	usec end = arrived(q) + MS(hold == NULL ? 0 : atoi(hold));
-	int late;
+	usec end = arrival_time(q) + MS(hold == NULL ? 0 : atoi(hold));
+	int delay_ms;
 
 	json_decref(o);
-	if (o == NULL || from < 0 || to >= KEYS || (!release && hold == NULL)) {
+	if (o == NULL || from < 0 || to >= KEY_COUNT ||
+	    (!release && hold == NULL)) {
 		a->status = 400;
 		return;
 	}
 	pthread_mutex_lock(&lock);
-	late = late_grants;
+	delay_ms = grant_delay_ms;
 	pthread_mutex_unlock(&lock);
-	if (!release && late > 0) {
-		usleep((unsigned)late * 1000);
+	if (!release && delay_ms > 0) {
+		usleep((unsigned)delay_ms * 1000);
 		a->drop = 1;
 	}
 	pthread_mutex_lock(&lock);
 	if (!release)
-		a->status = grant_now(from, to, f, end);
+		a->status = apply_grant(from, to, f, end);
 	else {
-		NOTE("release %ld %ld %lld %lld 0\n", from, to, f,
+		JOURNAL("release %ld %ld %lld %lld 0\n", from, to, f,
 		    (long long)clock_mono());
 		for (k = from; k <= to; k++)
-			until[k] = 0;
+			held_until[k] = 0;
 		for (k = from; k <= to; k++) {
-			while (busy[k] > 0)
-				pthread_cond_wait(&freed, &lock);
+			while (key_runs[k] > 0)
+				pthread_cond_wait(&run_ended, &lock);
 		}
-		web_add(a, "X-Handover", "token");
+		web_add_header(a, "X-Handover", "token");
 	}
 	pthread_mutex_unlock(&lock);
 }
@@ -202,13 +203,13 @@
 /* Waits for a slot; returns 0, or -1 if the queue is full.  The lock is
  * held. */
 static int
-take_slot(void)
+acquire_slot(void)
 {
-	if (running >= slots && waiting >= places)
+	if (running >= slots && waiting >= queue_max)
 		return (-1);
 	waiting++;
 	while (running >= slots)
-		pthread_cond_wait(&freed, &lock);
+		pthread_cond_wait(&run_ended, &lock);
 	waiting--;
 	running++;
 	return (0);
@@ -216,77 +217,78 @@
 
 /* Runs an accepted request; the lock is held. */
 static void
-run(const struct web_req *q, struct web_ans *a, long key)
+run(const struct web_request *q, struct web_answer *a, long key)
 {
-	const char *id = web_head(q, "X-Request-Id");
+	const char *id = web_header(q, "X-Request-Id");
 	char text[600], load[32], rate[32];
-	const char *to = foreign ? "another" : id; /* id in the answer */
+	const char *to = wrong_ids ? "another" : id; /* id in the answer */
 	int n;
 
 	ran++;
 	if (key >= 0)
-		busy[key]++;
-	NOTE("run %ld %lld %s %s\n", key, (long long)clock_mono(),
+		key_runs[key]++;
+	JOURNAL("run %ld %lld %s %s\n", key, (long long)clock_mono(),
 	    id == NULL ? "-" : id, q->method);
 	pthread_mutex_unlock(&lock);
 	usleep((unsigned)work_ms * 1000);
 	pthread_mutex_lock(&lock);
 	if (crash_on != NULL && strstr(q->path, crash_on) != NULL) {
-		NOTE("crash %lld\n", (long long)clock_mono());
+		JOURNAL("crash %lld\n", (long long)clock_mono());
 		_exit(1);
 	}
 	if (key >= 0)
-		busy[key]--;
+		key_runs[key]--;
 	running--;
-	pthread_cond_broadcast(&freed);
+	pthread_cond_broadcast(&run_ended);
 	snprintf(load, sizeof(load), "%d,%d,%d", running, waiting, slots);
 	n = snprintf(text, sizeof(text), "%s %s %s %.*s\n", name, q->path,
 	    to == NULL ? "-" : to, (int)(q->body.n < 100 ? q->body.n : 100),
 	    q->body.p == NULL ? "" : q->body.p);
 	str_set(&a->body, text, (size_t)n);
-	a->status = fail ? 500 : 200;
-	web_add(a, "X-Request-Id", to);
-	web_add(a, "X-Response-Signature", name);
-	web_add(a, "X-Server-Load", load);
-	if (limit > 0 && !fail) {
-		snprintf(rate, sizeof(rate), "%.2f", limit);
-		web_add(a, "Server-Limit", rate);
+	a->status = fail_all ? 500 : 200;
+	web_add_header(a, "X-Request-Id", to);
+	web_add_header(a, "X-Response-Signature", name);
+	web_add_header(a, "X-Server-Load", load);
+	if (rate_limit > 0 && !fail_all) {
+		snprintf(rate, sizeof(rate), "%.2f", rate_limit);
+		web_add_header(a, "Server-Limit", rate);
 	}
 	if (lose_answers > 0) {
 		lose_answers--;
 		a->drop = 1;
 	}
-	if (cut_answers > 0) {
-		cut_answers--;
-		a->cut_at = (size_t)n / 2;
+	if (truncate_answers > 0) {
+		truncate_answers--;
+		a->truncate_at = (size_t)n / 2;
 	}
 }
 
 /* Handles a request. */
 static void
-take_request(const struct web_req *q, struct web_ans *a)
+handle_request(const struct web_request *q, struct web_answer *a)
 {
-	const char *want = web_head(q, "X-Expected-Instance");
-	const char *id = web_head(q, "X-Request-Id");
-	long key = web_num(web_head(q, "X-Shard-Key"), -1);
+	const char *want = web_header(q, "X-Expected-Instance");
+	const char *id = web_header(q, "X-Request-Id");
+	long key = web_parse_number(web_header(q, "X-Shard-Key"), -1);
 
 	if (want != NULL && strcmp(want, name) != 0) {
-		web_add(a, "X-Instance-Id", name);
-		not_run(a, 421, "another\n");
+		web_add_header(a, "X-Instance-Id", name);
+		reply_not_run(a, 421, "another\n");
 		return;
 	}
 	pthread_mutex_lock(&lock);
-	NOTE("came %lld %s\n", (long long)clock_mono(), id == NULL ? "-" : id);
-	if (reset_new && q->nth == 1) {
+	JOURNAL(
+	    "came %lld %s\n", (long long)clock_mono(), id == NULL ? "-" : id);
+	if (reset_new && q->request_number == 1) {
 		a->drop = 1;
-	} else if (refuse > 0) {
-		refuse--;
-		not_run(a, 503, "full\n");
+	} else if (refusals_left > 0) {
+		refusals_left--;
+		reply_not_run(a, 503, "full\n");
 	} else if (keyed &&
-	    (key < 0 || key >= KEYS || until[key] <= clock_mono()))
-		not_run(a, 421, "not held\n");
-	else if (take_slot() != 0)
-		not_run(a, 503, "full\n");
+	    (key < 0 || key >= KEY_COUNT || held_until[key] <= clock_mono()))
+		reply_not_run(a, 421, "not held\n");
+	else if (acquire_slot() != 0)
+		reply_not_run(a, 503, "full\n");
 	else
 		run(q, a, key);
 	pthread_mutex_unlock(&lock);
@@ -294,21 +296,26 @@
 
 /* Sets faults, and answers with the number of requests that ran. */
 static void
-set_fault(const struct web_req *q, struct web_ans *a)
+set_faults(const struct web_request *q, struct web_answer *a)
 {
 	char text[64];
 	int n;
 
 	pthread_mutex_lock(&lock);
-	lose_answers = (int)web_num(web_arg(q, "lose"), lose_answers);
-	cut_answers = (int)web_num(web_arg(q, "cut"), cut_answers);
-	foreign = (int)web_num(web_arg(q, "foreign"), foreign);
-	late_grants = (int)web_num(web_arg(q, "late"), late_grants);
-	fail = (int)web_num(web_arg(q, "fail"), fail);
-	refuse = (int)web_num(web_arg(q, "refuse"), refuse);
-	reset_new = (int)web_num(web_arg(q, "reset_new"), reset_new);
-	work_ms = (int)web_num(web_arg(q, "work"), work_ms);
-	limit = web_num(web_arg(q, "limit"), (long)(limit * 100)) / 100.0;
+	lose_answers = (int)web_parse_number(web_arg(q, "lose"), lose_answers);
+	truncate_answers =
+	    (int)web_parse_number(web_arg(q, "cut"), truncate_answers);
+	wrong_ids = (int)web_parse_number(web_arg(q, "foreign"), wrong_ids);
+	grant_delay_ms =
+	    (int)web_parse_number(web_arg(q, "late"), grant_delay_ms);
+	fail_all = (int)web_parse_number(web_arg(q, "fail"), fail_all);
+	refusals_left =
+	    (int)web_parse_number(web_arg(q, "refuse"), refusals_left);
+	reset_new = (int)web_parse_number(web_arg(q, "reset_new"), reset_new);
+	work_ms = (int)web_parse_number(web_arg(q, "work"), work_ms);
+	rate_limit =
+	    web_parse_number(web_arg(q, "limit"), (long)(rate_limit * 100)) /
+	    100.0;
 	n = snprintf(text, sizeof(text), "%lu\n", ran);
 	pthread_mutex_unlock(&lock);
 	str_set(&a->body, text, (size_t)n);
@@ -316,16 +323,16 @@
 
 /* Handles any call. */
 static void
-on_call(const struct web_req *q, struct web_ans *a)
+handle_call(const struct web_request *q, struct web_answer *a)
 {
 	if (strcmp(q->path, "/_fault") == 0)
-		set_fault(q, a);
+		set_faults(q, a);
 	else if (strcmp(q->path, "/grant") == 0)
-		take_order(q, a, 0);
+		handle_order(q, a, 0);
 	else if (strcmp(q->path, "/release") == 0)
-		take_order(q, a, 1);
+		handle_order(q, a, 1);
 	else
-		take_request(q, a);
+		handle_request(q, a);
 }
 
 int
@@ -333,7 +340,7 @@
 {
 	argp_parse(&argp, argc, argv, 0, NULL, NULL);
 	signal(SIGPIPE, SIG_IGN);
-	if (web_start(listen_addr, on_call) == NULL)
+	if (web_start(listen_addr, handle_call) == NULL)
 		errx(1, "cannot listen on %s", listen_addr);
 	for (;;)
 		pause();
--- a/standin/store.c
+++ b/standin/store.c
@@ -16,16 +16,16 @@
 #define PREFIX "/objects/"
 #define MAX_OBJECTS 1000
 #define MAX_EVENTS 20000
-#define NAME_AREA 160
+#define NAME_SIZE 160
 
 struct object {
-	char kind[NAME_AREA];
-	char name[NAME_AREA];
+	char kind[NAME_SIZE];
+	char name[NAME_SIZE];
 	json_t *value; /* the whole object; NULL if deleted */
 };
 
 struct event {
-	char kind[NAME_AREA];
+	char kind[NAME_SIZE];
 	json_int_t revision;
 	int deleted;
 	json_t *object;
@@ -36,16 +36,16 @@
 static struct event events[MAX_EVENTS];
 static int nevents;
 static json_int_t revision = 1;
-static json_int_t forgotten; /* events up to this revision are compacted */
+static json_int_t compacted; /* events up to this revision are compacted */
 static pthread_mutex_t lock = PTHREAD_MUTEX_INITIALIZER;
 static pthread_cond_t changed = PTHREAD_COND_INITIALIZER;
 
 /* Faults, set through the control address. */
-static int down;       /* answers 503 */
-static int silent;     /* closes connections after 3 s without an answer */
-static int slow_ms;    /* delay of each answer */
-static int lose;       /* number of writes that take effect without an answer */
-static int page = 500; /* objects per page of a list */
+static int down;	    /* answers 503 */
+static int silent;	    /* closes connections after 3 s without an answer */
+static int slow_ms;	    /* delay of each answer */
+static int lose_answers;    /* number of writes to apply without an answer */
+static int page_size = 500; /* objects per page of a list */
 static unsigned long reads, writes, watches;
 
 /* Finds an existing object, or returns NULL; the lock is held. */
@@ -65,7 +65,7 @@
 
 /* Answers with JSON. */
 static void
-give(struct web_ans *a, json_t *o)
+reply_json(struct web_answer *a, json_t *o)
 {
 	char *text = json_dumps(o, JSON_COMPACT);
 
@@ -83,7 +83,7 @@
 
 /* Records a change for watches; the lock is held. */
 static void
-note(const char *kind, json_t *o, int deleted)
+add_event(const char *kind, json_t *o, int deleted)
 {
 	struct event *e;
 
@@ -99,7 +99,7 @@
 
 /* Sets an object's metadata with a new revision; the lock is held. */
 static void
-stamp(json_t *o, const char *name)
+set_metadata(json_t *o, const char *name)
 {
 	json_object_set_new(o, "metadata",
 	    json_pack("{s:s,s:I,s:[],s:b}", "name", name, "revision",
@@ -108,109 +108,110 @@
 
 /* Creates an object; the lock is held. */
 static void
-create(struct web_ans *a, const char *kind, json_t *o)
+create_object(struct web_answer *a, const char *kind, json_t *o)
 {
 	const char *name = json_string_value(
 	    json_object_get(json_object_get(o, "metadata"), "name"));
-	struct object *have;
+	struct object *existing;
 
 	if (name == NULL) {
 		a->status = 400;
 		return;
 	}
-	have = find(kind, name);
-	if (have != NULL) {
+	existing = find(kind, name);
+	if (existing != NULL) {
 		a->status = 409;
-		give(a, have->value);
+		reply_json(a, existing->value);
 		return;
 	}
 	if (nobjects == MAX_OBJECTS)
 		errx(1, "too many objects");
-	have = &objects[nobjects++];
-	snprintf(have->kind, sizeof(have->kind), "%s", kind);
-	snprintf(have->name, sizeof(have->name), "%s", name);
-	have->value = json_deep_copy(o);
-	stamp(have->value, have->name);
-	note(kind, have->value, 0);
-	give(a, have->value);
+	existing = &objects[nobjects++];
+	snprintf(existing->kind, sizeof(existing->kind), "%s", kind);
+	snprintf(existing->name, sizeof(existing->name), "%s", name);
+	existing->value = json_deep_copy(o);
+	set_metadata(existing->value, existing->name);
+	add_event(kind, existing->value, 0);
+	reply_json(a, existing->value);
 }
 
 /* Replaces an object if the writer gives its current revision, or none. */
 static void
-replace(struct web_ans *a, const char *kind, const char *name, json_t *o)
+replace_object(
+    struct web_answer *a, const char *kind, const char *name, json_t *o)
 {
-	struct object *have = find(kind, name);
-	json_int_t want = revision_of(o);
+	struct object *existing = find(kind, name);
+	json_int_t expected = revision_of(o);
 
-	if (have == NULL) {
+	if (existing == NULL) {
 		a->status = 404;
 		return;
 	}
-	if (want != 0 && want != revision_of(have->value)) {
+	if (expected != 0 && expected != revision_of(existing->value)) {
 		a->status = 409;
-		give(a, have->value);
+		reply_json(a, existing->value);
 		return;
 	}
 	if (!json_equal(json_object_get(o, "spec"),
-		json_object_get(have->value, "spec")) ||
+		json_object_get(existing->value, "spec")) ||
 	    json_object_get(o, "status") != NULL) {
-		json_object_update(have->value, o);
-		stamp(have->value, name);
-		note(kind, have->value, 0);
+		json_object_update(existing->value, o);
+		set_metadata(existing->value, name);
+		add_event(kind, existing->value, 0);
 	}
-	give(a, have->value);
+	reply_json(a, existing->value);
 }
 
 /* Deletes an object; the lock is held. */
 static void
-take_away(struct web_ans *a, const char *kind, const char *name)
+delete_object(struct web_answer *a, const char *kind, const char *name)
 {
-	struct object *have = find(kind, name);
+	struct object *existing = find(kind, name);
 
-	if (have == NULL) {
+	if (existing == NULL) {
 		a->status = 404;
 		return;
 	}
-	stamp(have->value, name);
-	note(kind, have->value, 1);
-	give(a, have->value);
-	json_decref(have->value);
-	have->value = NULL;
+	set_metadata(existing->value, name);
+	add_event(kind, existing->value, 1);
+	reply_json(a, existing->value);
+	json_decref(existing->value);
+	existing->value = NULL;
 }
 
 /* Lists one page of the objects of a kind, by name, starting after a name;
  * the lock is held. */
 static void
-list(struct web_ans *a, const char *kind, const char *after)
+list_objects(struct web_answer *a, const char *kind, const char *after)
 {
 	json_t *items = json_array(), *o;
-	const char *best, *last = after == NULL ? "" : after;
+	const char *next, *last = after == NULL ? "" : after;
 	int i, n, more = 0;
 
 	for (n = 0;; n++) {
-		best = NULL;
+		next = NULL;
 		for (i = 0; i < nobjects; i++) {
 			if (objects[i].value != NULL &&
 			    strcmp(objects[i].kind, kind) == 0 &&
 			    strcmp(objects[i].name, last) > 0 &&
-			    (best == NULL || strcmp(objects[i].name, best) < 0))
-				best = objects[i].name;
+			    (next == NULL || strcmp(objects[i].name, next) < 0))
+				next = objects[i].name;
 		}
-		more = best != NULL && n == page;
-		if (best == NULL || more)
+		more = next != NULL && n == page_size;
+		if (next == NULL || more)
 			break;
-		json_array_append(items, find(kind, best)->value);
-		last = best;
+		json_array_append(items, find(kind, next)->value);
+		last = next;
 	}
 	o = json_pack("{s:o,s:b,s:I}", "items", items, "has_more", more,
 	    "current_rev", revision);
-	give(a, o);
+	reply_json(a, o);
 	json_decref(o);
 }
 
 /* Returns the changes of a kind after a revision; the lock is held. */
 static json_t *
-changes(const char *kind, json_int_t after)
+events_after(const char *kind, json_int_t after)
 {
 	json_t *all = json_array();
 	int i;
@@ -227,19 +228,20 @@
 
 /* Waits for changes of a kind; the lock is held. */
 static void
-watch(struct web_ans *a, const char *kind, json_int_t after, long wait_ms)
+watch_kind(
+    struct web_answer *a, const char *kind, json_int_t after, long wait_ms)
 {
 	struct timespec until;
 	json_t *all, *o;
 
 	watches++;
-	web_until(&until, wait_ms);
+	web_deadline(&until, wait_ms);
 	for (;;) {
-		if (after < forgotten) {
+		if (after < compacted) {
 			a->status = 410;
 			return;
 		}
-		all = changes(kind, after);
+		all = events_after(kind, after);
 		if (json_array_size(all) > 0 || down || silent ||
 		    pthread_cond_timedwait(&changed, &lock, &until) != 0)
 			break;
@@ -251,117 +253,119 @@
 		return;
 	}
 	o = json_pack("{s:o,s:I}", "events", all, "current_rev", revision);
-	give(a, o);
+	reply_json(a, o);
 	json_decref(o);
 }
 
 /* Splits a path into kind and name, which is "" if missing. */
 static void
-split(const char *path, char *kind, char *name)
+parse_path(const char *path, char *kind, char *name)
 {
 	const char *slash;
 
 	path += strlen(PREFIX);
 	slash = strchr(path, '/');
-	snprintf(kind, NAME_AREA, "%.*s",
+	snprintf(kind, NAME_SIZE, "%.*s",
 	    slash == NULL ? (int)strlen(path) : (int)(slash - path), path);
-	snprintf(name, NAME_AREA, "%s", slash == NULL ? "" : slash + 1);
+	snprintf(name, NAME_SIZE, "%s", slash == NULL ? "" : slash + 1);
 }
 
 /* Handles a read; the lock is held. */
 static void
-read_one(const struct web_req *q, struct web_ans *a, const char *kind,
+handle_read(const struct web_request *q, struct web_answer *a, const char *kind,
     const char *name)
 {
 	struct object *o;
 
 	if (web_arg(q, "watch") != NULL) {
-		watch(a, kind, web_num(web_arg(q, "watch"), 0),
-		    web_num(web_arg(q, "wait_ms"), 0));
+		watch_kind(a, kind, web_parse_number(web_arg(q, "watch"), 0),
+		    web_parse_number(web_arg(q, "wait_ms"), 0));
 		return;
 	}
 	reads++;
 	if (name[0] == '\0')
-		list(a, kind, web_arg(q, "after"));
+		list_objects(a, kind, web_arg(q, "after"));
 	else if ((o = find(kind, name)) == NULL)
 		a->status = 404;
 	else
-		give(a, o->value);
+		reply_json(a, o->value);
 }
 
 /* Handles a write; the lock is held. */
 static void
-write_one(const struct web_req *q, struct web_ans *a, const char *kind,
-    const char *name)
+handle_write(const struct web_request *q, struct web_answer *a,
+    const char *kind, const char *name)
 {
 	json_t *o =
 	    json_loadb(q->body.p == NULL ? "" : q->body.p, q->body.n, 0, NULL);
 
 	writes++;
 	if (strcmp(q->method, "DELETE") == 0)
-		take_away(a, kind, name);
+		delete_object(a, kind, name);
 	else if (o == NULL)
 		a->status = 400;
 	else if (strcmp(q->method, "POST") == 0)
-		create(a, kind, o);
+		create_object(a, kind, o);
 	else
-		replace(a, kind, name, o);
+		replace_object(a, kind, name, o);
 	json_decref(o);
-	if (lose > 0) {
-		lose--;
+	if (lose_answers > 0) {
+		lose_answers--;
 		a->drop = 1;
 	}
 }
 
 /* Handles a call of the object API. */
 static void
-on_call(const struct web_req *q, struct web_ans *a)
+handle_call(const struct web_request *q, struct web_answer *a)
 {
-	char kind[NAME_AREA], name[NAME_AREA];
-	int wait;
+	char kind[NAME_SIZE], name[NAME_SIZE];
+	int delay_ms;
 
 	if (strncmp(q->path, PREFIX, strlen(PREFIX)) != 0) {
 		a->status = 404;
 		return;
 	}
-	split(q->path, kind, name);
+	parse_path(q->path, kind, name);
 	pthread_mutex_lock(&lock);
-	wait = silent ? 3000 : slow_ms;
+	delay_ms = silent ? 3000 : slow_ms;
 	a->drop = silent;
 	if (down)
 		a->status = 503;
 	else if (!silent && strcmp(q->method, "GET") == 0)
-		read_one(q, a, kind, name);
+		handle_read(q, a, kind, name);
 	else if (!silent)
-		write_one(q, a, kind, name);
+		handle_write(q, a, kind, name);
 	pthread_mutex_unlock(&lock);
-	if (wait > 0)
-		usleep((unsigned)wait * 1000);
+	if (delay_ms > 0)
+		usleep((unsigned)delay_ms * 1000);
 }
 
 /* Compacts the history: a watch from an older revision fails with 410. */
 static void
 compact(void)
 {
-	forgotten = revision;
+	compacted = revision;
 	pthread_cond_broadcast(&changed);
 }
 
 /* Sets faults, and answers with the call counts. */
 static void
-on_control(const struct web_req *q, struct web_ans *a)
+handle_control(const struct web_request *q, struct web_answer *a)
 {
 	char text[200];
 	int n;
 
 	pthread_mutex_lock(&lock);
 	if (strcmp(q->path, "/fault") == 0) {
-		down = (int)web_num(web_arg(q, "down"), down);
-		silent = (int)web_num(web_arg(q, "silent"), silent);
-		slow_ms = (int)web_num(web_arg(q, "slow"), slow_ms);
-		lose = (int)web_num(web_arg(q, "lose"), lose);
-		page = (int)web_num(web_arg(q, "page"), page);
-		if (web_num(web_arg(q, "compact"), 0))
+		down = (int)web_parse_number(web_arg(q, "down"), down);
+		silent = (int)web_parse_number(web_arg(q, "silent"), silent);
+		slow_ms = (int)web_parse_number(web_arg(q, "slow"), slow_ms);
+		lose_answers =
+		    (int)web_parse_number(web_arg(q, "lose"), lose_answers);
+		page_size =
+		    (int)web_parse_number(web_arg(q, "page"), page_size);
+		if (web_parse_number(web_arg(q, "compact"), 0))
 			compact();
 		pthread_cond_broadcast(&changed);
 	}
@@ -374,6 +378,7 @@
 int
 main(int argc, char **argv)
 {
-	return (web_pair(argc, argv, "Stand-in for the platform's object store",
-	    on_call, on_control));
+	return (
+	    web_run_pair(argc, argv, "Stand-in for the platform's object store",
+		handle_call, handle_control));
 }
--- a/standin/target.c
+++ b/standin/target.c
@@ -34,10 +34,10 @@
 
 static struct service services[MAX_SERVICES];
 static int nservices;
-static usec until; /* expiry of the grant, by own_clock */
-static json_int_t top_epoch;
-static json_int_t top_seq;
-static usec clock_shift; /* own_clock minus the machine's clock */
+static usec grant_until; /* expiry of the grant, by own_clock */
+static json_int_t highest_epoch;
+static json_int_t highest_seq;
+static usec clock_offset; /* own_clock minus the machine's clock */
 static long boot;
 static struct run running[MAX_RUNNING];
 static int nrunning;
@@ -48,14 +48,14 @@
 static int work_ms = 2;
 static int unchecked;
 static int fail_all;
-static int lie_load = -1; /* load to report instead of the real one */
-static int cut_answers;	  /* truncates bodies */
-static int draining;	  /* 1 reports that it is leaving, 2 also refuses */
+static int false_load = -1;  /* load to report instead of the real one */
+static int truncate_answers; /* truncates bodies */
+static int draining;	     /* 1 reports that it is leaving, 2 also refuses */
 static const char *listen_addr;
 static const char *name = "target";
 static FILE *journal;
 static pthread_mutex_t lock = PTHREAD_MUTEX_INITIALIZER;
-static pthread_cond_t wake = PTHREAD_COND_INITIALIZER;
+static pthread_cond_t run_cancelled = PTHREAD_COND_INITIALIZER;
 
 static const struct argp_option options[] = {
     {"listen", 'l', "IP:PORT", 0, "Address to serve", 0},
@@ -69,7 +69,7 @@
 
 /* Parses one option. */
 static error_t
-parse(int key, char *arg, struct argp_state *st)
+parse_option(int key, char *arg, struct argp_state *st)
 {
 	switch (key) {
 	case 'l':
@@ -104,18 +104,18 @@
 }
 
 static const struct argp argp = {
-    options, parse, NULL, "Stand-in for a target", 0, 0, 0};
+    options, parse_option, NULL, "Stand-in for a target", 0, 0, 0};
 
 /* This server's own clock, which has another origin in each process. */
 static usec
 own_clock(void)
 {
-	return (clock_mono() + clock_shift);
+	return (clock_mono() + clock_offset);
 }
 
 /* Finds or adds a service; the lock is held. */
 static struct service *
-service(const char *s)
+find_service(const char *s)
 {
 	int i;
 
@@ -135,7 +135,8 @@
  * journals of all targets can be compared.
  */
 static void
-note(const char *fmt, const char *s, long shard, json_int_t fence, usec at)
+write_journal(
+    const char *fmt, const char *s, long shard, json_int_t fence, usec at)
 {
 	if (journal != NULL)
 		fprintf(
@@ -145,19 +146,20 @@
 /* Drops all shards, as of the grant's expiry, if it has expired; the lock is
  * held. */
 static void
-lapse(void)
+expire_grant(void)
 {
 	int k;
 	long n;
 
-	if (until > own_clock())
+	if (grant_until > own_clock())
 		return;
 	for (k = 0; k < nservices; k++) {
 		for (n = 0; n < MAX_SHARDS; n++) {
 			if (services[k].fence[n] == 0)
 				continue;
-			note("drop %s %ld %lld %lld\n", services[k].name, n,
-			    services[k].fence[n], until - clock_shift);
+			write_journal("drop %s %ld %lld %lld\n",
+			    services[k].name, n, services[k].fence[n],
+			    grant_until - clock_offset);
 			services[k].fence[n] = 0;
 		}
 	}
@@ -165,16 +167,16 @@
 
 /* Replaces the owned shards by those of a grant; the lock is held. */
 static void
-take_shards(json_t *all, usec now)
+replace_shards(json_t *all, usec now)
 {
 	json_t *one, *set;
 	const char *s;
 	struct service *v;
-	json_int_t *want;
+	json_int_t *new_fence;
 	size_t i, n;
 	int k;
 
-	want = calloc(MAX_SHARDS, sizeof(*want));
+	new_fence = calloc(MAX_SHARDS, sizeof(*new_fence));
 	for (k = 0; k < nservices; k++) {
 		if (json_object_get(all, services[k].name) == NULL)
 			json_object_set_new(
@@ -182,34 +184,34 @@
 	}
 	json_object_foreach(all, s, set)
 	{
-		v = service(s);
-		memset(want, 0, MAX_SHARDS * sizeof(*want));
+		v = find_service(s);
+		memset(new_fence, 0, MAX_SHARDS * sizeof(*new_fence));
 		json_array_foreach(set, i, one)
 		{
 			n = (size_t)json_integer_value(json_array_get(one, 0));
 			if (n < MAX_SHARDS)
-				want[n] =
+				new_fence[n] =
 				    json_integer_value(json_array_get(one, 1));
 		}
 		for (n = 0; n < MAX_SHARDS; n++) {
-			if (want[n] == v->fence[n])
+			if (new_fence[n] == v->fence[n])
 				continue;
 			if (v->fence[n] != 0)
-				note("drop %s %ld %lld %lld\n", s, (long)n,
-				    v->fence[n], now);
-			if (want[n] != 0)
-				note("hold %s %ld %lld %lld\n", s, (long)n,
-				    want[n], now);
-			v->fence[n] = want[n];
+				write_journal("drop %s %ld %lld %lld\n", s,
+				    (long)n, v->fence[n], now);
+			if (new_fence[n] != 0)
+				write_journal("hold %s %ld %lld %lld\n", s,
+				    (long)n, new_fence[n], now);
+			v->fence[n] = new_fence[n];
 		}
 	}
-	free(want);
+	free(new_fence);
 }
 
 /* Handles a grant or renewal; refuses one of an older epoch or sequence number,
  * or that has expired. */
 static void
-grant(const struct web_req *q, struct web_ans *a)
+handle_grant(const struct web_request *q, struct web_answer *a)
 {
 	json_t *j, *all;
 	json_int_t epoch, seq;
@@ -230,19 +232,20 @@
 	if (new_until <= own_clock() && new_until != 0)
 		a->status = 410;
 	else if (!unchecked &&
-	    (epoch < top_epoch || (epoch == top_epoch && seq <= top_seq)))
+	    (epoch < highest_epoch ||
+		(epoch == highest_epoch && seq <= highest_seq)))
 		a->status = 409;
-	else if (all == NULL && until <= own_clock())
+	else if (all == NULL && grant_until <= own_clock())
 		a->status = 410;
 	else {
-		lapse();
+		expire_grant();
 		if (all != NULL)
-			take_shards(all, now);
-		top_epoch = epoch;
-		top_seq = seq;
-		until = new_until;
-		note("until %s %ld %lld %lld\n", "-", 0L, 0,
-		    until - clock_shift);
+			replace_shards(all, now);
+		highest_epoch = epoch;
+		highest_seq = seq;
+		grant_until = new_until;
+		write_journal("until %s %ld %lld %lld\n", "-", 0L, 0,
+		    grant_until - clock_offset);
 	}
 	json_decref(j);
 	n = snprintf(text, sizeof(text),
@@ -255,26 +258,26 @@
 static int
 owns(const char *s, long shard, long long fence)
 {
-	struct service *v = service(s);
+	struct service *v = find_service(s);
 
-	return (shard >= 0 && shard < MAX_SHARDS && until > own_clock() &&
+	return (shard >= 0 && shard < MAX_SHARDS && grant_until > own_clock() &&
 	    v->fence[shard] != 0 && v->fence[shard] == fence);
 }
 
 /* Answers that a request was not run. */
 static void
-refuse(struct web_ans *a, int status, const char *why)
+reply_not_run(struct web_answer *a, int status, const char *why)
 {
 	a->status = status;
-	a->head_name = "Gspar-Outcome";
-	a->head_value = "not_run";
+	a->header_name = "Gspar-Outcome";
+	a->header_value = "not_run";
 	str_set(&a->body, why, strlen(why));
 }
 
 /* Waits for the time of a run, or until it is cancelled; returns true if it
  * was.  The lock is held. */
 static int
-work(struct run *r, int ms)
+wait_run(struct run *r, int ms)
 {
 	struct timespec ts;
 	usec end;
@@ -283,7 +286,8 @@
 	ts.tv_sec = end / US_PER_SEC;
 	ts.tv_nsec = end % US_PER_SEC * 1000;
 	while (!r->cancelled) {
-		if (pthread_cond_timedwait(&wake, &lock, &ts) == ETIMEDOUT)
+		if (pthread_cond_timedwait(&run_cancelled, &lock, &ts) ==
+		    ETIMEDOUT)
 			break;
 	}
 	return (r->cancelled);
@@ -291,7 +295,7 @@
 
 /* Finds a free entry for a run, or NULL; the lock is held. */
 static struct run *
-place(void)
+find_free_run(void)
 {
 	int i;
 
@@ -304,39 +308,39 @@
 
 /* Handles a request: /run/SERVICE/KEY[/REST]; the lock is held. */
 static void
-run(const struct web_req *q, struct web_ans *a)
+handle_run(const struct web_request *q, struct web_answer *a)
 {
 	char s[64], key[300], text[1024];
-	const char *id, *echo;
+	const char *id, *idkey;
 	long shard, ms, size;
 	long long fence, deadline;
 	struct run *r;
 	usec from;
-	int n, stopped;
+	int n, cancelled_early;
 
 	if (sscanf(q->path, "/%*[^/]/%63[^/]/%299[^/]", s, key) != 2) {
 		a->status = 404;
 		return;
 	}
-	id = web_head(q, "Gspar-Id");
-	shard = web_num(web_head(q, "Gspar-Shard"), -1);
-	fence = web_num(web_head(q, "Gspar-Fence"), 0);
-	deadline = web_num(web_head(q, "Gspar-Deadline"), 0);
-	ms = web_num(web_arg(q, "work"), work_ms);
-	size = web_num(web_arg(q, "size"), 0);
-	echo = web_head(q, "Idempotency-Key");
+	id = web_header(q, "Gspar-Id");
+	shard = web_parse_number(web_header(q, "Gspar-Shard"), -1);
+	fence = web_parse_number(web_header(q, "Gspar-Fence"), 0);
+	deadline = web_parse_number(web_header(q, "Gspar-Deadline"), 0);
+	ms = web_parse_number(web_arg(q, "work"), work_ms);
+	size = web_parse_number(web_arg(q, "size"), 0);
+	idkey = web_header(q, "Idempotency-Key");
 	if (!unchecked && !owns(s, shard, fence)) {
-		refuse(a, 409, "not mine\n");
+		reply_not_run(a, 409, "not mine\n");
 		return;
 	}
 	if (deadline != 0 && deadline <= own_clock()) {
-		refuse(a, 504, "too late\n");
+		reply_not_run(a, 504, "too late\n");
 		return;
 	}
-	r = place();
+	r = find_free_run();
 	if (nrunning >= slots || r == NULL || draining == 2) {
 		shed++;
-		refuse(a, 503, "busy\n");
+		reply_not_run(a, 503, "busy\n");
 		return;
 	}
 	from = clock_mono();
@@ -345,21 +349,22 @@
 	nrunning++;
 	if (journal != NULL)
 		fprintf(journal, "start %s %ld %lld %lld %s %s\n", s, shard,
-		    fence, (long long)from, key, echo == NULL ? "-" : echo);
-	stopped = work(r, (int)ms);
+		    fence, (long long)from, key, idkey == NULL ? "-" : idkey);
+	cancelled_early = wait_run(r, (int)ms);
 	nrunning--;
 	r->id[0] = '\0';
 	ran++;
 	if (journal != NULL)
 		fprintf(journal, "end %s %ld %lld %lld %s %s %s\n", s, shard,
 		    fence, (long long)clock_mono(), key,
-		    echo == NULL ? "-" : echo, stopped ? "cancelled" : "done");
+		    idkey == NULL ? "-" : idkey,
+		    cancelled_early ? "cancelled" : "done");
 	if (fail_all) {
 		a->status = 500;
 		return;
 	}
 	n = snprintf(text, sizeof(text), "%s %s %s %s %ld\n", name, s, key,
-	    echo == NULL ? "-" : echo, size);
+	    idkey == NULL ? "-" : idkey, size);
 	str_set(&a->body, text, (size_t)n);
 	while (size > 0) {
 		n = size > 1000 ? 1000 : (int)size;
@@ -367,13 +372,13 @@
 		str_add(&a->body, text, (size_t)n);
 		size -= n;
 	}
-	if (cut_answers)
-		a->cut_at = a->body.n / 2;
+	if (truncate_answers)
+		a->truncate_at = a->body.n / 2;
 }
 
 /* Cancels a run by its id; answers 404 if there is none. */
 static void
-cancel(const struct web_req *q, struct web_ans *a)
+handle_cancel(const struct web_request *q, struct web_answer *a)
 {
 	const char *id = web_arg(q, "id");
 	int i;
@@ -383,45 +388,46 @@
 		if (strcmp(running[i].id, id) != 0)
 			continue;
 		running[i].cancelled = 1;
-		pthread_cond_broadcast(&wake);
+		pthread_cond_broadcast(&run_cancelled);
 		a->status = 200;
 	}
 }
 
 /* Answers with the load, or with the false one that was set. */
 static void
-load(struct web_ans *a)
+reply_load(struct web_answer *a)
 {
 	char text[128];
 	int n;
 
 	n = snprintf(text, sizeof(text),
 	    "{\"running\":%d,\"slots\":%d,\"ran\":%lu,\"shed\":%lu}\n",
-	    lie_load >= 0 ? lie_load : nrunning, slots, ran, shed);
+	    false_load >= 0 ? false_load : nrunning, slots, ran, shed);
 	str_set(&a->body, text, (size_t)n);
 }
 
 /* Sets faults. */
 static void
-fault(const struct web_req *q)
+set_faults(const struct web_request *q)
 {
-	fail_all = (int)web_num(web_arg(q, "fail"), fail_all);
-	lie_load = (int)web_num(web_arg(q, "lie"), lie_load);
-	work_ms = (int)web_num(web_arg(q, "work"), work_ms);
-	cut_answers = (int)web_num(web_arg(q, "cut"), cut_answers);
-	draining = (int)web_num(web_arg(q, "drain"), draining);
+	fail_all = (int)web_parse_number(web_arg(q, "fail"), fail_all);
+	false_load = (int)web_parse_number(web_arg(q, "lie"), false_load);
+	work_ms = (int)web_parse_number(web_arg(q, "work"), work_ms);
+	truncate_answers =
+	    (int)web_parse_number(web_arg(q, "cut"), truncate_answers);
+	draining = (int)web_parse_number(web_arg(q, "drain"), draining);
 }
 
 /* Handles any call. */
 static void
-serve(const struct web_req *q, struct web_ans *a)
+handle_call(const struct web_request *q, struct web_answer *a)
 {
 	char text[160];
 	int n;
 
 	pthread_mutex_lock(&lock);
 	if (strcmp(q->path, "/grant") == 0)
-		grant(q, a);
+		handle_grant(q, a);
 	else if (strcmp(q->path, "/clock") == 0) {
 		n = snprintf(text, sizeof(text),
 		    "{\"clock\":%lld,\"boot\":%ld,\"leaving\":%s}",
@@ -429,13 +435,13 @@
 		str_set(&a->body, text, (size_t)n);
 	} else if (strncmp(q->path, "/run/", 5) == 0 ||
 	    strncmp(q->path, "/v1/", 4) == 0)
-		run(q, a);
+		handle_run(q, a);
 	else if (strcmp(q->path, "/cancel") == 0)
-		cancel(q, a);
+		handle_cancel(q, a);
 	else if (strcmp(q->path, "/load") == 0)
-		load(a);
+		reply_load(a);
 	else if (strcmp(q->path, "/fault") == 0)
-		fault(q);
+		set_faults(q);
 	else
 		a->status = 404;
 	pthread_mutex_unlock(&lock);
@@ -451,13 +457,13 @@
 	signal(SIGPIPE, SIG_IGN);
 	srandom((unsigned)(clock_wall() ^ getpid()));
 	boot = random() % 1000000 + 1;
-	clock_shift = (random() % 1000) * US_PER_SEC;
+	clock_offset = (random() % 1000) * US_PER_SEC;
 	sigemptyset(&set);
 	sigaddset(&set, SIGTERM);
 	sigaddset(&set, SIGINT);
 	pthread_sigmask(SIG_BLOCK, &set, NULL);
-	note("boot %s %ld %lld %lld\n", "-", 0L, 0, clock_mono());
-	if (web_start(listen_addr, serve) == NULL)
+	write_journal("boot %s %ld %lld %lld\n", "-", 0L, 0, clock_mono());
+	if (web_start(listen_addr, handle_call) == NULL)
 		errx(1, "cannot listen on %s", listen_addr);
 	sigwait(&set, &sig);
 	_exit(0);
--- a/standin/web.c
+++ b/standin/web.c
@@ -10,14 +10,14 @@
 #include "conf.h"
 #include "web.h"
 
-struct cut {
+struct truncated_body {
 	struct str body;
-	size_t at;
+	size_t end;
 };
 
 /* Returns a query argument of the request, or NULL. */
 const char *
-web_arg(const struct web_req *q, const char *name)
+web_arg(const struct web_request *q, const char *name)
 {
 	return (
 	    MHD_lookup_connection_value(q->conn, MHD_GET_ARGUMENT_KIND, name));
@@ -25,21 +25,21 @@
 
 /* Returns a header of the request, or NULL. */
 const char *
-web_head(const struct web_req *q, const char *name)
+web_header(const struct web_request *q, const char *name)
 {
 	return (MHD_lookup_connection_value(q->conn, MHD_HEADER_KIND, name));
 }
 
 /* Parses a number; returns other if s is NULL. */
 long
-web_num(const char *s, long other)
+web_parse_number(const char *s, long other)
 {
 	return (s == NULL ? other : strtol(s, NULL, 10));
 }
 
 /* Sets the time ms milliseconds from now, for pthread_cond_timedwait. */
 void
-web_until(struct timespec *until, long ms)
+web_deadline(struct timespec *until, long ms)
 {
 	clock_gettime(CLOCK_REALTIME, until);
 	until->tv_sec += ms / 1000;
@@ -50,40 +50,41 @@
 	}
 }
 
-/* Adds a header to an answer, unless value is NULL or WEB_HEADS are set. */
+/* Adds a header to an answer; does nothing if value is NULL or there are
+ * WEB_HEADERS_MAX. */
 void
-web_add(struct web_ans *a, const char *name, const char *value)
+web_add_header(struct web_answer *a, const char *name, const char *value)
 {
-	if (value == NULL || a->nheads == WEB_HEADS)
+	if (value == NULL || a->nheaders == WEB_HEADERS_MAX)
 		return;
-	a->heads[a->nheads].name = name;
-	snprintf(
-	    a->heads[a->nheads].value, sizeof(a->heads[0].value), "%s", value);
-	a->nheads++;
+	a->headers[a->nheaders].name = name;
+	snprintf(a->headers[a->nheaders].value, sizeof(a->headers[0].value),
+	    "%s", value);
+	a->nheaders++;
 }
 
 /* Returns the first bytes of a body and then fails, as a crashing server
  * does. */
 static ssize_t
-read_cut(void *arg, uint64_t pos, char *buf, size_t max)
+read_truncated(void *arg, uint64_t pos, char *buf, size_t max)
 {
-	struct cut *c = arg;
+	struct truncated_body *c = arg;
 	size_t n;
 
-	if (pos >= c->at)
+	if (pos >= c->end)
 		return (MHD_CONTENT_READER_END_WITH_ERROR);
-	n = c->at - (size_t)pos;
+	n = c->end - (size_t)pos;
 	if (n > max)
 		n = max;
 	memcpy(buf, c->body.p + pos, n);
 	return ((ssize_t)n);
 }
 
-/* Frees the argument of read_cut. */
+/* Frees the argument of read_truncated. */
 static void
-free_cut(void *arg)
+free_truncated(void *arg)
 {
-	struct cut *c = arg;
+	struct truncated_body *c = arg;
 
 	str_free(&c->body);
 	free(c);
@@ -91,28 +92,29 @@
 
 /* Converts an answer to a libmicrohttpd response; takes over its body. */
 static struct MHD_Response *
-respond(struct web_ans *a)
+respond(struct web_answer *a)
 {
 	struct MHD_Response *r;
-	struct cut *c;
+	struct truncated_body *c;
 	int i;
 
-	if (a->cut_at > 0 && a->cut_at < a->body.n) {
+	if (a->truncate_at > 0 && a->truncate_at < a->body.n) {
 		c = calloc(1, sizeof(*c));
 		c->body = a->body;
-		c->at = a->cut_at;
+		c->end = a->truncate_at;
 		r = MHD_create_response_from_callback(
-		    a->body.n, 4096, read_cut, c, free_cut);
+		    a->body.n, 4096, read_truncated, c, free_truncated);
 	} else {
 		r = MHD_create_response_from_buffer(
 		    a->body.n, a->body.p, MHD_RESPMEM_MUST_FREE);
 	}
 	if (a->version[0] != '\0')
 		MHD_add_response_header(r, "Version", a->version);
-	if (a->head_name != NULL)
-		MHD_add_response_header(r, a->head_name, a->head_value);
-	for (i = 0; i < a->nheads; i++)
-		MHD_add_response_header(r, a->heads[i].name, a->heads[i].value);
+	if (a->header_name != NULL)
+		MHD_add_response_header(r, a->header_name, a->header_value);
+	for (i = 0; i < a->nheaders; i++)
+		MHD_add_response_header(
+		    r, a->headers[i].name, a->headers[i].value);
 	return (r);
 }
 
@@ -141,15 +143,15 @@
 
 /* Collects the body, then calls the stand-in's handler. */
 static enum MHD_Result
-handle(void *cls, struct MHD_Connection *conn, const char *url,
+on_request(void *cls, struct MHD_Connection *conn, const char *url,
     const char *method, const char *version, const char *data, size_t *size,
     void **state)
 {
-	struct web_req *q = *state;
-	struct web_ans a = {.status = 200};
+	struct web_request *q = *state;
+	struct web_answer a = {.status = 200};
 	struct MHD_Response *r;
 	enum MHD_Result res;
-	web_fn fn = *(web_fn *)cls;
+	web_handler fn = *(web_handler *)cls;
 
 	if (q == NULL) {
 		*state = calloc(1, sizeof(*q));
@@ -161,7 +163,7 @@
 		return (MHD_YES);
 	}
 	q->conn = conn;
-	q->nth = count_request(conn);
+	q->request_number = count_request(conn);
 	q->method = method;
 	q->path = url;
 	fn(q, &a);
@@ -179,10 +181,10 @@
 
 /* Frees the request when libmicrohttpd has finished with it. */
 static void
-done(void *cls, struct MHD_Connection *conn, void **state,
+on_completed(void *cls, struct MHD_Connection *conn, void **state,
     enum MHD_RequestTerminationCode why)
 {
-	struct web_req *q = *state;
+	struct web_request *q = *state;
 
 	if (q == NULL)
 		return;
@@ -193,24 +195,24 @@
 
 /* Serves fn on "IP:PORT"; returns NULL if the address is invalid or in use. */
 struct MHD_Daemon *
-web_start(const char *addr, web_fn fn)
+web_start(const char *addr, web_handler fn)
 {
 	struct sockaddr_in sin = {.sin_family = AF_INET};
 	char ip[ADDR_MAX_GS];
-	web_fn *keep;
+	web_handler *fn_copy;
 	int port;
 
 	if (addr_split(addr, ip, sizeof(ip), &port) != 0)
 		return (NULL);
 	inet_pton(AF_INET, ip, &sin.sin_addr);
 	sin.sin_port = htons((uint16_t)port);
-	keep = malloc(sizeof(*keep));
-	*keep = fn;
+	fn_copy = malloc(sizeof(*fn_copy));
+	*fn_copy = fn;
 	return (MHD_start_daemon(MHD_USE_THREAD_PER_CONNECTION |
 		MHD_USE_INTERNAL_POLLING_THREAD | MHD_USE_POLL,
-	    (uint16_t)port, NULL, NULL, handle, keep, MHD_OPTION_SOCK_ADDR,
-	    &sin, MHD_OPTION_LISTENING_ADDRESS_REUSE, 1u,
-	    MHD_OPTION_NOTIFY_COMPLETED, done, NULL,
+	    (uint16_t)port, NULL, NULL, on_request, fn_copy,
+	    MHD_OPTION_SOCK_ADDR, &sin, MHD_OPTION_LISTENING_ADDRESS_REUSE, 1u,
+	    MHD_OPTION_NOTIFY_COMPLETED, on_completed, NULL,
 	    MHD_OPTION_NOTIFY_CONNECTION, on_connection, NULL,
 	    MHD_OPTION_CONNECTION_LIMIT, 2000u, MHD_OPTION_END));
 }
@@ -253,7 +255,8 @@
 /* Main function of a stand-in with two addresses: parses its arguments and
  * serves until SIGTERM or SIGINT. */
 int
-web_pair(int argc, char **argv, const char *doc, web_fn data, web_fn control)
+web_run_pair(int argc, char **argv, const char *doc, web_handler data,
+    web_handler control)
 {
 	const struct argp argp = {pair_options, pair_parse, NULL, doc, 0, 0, 0};
 	struct pair p = {NULL, NULL};
--- a/standin/web.h
+++ b/standin/web.h
@@ -8,44 +8,44 @@
 
 #include "str.h"
 
-/* Maximum of headers that web_add can add to an answer. */
-#define WEB_HEADS 6
+/* Maximum of headers that web_add_header can add to an answer. */
+#define WEB_HEADERS_MAX 6
 
-struct web_req {
+struct web_request {
 	struct MHD_Connection *conn;
-	int nth; /* number on its connection, from 1; 0 if unknown */
+	int request_number; /* number on its connection, from 1; 0 if unknown */
 	const char *method;
 	const char *path;
 	struct str body;
 };
 
-struct web_ans {
+struct web_answer {
 	int status;
 	struct str body;
 	char version[32];
-	const char *head_name;
-	const char *head_value;
+	const char *header_name;
+	const char *header_value;
 	struct {
 		const char *name;
 		char value[128];
-	} heads[WEB_HEADS];
-	int nheads;
+	} headers[WEB_HEADERS_MAX];
+	int nheaders;
 	/* Close the connection without an answer. */
 	int drop;
 	/* If not 0, end the body after so many bytes, before its
 	 * Content-Length. */
-	size_t cut_at;
+	size_t truncate_at;
 };
 
-typedef void (*web_fn)(const struct web_req *, struct web_ans *);
+typedef void (*web_handler)(const struct web_request *, struct web_answer *);
 
-struct MHD_Daemon *web_start(const char *addr, web_fn);
-int web_pair(
-    int argc, char **argv, const char *doc, web_fn data, web_fn control);
-const char *web_arg(const struct web_req *, const char *);
-const char *web_head(const struct web_req *, const char *);
-void web_add(struct web_ans *, const char *name, const char *value);
-long web_num(const char *, long);
-void web_until(struct timespec *, long ms);
+struct MHD_Daemon *web_start(const char *addr, web_handler);
+int web_run_pair(int argc, char **argv, const char *doc, web_handler data,
+    web_handler control);
+const char *web_arg(const struct web_request *, const char *);
+const char *web_header(const struct web_request *, const char *);
+void web_add_header(struct web_answer *, const char *name, const char *value);
+long web_parse_number(const char *, long);
+void web_deadline(struct timespec *, long ms);
 
 #endif
--- a/standin/wire.c
+++ b/standin/wire.c
@@ -18,9 +18,9 @@
 #include "frame.h"
 #include "web.h"
 
-#define NAME_AREA 1024
+#define PREFIX_SIZE 1024
 /* Maximum of addresses to listen on, each with one to forward to. */
-#define MAX_PAIRS 4
+#define MAX_ROUTES 4
 /* With a rate limit, bytes forwarded at a time, and size of the socket buffers:
  * they are small so that a sender notices a link that is stalled. */
 #define RATED_CHUNK 8192
@@ -29,27 +29,27 @@
 struct link {
 	int fd[2];
 	int silent;
-	unsigned char first[NAME_AREA]; /* first bytes; they name the host */
-	size_t nfirst;
+	unsigned char prefix[PREFIX_SIZE]; /* first bytes; they name the host */
+	size_t nprefix;
 	struct link *next;
 };
 
-struct way {
+struct direction {
 	struct link *link;
 	int from;
 };
 
 static struct link *links;
-static char cut[512];
-static int one_way = -1; /* side whose data is dropped; -1 is both */
+static char cut_hosts[512];
+static int cut_side = -1; /* side whose data is dropped; -1 is both */
 static long delay_ms;
-static int doubles;
+static int duplicate;
 static pthread_mutex_t lock = PTHREAD_MUTEX_INITIALIZER;
-static const char *listen_addr[MAX_PAIRS], *to_addr[MAX_PAIRS];
+static const char *listen_addr[MAX_ROUTES], *to_addr[MAX_ROUTES];
 static const char *control_addr;
 static int nlisten, nto;
 static long rate; /* bytes per second of all connections; 0 is no limit */
-static struct timespec link_free; /* when the link can send the next bytes */
+static struct timespec link_free_at; /* when the link can send the next bytes */
 
 static const struct argp_option options[] = {
     {"listen", 'l', "IP:PORT", 0, "Address to listen on", 0},
@@ -63,16 +63,16 @@
 
 /* Parses one option. */
 static error_t
-parse(int key, char *arg, struct argp_state *st)
+parse_option(int key, char *arg, struct argp_state *st)
 {
 	switch (key) {
 	case 'l':
-		if (nlisten == MAX_PAIRS)
+		if (nlisten == MAX_ROUTES)
 			argp_error(st, "too many addresses");
 		listen_addr[nlisten++] = arg;
 		break;
 	case 't':
-		if (nto == MAX_PAIRS)
+		if (nto == MAX_ROUTES)
 			argp_error(st, "too many addresses");
 		to_addr[nto++] = arg;
 		break;
@@ -83,7 +83,7 @@
 		control_addr = arg;
 		break;
 	case 'd':
-		doubles = 1;
+		duplicate = 1;
 		break;
 	case ARGP_KEY_END:
 		if (nlisten == 0 || nto != nlisten || !control_addr)
@@ -97,11 +97,11 @@
 }
 
 static const struct argp argp = {
-    options, parse, NULL, "Stand-in for the network", 0, 0, 0};
+    options, parse_option, NULL, "Stand-in for the network", 0, 0, 0};
 
 /* Parses "IP:PORT"; exits if it is invalid. */
 static struct sockaddr_in
-address(const char *at)
+parse_address(const char *at)
 {
 	struct sockaddr_in sin = {.sin_family = AF_INET};
 	char ip[ADDR_MAX_GS];
@@ -118,17 +118,17 @@
 static int
 is_cut(const struct link *l)
 {
-	char name[64], agent[96], *word, *rest, list[sizeof(cut)];
+	char name[64], agent[96], *word, *rest, list[sizeof(cut_hosts)];
 
-	memcpy(list, cut, sizeof(cut));
+	memcpy(list, cut_hosts, sizeof(cut_hosts));
 	for (word = strtok_r(list, ",", &rest); word != NULL;
 	     word = strtok_r(NULL, ",", &rest)) {
 		/* Its hello names a host, or its User-Agent header. */
 		snprintf(name, sizeof(name), "%c%s", (int)strlen(word), word);
 		snprintf(agent, sizeof(agent), "User-Agent: %s\r", word);
 		if (strcmp(word, "*") == 0 ||
-		    memmem(l->first, l->nfirst, name, strlen(name)) != NULL ||
-		    memmem(l->first, l->nfirst, agent, strlen(agent)) != NULL)
+		    memmem(l->prefix, l->nprefix, name, strlen(name)) != NULL ||
+		    memmem(l->prefix, l->nprefix, agent, strlen(agent)) != NULL)
 			return (1);
 	}
 	return (0);
@@ -136,17 +136,17 @@
 
 /* Saves the first bytes from the side that connected; the lock is held. */
 static void
-note_first(struct link *l, const char *buf, size_t n)
+save_prefix(struct link *l, const char *buf, size_t n)
 {
-	if (n > NAME_AREA - l->nfirst)
-		n = NAME_AREA - l->nfirst;
-	memcpy(l->first + l->nfirst, buf, n);
-	l->nfirst += n;
+	if (n > PREFIX_SIZE - l->nprefix)
+		n = PREFIX_SIZE - l->nprefix;
+	memcpy(l->prefix + l->nprefix, buf, n);
+	l->nprefix += n;
 }
 
 /* Sends n bytes, several times; returns 0 or -1. */
 static int
-send_times(int fd, const char *p, size_t n, int times)
+send_repeated(int fd, const char *p, size_t n, int times)
 {
 	while (times-- > 0) {
 		if (send(fd, p, n, MSG_NOSIGNAL) != (ssize_t)n)
@@ -160,7 +160,7 @@
  * of a connection; returns the number of bytes forwarded, or -1.
  */
 static ssize_t
-pass_frames(int fd, const char *p, size_t n, int *first)
+forward_frames(int fd, const char *p, size_t n, int *first)
 {
 	size_t at = 0, len;
 
@@ -169,8 +169,8 @@
 			return (-1);
 		if (n - at < FRAME_HEAD + len)
 			break;
-		if (send_times(fd, p + at, FRAME_HEAD + len, *first ? 1 : 2) !=
-		    0)
+		if (send_repeated(
+			fd, p + at, FRAME_HEAD + len, *first ? 1 : 2) != 0)
 			return (-1);
 		*first = 0;
 		at += FRAME_HEAD + len;
@@ -180,9 +180,9 @@
 
 /* Forwards frames in one direction, each twice. */
 static void *
-pass_double(void *arg)
+forward_twice(void *arg)
 {
-	struct way *w = arg;
+	struct direction *w = arg;
 	struct link *l = w->link;
 	char *buf = malloc(FRAME_HEAD + FRAME_MAX);
 	size_t have = 0;
@@ -192,7 +192,7 @@
 	while ((n = recv(l->fd[w->from], buf + have,
 		    FRAME_HEAD + FRAME_MAX - have, 0)) > 0) {
 		have += (size_t)n;
-		n = pass_frames(l->fd[!w->from], buf, have, &first);
+		n = forward_frames(l->fd[!w->from], buf, have, &first);
 		if (n < 0)
 			break;
 		memmove(buf, buf + n, have - (size_t)n);
@@ -206,7 +206,7 @@
 
 /* Waits for the time that the link takes for n bytes. */
 static void
-wait_link(size_t n)
+wait_rate(size_t n)
 {
 	struct timespec now, until;
 
@@ -214,22 +214,23 @@
 		return;
 	pthread_mutex_lock(&lock);
 	clock_gettime(CLOCK_MONOTONIC, &now);
-	if (link_free.tv_sec < now.tv_sec ||
-	    (link_free.tv_sec == now.tv_sec && link_free.tv_nsec < now.tv_nsec))
-		link_free = now;
-	link_free.tv_nsec += (long)((double)n / (double)rate * 1e9);
-	while (link_free.tv_nsec >= 1000000000) {
-		link_free.tv_nsec -= 1000000000;
-		link_free.tv_sec++;
+	if (link_free_at.tv_sec < now.tv_sec ||
+	    (link_free_at.tv_sec == now.tv_sec &&
+		link_free_at.tv_nsec < now.tv_nsec))
+		link_free_at = now;
+	link_free_at.tv_nsec += (long)((double)n / (double)rate * 1e9);
+	while (link_free_at.tv_nsec >= 1000000000) {
+		link_free_at.tv_nsec -= 1000000000;
+		link_free_at.tv_sec++;
 	}
-	until = link_free;
+	until = link_free_at;
 	pthread_mutex_unlock(&lock);
 	clock_nanosleep(CLOCK_MONOTONIC, TIMER_ABSTIME, &until, NULL);
 }
 
 /* Limits the socket buffers of a connection of a link with a rate limit. */
 static void
-bound_buffers(int fd)
+limit_buffers(int fd)
 {
 	int n = RATED_BUFFER;
 
@@ -242,23 +243,23 @@
 /* Forwards bytes in one direction; drops those of silent links and of hosts
  * that are cut off. */
 static void *
-pass(void *arg)
+forward(void *arg)
 {
-	struct way *w = arg;
+	struct direction *w = arg;
 	struct link *l = w->link;
 	char buf[65536];
-	size_t most = rate > 0 ? RATED_CHUNK : sizeof(buf);
+	size_t chunk = rate > 0 ? RATED_CHUNK : sizeof(buf);
 	ssize_t n;
 	long wait;
 	int drop;
 
-	while ((n = recv(l->fd[w->from], buf, most, 0)) > 0) {
-		wait_link((size_t)n);
+	while ((n = recv(l->fd[w->from], buf, chunk, 0)) > 0) {
+		wait_rate((size_t)n);
 		pthread_mutex_lock(&lock);
 		if (w->from == 0)
-			note_first(l, buf, (size_t)n);
+			save_prefix(l, buf, (size_t)n);
 		drop = l->silent ||
-		    (is_cut(l) && (one_way < 0 || one_way == w->from));
+		    (is_cut(l) && (cut_side < 0 || cut_side == w->from));
 		/* A connection that has lost bytes stays silent: its stream
 		 * has a gap for good. */
 		l->silent = drop;
@@ -281,38 +282,38 @@
 
 /* Starts forwarding in one direction. */
 static void
-start(struct link *l, int from)
+start_forwarding(struct link *l, int from)
 {
-	struct way *w = malloc(sizeof(*w));
+	struct direction *w = malloc(sizeof(*w));
 	pthread_t t;
 
 	w->link = l;
 	w->from = from;
-	pthread_create(&t, NULL, doubles ? pass_double : pass, w);
+	pthread_create(&t, NULL, duplicate ? forward_twice : forward, w);
 	pthread_detach(t);
 }
 
 /* A listening socket, and the address to forward its connections to. */
-struct pair {
+struct route {
 	int fd;
 	struct sockaddr_in to;
 };
 
 /* Accepts connections. */
 static void *
-take(void *arg)
+accept_connections(void *arg)
 {
-	const struct pair *p = arg;
-	int fd = p->fd, one;
+	const struct route *p = arg;
+	int fd = p->fd, conn;
 	struct sockaddr_in to = p->to;
 	struct link *l;
 
-	while ((one = accept(fd, NULL, NULL)) >= 0) {
+	while ((conn = accept(fd, NULL, NULL)) >= 0) {
 		l = calloc(1, sizeof(*l));
-		l->fd[0] = one;
+		l->fd[0] = conn;
 		l->fd[1] = socket(AF_INET, SOCK_STREAM, 0);
-		bound_buffers(l->fd[0]);
-		bound_buffers(l->fd[1]);
+		limit_buffers(l->fd[0]);
+		limit_buffers(l->fd[1]);
 		if (connect(l->fd[1], (struct sockaddr *)&to, sizeof(to)) !=
 		    0) {
 			close(l->fd[0]);
@@ -324,15 +325,15 @@
 		l->next = links;
 		links = l;
 		pthread_mutex_unlock(&lock);
-		start(l, 0);
-		start(l, 1);
+		start_forwarding(l, 0);
+		start_forwarding(l, 1);
 	}
 	return (NULL);
 }
 
 /* Resets an open connection, so that both ends notice at once. */
 static void
-reset(const struct link *l)
+reset_link(const struct link *l)
 {
 	struct linger hard = {1, 0};
 	int i;
@@ -351,45 +352,45 @@
  * sends, with way=1 only what the other side sends.
  */
 static void
-control(const struct web_req *q, struct web_ans *a)
+handle_control(const struct web_request *q, struct web_answer *a)
 {
 	const char *s;
 	struct link *l;
 
 	pthread_mutex_lock(&lock);
-	if (web_num(web_arg(q, "silent"), 0)) {
+	if (web_parse_number(web_arg(q, "silent"), 0)) {
 		for (l = links; l != NULL; l = l->next)
 			l->silent = 1;
 	}
-	if (web_num(web_arg(q, "reset"), 0)) {
+	if (web_parse_number(web_arg(q, "reset"), 0)) {
 		for (l = links; l != NULL; l = l->next)
-			reset(l);
+			reset_link(l);
 	}
 	if ((s = web_arg(q, "cut")) != NULL) {
-		snprintf(cut, sizeof(cut), "%s", s);
-		one_way = (int)web_num(web_arg(q, "way"), -1);
+		snprintf(cut_hosts, sizeof(cut_hosts), "%s", s);
+		cut_side = (int)web_parse_number(web_arg(q, "way"), -1);
 	}
-	delay_ms = web_num(web_arg(q, "delay"), delay_ms);
+	delay_ms = web_parse_number(web_arg(q, "delay"), delay_ms);
 	pthread_mutex_unlock(&lock);
 }
 
 /* Listens on an address and forwards its connections. */
 static void
-serve(const char *from, const char *to)
+start_listener(const char *from, const char *to)
 {
-	struct sockaddr_in at = address(from);
-	struct pair *p = calloc(1, sizeof(*p));
+	struct sockaddr_in at = parse_address(from);
+	struct route *p = calloc(1, sizeof(*p));
 	pthread_t t;
 	int on = 1;
 
-	p->to = address(to);
+	p->to = parse_address(to);
 	p->fd = socket(AF_INET, SOCK_STREAM, 0);
 	setsockopt(p->fd, SOL_SOCKET, SO_REUSEADDR, &on, sizeof(on));
-	bound_buffers(p->fd);
+	limit_buffers(p->fd);
 	if (bind(p->fd, (struct sockaddr *)&at, sizeof(at)) != 0 ||
 	    listen(p->fd, 64) != 0)
 		err(1, "%s", from);
-	pthread_create(&t, NULL, take, p);
+	pthread_create(&t, NULL, accept_connections, p);
 }
 
 int
@@ -404,8 +405,8 @@
 	sigaddset(&set, SIGTERM);
 	pthread_sigmask(SIG_BLOCK, &set, NULL);
 	for (i = 0; i < nlisten; i++)
-		serve(listen_addr[i], to_addr[i]);
-	if (web_start(control_addr, control) == NULL)
+		start_listener(listen_addr[i], to_addr[i]);
+	if (web_start(control_addr, handle_control) == NULL)
 		errx(1, "cannot listen on %s", control_addr);
 	sigwait(&set, &sig);
 	_exit(0);
