--- a/standin/wire.c
+++ b/standin/wire.c
@@ -123,7 +123,8 @@
 	memcpy(list, cut_hosts, sizeof(cut_hosts));
 	for (word = strtok_r(list, ",", &rest); word != NULL;
 	     word = strtok_r(NULL, ",", &rest)) {
-		/* Its hello names a host, or its User-Agent header. */
+		/* Hosts name themselves in their hello, or to targets in
+		 * User-Agent. */
 		snprintf(name, sizeof(name), "%c%s", (int)strlen(word), word);
 		snprintf(agent, sizeof(agent), "User-Agent: %s\r", word);
 		if (strcmp(word, "*") == 0 ||
