--- a/standin/wire.c
+++ b/standin/wire.c
@@ -1,8 +1,8 @@
 /*
- * Stand-in for the network between hosts: passes connections on, and on
- * request lets those that are open go silent, or cuts some hosts off.  Can be
- * told to pass each frame twice.  Several ways in and out may share one rate,
- * as all connections of a host share its link.
+ * Stand-in for the network between hosts: a TCP proxy that can silence open
+ * connections, cut hosts off, delay data, and duplicate frames.  Several
+ * listening addresses can share one rate limit, as all connections of a host
+ * share its link.
  */
 #include <argp.h>
 #include <arpa/inet.h>
@@ -18,60 +18,61 @@
 #include "frame.h"
 #include "web.h"
 
-#define NAME_AREA 1024
-/* Addresses to listen on, each with one to pass on to. */
-#define MAX_PAIRS 4
-/* With a rate, so much is passed at a time, and kept by the kernel for either
- * side: a link that stands still is felt by who sends. */
+#define PREFIX_SIZE 1024
+/* Maximum of addresses to listen on, each with one to forward to. */
+#define MAX_ROUTES 4
+/* With a rate limit, bytes forwarded at a time, and size of the socket buffers:
+ * they are small so that a sender notices a link that is stalled. */
 #define RATED_CHUNK 8192
 #define RATED_BUFFER 65536
 
 struct link {
 	int fd[2];
 	int silent;
-	unsigned char first[NAME_AREA]; /* the hello names the host */
-	size_t nfirst;
+	unsigned char prefix[PREFIX_SIZE]; /* first bytes; they name the host */
+	size_t nprefix;
 	struct link *next;
 };
 
-struct way {
+struct direction {
 	struct link *link;
 	int from;
 };
 
 static struct link *links;
-static char cut[512];
-static int one_way = -1; /* only what comes from this side is swallowed */
+static char cut_hosts[512];
+static int cut_side = -1; /* side whose data is dropped; -1 is both */
 static long delay_ms;
-static int doubles;
+static int duplicate;
 static pthread_mutex_t lock = PTHREAD_MUTEX_INITIALIZER;
-static const char *listen_addr[MAX_PAIRS], *to_addr[MAX_PAIRS];
+static const char *listen_addr[MAX_ROUTES], *to_addr[MAX_ROUTES];
 static const char *control_addr;
 static int nlisten, nto;
-static long rate; /* bytes a second over all connections; 0 is no bound */
-static struct timespec link_free; /* when the link has passed all before */
+static long rate; /* bytes per second of all connections; 0 is no limit */
+static struct timespec link_free_at; /* when the link can send the next bytes */
 
 static const struct argp_option options[] = {
-    {"listen", 'l', "IP:PORT", 0, "Address to take connections on", 0},
-    {"to", 't', "IP:PORT", 0, "Address to pass them on to", 0},
-    {"rate", 'r', "BYTES", 0, "Pass so many a second, all ways together", 0},
+    {"listen", 'l', "IP:PORT", 0, "Address to listen on", 0},
+    {"to", 't', "IP:PORT", 0, "Address to forward to", 0},
+    {"rate", 'r', "BYTES", 0, "Limit of all connections together, per second",
+	0},
     {"control", 'c', "IP:PORT", 0, "Address for faults", 0},
-    {"double", 'd', NULL, 0, "Pass each frame twice, but for the hello", 0},
+    {"double", 'd', NULL, 0, "Send each frame twice, except for the hello", 0},
     {0},
 };
 
-/* Reads one option. */
+/* Parses one option. */
 static error_t
-parse(int key, char *arg, struct argp_state *st)
+parse_option(int key, char *arg, struct argp_state *st)
 {
 	switch (key) {
 	case 'l':
-		if (nlisten == MAX_PAIRS)
+		if (nlisten == MAX_ROUTES)
 			argp_error(st, "too many addresses");
 		listen_addr[nlisten++] = arg;
 		break;
 	case 't':
-		if (nto == MAX_PAIRS)
+		if (nto == MAX_ROUTES)
 			argp_error(st, "too many addresses");
 		to_addr[nto++] = arg;
 		break;
@@ -82,11 +83,12 @@
 		control_addr = arg;
 		break;
 	case 'd':
-		doubles = 1;
+		duplicate = 1;
 		break;
 	case ARGP_KEY_END:
 		if (nlisten == 0 || nto != nlisten || !control_addr)
-			argp_error(st, "all three addresses are needed");
+			argp_error(st,
+			    "--control is required, and a --to for each --listen");
 		break;
 	default:
 		return (ARGP_ERR_UNKNOWN);
@@ -95,56 +97,57 @@
 }
 
 static const struct argp argp = {
-    options, parse, NULL, "Stand-in for the network", 0, 0, 0};
+    options, parse_option, NULL, "Stand-in for the network", 0, 0, 0};
 
-/* Reads "IP:PORT". */
+/* Parses "IP:PORT"; exits if it is invalid. */
 static struct sockaddr_in
-address(const char *at)
+parse_address(const char *at)
 {
 	struct sockaddr_in sin = {.sin_family = AF_INET};
 	char ip[ADDR_MAX_GS];
 	int port;
 
 	if (addr_split(at, ip, sizeof(ip), &port) != 0)
-		errx(1, "bad address %s", at);
+		errx(1, "invalid address %s", at);
 	inet_pton(AF_INET, ip, &sin.sin_addr);
 	sin.sin_port = htons((uint16_t)port);
 	return (sin);
 }
 
-/* True where the link is of a host that is cut off; lock held. */
+/* True if the link is one of a host that is cut off; the lock is held. */
 static int
 is_cut(const struct link *l)
 {
-	char name[64], agent[96], *word, *rest, list[sizeof(cut)];
+	char name[64], agent[96], *word, *rest, list[sizeof(cut_hosts)];
 
-	memcpy(list, cut, sizeof(cut));
+	memcpy(list, cut_hosts, sizeof(cut_hosts));
 	for (word = strtok_r(list, ",", &rest); word != NULL;
 	     word = strtok_r(NULL, ",", &rest)) {
-		/* A host is named in its hello, or to targets by HTTP. */
+		/* Hosts name themselves in their hello, or to targets in
+		 * User-Agent. */
 		snprintf(name, sizeof(name), "%c%s", (int)strlen(word), word);
 		snprintf(agent, sizeof(agent), "User-Agent: %s\r", word);
 		if (strcmp(word, "*") == 0 ||
-		    memmem(l->first, l->nfirst, name, strlen(name)) != NULL ||
-		    memmem(l->first, l->nfirst, agent, strlen(agent)) != NULL)
+		    memmem(l->prefix, l->nprefix, name, strlen(name)) != NULL ||
+		    memmem(l->prefix, l->nprefix, agent, strlen(agent)) != NULL)
 			return (1);
 	}
 	return (0);
 }
 
-/* Notes the first bytes from the side that opened the link; lock held. */
+/* Saves the first bytes from the side that connected; the lock is held. */
 static void
-note_first(struct link *l, const char *buf, size_t n)
+save_prefix(struct link *l, const char *buf, size_t n)
 {
-	if (n > NAME_AREA - l->nfirst)
-		n = NAME_AREA - l->nfirst;
-	memcpy(l->first + l->nfirst, buf, n);
-	l->nfirst += n;
+	if (n > PREFIX_SIZE - l->nprefix)
+		n = PREFIX_SIZE - l->nprefix;
+	memcpy(l->prefix + l->nprefix, buf, n);
+	l->nprefix += n;
 }
 
-/* Sends bytes, n times. */
+/* Sends n bytes, several times; returns 0 or -1. */
 static int
-send_times(int fd, const char *p, size_t n, int times)
+send_repeated(int fd, const char *p, size_t n, int times)
 {
 	while (times-- > 0) {
 		if (send(fd, p, n, MSG_NOSIGNAL) != (ssize_t)n)
@@ -154,11 +157,11 @@
 }
 
 /*
- * Passes on the whole frames among n bytes, each twice but for the first of a
- * connection; gives how many bytes were passed, or -1.
+ * Forwards the complete frames among n bytes, each twice except for the first
+ * of a connection; returns the number of bytes forwarded, or -1.
  */
 static ssize_t
-pass_frames(int fd, const char *p, size_t n, int *first)
+forward_frames(int fd, const char *p, size_t n, int *first)
 {
 	size_t at = 0, len;
 
@@ -167,8 +170,8 @@
 			return (-1);
 		if (n - at < FRAME_HEAD + len)
 			break;
-		if (send_times(fd, p + at, FRAME_HEAD + len, *first ? 1 : 2) !=
-		    0)
+		if (send_repeated(
+			fd, p + at, FRAME_HEAD + len, *first ? 1 : 2) != 0)
 			return (-1);
 		*first = 0;
 		at += FRAME_HEAD + len;
@@ -176,11 +179,11 @@
 	return ((ssize_t)at);
 }
 
-/* Passes frames one way, each twice. */
+/* Forwards frames in one direction, each twice. */
 static void *
-pass_double(void *arg)
+forward_twice(void *arg)
 {
-	struct way *w = arg;
+	struct direction *w = arg;
 	struct link *l = w->link;
 	char *buf = malloc(FRAME_HEAD + FRAME_MAX);
 	size_t have = 0;
@@ -190,7 +193,7 @@
 	while ((n = recv(l->fd[w->from], buf + have,
 		    FRAME_HEAD + FRAME_MAX - have, 0)) > 0) {
 		have += (size_t)n;
-		n = pass_frames(l->fd[!w->from], buf, have, &first);
+		n = forward_frames(l->fd[!w->from], buf, have, &first);
 		if (n < 0)
 			break;
 		memmove(buf, buf + n, have - (size_t)n);
@@ -202,9 +205,9 @@
 	return (NULL);
 }
 
-/* Waits until the link has passed n more bytes. */
+/* Waits for the time that the link takes for n bytes. */
 static void
-wait_link(size_t n)
+wait_rate(size_t n)
 {
 	struct timespec now, until;
 
@@ -212,22 +215,23 @@
 		return;
 	pthread_mutex_lock(&lock);
 	clock_gettime(CLOCK_MONOTONIC, &now);
-	if (link_free.tv_sec < now.tv_sec ||
-	    (link_free.tv_sec == now.tv_sec && link_free.tv_nsec < now.tv_nsec))
-		link_free = now;
-	link_free.tv_nsec += (long)((double)n / (double)rate * 1e9);
-	while (link_free.tv_nsec >= 1000000000) {
-		link_free.tv_nsec -= 1000000000;
-		link_free.tv_sec++;
+	if (link_free_at.tv_sec < now.tv_sec ||
+	    (link_free_at.tv_sec == now.tv_sec &&
+		link_free_at.tv_nsec < now.tv_nsec))
+		link_free_at = now;
+	link_free_at.tv_nsec += (long)((double)n / (double)rate * 1e9);
+	while (link_free_at.tv_nsec >= 1000000000) {
+		link_free_at.tv_nsec -= 1000000000;
+		link_free_at.tv_sec++;
 	}
-	until = link_free;
+	until = link_free_at;
 	pthread_mutex_unlock(&lock);
 	clock_nanosleep(CLOCK_MONOTONIC, TIMER_ABSTIME, &until, NULL);
 }
 
-/* Bounds what the kernel keeps of a rated link's connection. */
+/* Limits the socket buffers of a connection of a link with a rate limit. */
 static void
-bound_buffers(int fd)
+limit_buffers(int fd)
 {
 	int n = RATED_BUFFER;
 
@@ -237,26 +241,28 @@
 	setsockopt(fd, SOL_SOCKET, SO_SNDBUF, &n, sizeof(n));
 }
 
-/* Passes bytes one way; what is silent or cut is swallowed. */
+/* Forwards bytes in one direction; drops those of silent links and of hosts
+ * that are cut off. */
 static void *
-pass(void *arg)
+forward(void *arg)
 {
-	struct way *w = arg;
+	struct direction *w = arg;
 	struct link *l = w->link;
 	char buf[65536];
-	size_t most = rate > 0 ? RATED_CHUNK : sizeof(buf);
+	size_t chunk = rate > 0 ? RATED_CHUNK : sizeof(buf);
 	ssize_t n;
 	long wait;
 	int drop;
 
-	while ((n = recv(l->fd[w->from], buf, most, 0)) > 0) {
-		wait_link((size_t)n);
+	while ((n = recv(l->fd[w->from], buf, chunk, 0)) > 0) {
+		wait_rate((size_t)n);
 		pthread_mutex_lock(&lock);
 		if (w->from == 0)
-			note_first(l, buf, (size_t)n);
+			save_prefix(l, buf, (size_t)n);
 		drop = l->silent ||
-		    (is_cut(l) && (one_way < 0 || one_way == w->from));
-		/* A connection that lost bytes can never be whole again. */
+		    (is_cut(l) && (cut_side < 0 || cut_side == w->from));
+		/* A connection that has lost bytes stays silent: its stream
+		 * has a gap for good. */
 		l->silent = drop;
 		wait = delay_ms;
 		pthread_mutex_unlock(&lock);
@@ -275,40 +281,40 @@
 	return (NULL);
 }
 
-/* Starts passing one way. */
+/* Starts forwarding in one direction. */
 static void
-start(struct link *l, int from)
+start_forwarding(struct link *l, int from)
 {
-	struct way *w = malloc(sizeof(*w));
+	struct direction *w = malloc(sizeof(*w));
 	pthread_t t;
 
 	w->link = l;
 	w->from = from;
-	pthread_create(&t, NULL, doubles ? pass_double : pass, w);
+	pthread_create(&t, NULL, duplicate ? forward_twice : forward, w);
 	pthread_detach(t);
 }
 
-/* An address that connections are taken on, and where they are passed to. */
-struct pair {
+/* A listening socket, and the address to forward its connections to. */
+struct route {
 	int fd;
 	struct sockaddr_in to;
 };
 
-/* Takes connections in. */
+/* Accepts connections. */
 static void *
-take(void *arg)
+accept_connections(void *arg)
 {
-	const struct pair *p = arg;
-	int fd = p->fd, one;
+	const struct route *p = arg;
+	int fd = p->fd, conn;
 	struct sockaddr_in to = p->to;
 	struct link *l;
 
-	while ((one = accept(fd, NULL, NULL)) >= 0) {
+	while ((conn = accept(fd, NULL, NULL)) >= 0) {
 		l = calloc(1, sizeof(*l));
-		l->fd[0] = one;
+		l->fd[0] = conn;
 		l->fd[1] = socket(AF_INET, SOCK_STREAM, 0);
-		bound_buffers(l->fd[0]);
-		bound_buffers(l->fd[1]);
+		limit_buffers(l->fd[0]);
+		limit_buffers(l->fd[1]);
 		if (connect(l->fd[1], (struct sockaddr *)&to, sizeof(to)) !=
 		    0) {
 			close(l->fd[0]);
@@ -320,15 +326,15 @@
 		l->next = links;
 		links = l;
 		pthread_mutex_unlock(&lock);
-		start(l, 0);
-		start(l, 1);
+		start_forwarding(l, 0);
+		start_forwarding(l, 1);
 	}
 	return (NULL);
 }
 
-/* Resets an open connection: both ends learn of it at once. */
+/* Resets an open connection, so that both ends notice at once. */
 static void
-reset(const struct link *l)
+reset_link(const struct link *l)
 {
 	struct linger hard = {1, 0};
 	int i;
@@ -340,48 +346,52 @@
 	}
 }
 
-/* Sets faults: silent=1 for open links; reset=1 for them; delay=MS for all
- * bytes; cut=NAME,... or * or nothing, and way=0 or 1 for one side alone. */
+/*
+ * Sets faults: silent=1 drops the data of all open links, reset=1 resets them,
+ * delay=MS delays all data, and cut=HOST,... drops the data of these hosts (*
+ * is all hosts, empty is none): with way=0 only what the side that connected
+ * sends, with way=1 only what the other side sends.
+ */
 static void
-control(const struct web_req *q, struct web_ans *a)
+handle_control(const struct web_request *q, struct web_answer *a)
 {
 	const char *s;
 	struct link *l;
 
 	pthread_mutex_lock(&lock);
-	if (web_num(web_arg(q, "silent"), 0)) {
+	if (web_parse_number(web_arg(q, "silent"), 0)) {
 		for (l = links; l != NULL; l = l->next)
 			l->silent = 1;
 	}
-	if (web_num(web_arg(q, "reset"), 0)) {
+	if (web_parse_number(web_arg(q, "reset"), 0)) {
 		for (l = links; l != NULL; l = l->next)
-			reset(l);
+			reset_link(l);
 	}
 	if ((s = web_arg(q, "cut")) != NULL) {
-		snprintf(cut, sizeof(cut), "%s", s);
-		one_way = (int)web_num(web_arg(q, "way"), -1);
+		snprintf(cut_hosts, sizeof(cut_hosts), "%s", s);
+		cut_side = (int)web_parse_number(web_arg(q, "way"), -1);
 	}
-	delay_ms = web_num(web_arg(q, "delay"), delay_ms);
+	delay_ms = web_parse_number(web_arg(q, "delay"), delay_ms);
 	pthread_mutex_unlock(&lock);
 }
 
-/* Listens on an address and passes on what comes there. */
+/* Listens on an address and forwards its connections. */
 static void
-serve(const char *from, const char *to)
+start_listener(const char *from, const char *to)
 {
-	struct sockaddr_in at = address(from);
-	struct pair *p = calloc(1, sizeof(*p));
+	struct sockaddr_in at = parse_address(from);
+	struct route *p = calloc(1, sizeof(*p));
 	pthread_t t;
 	int on = 1;
 
-	p->to = address(to);
+	p->to = parse_address(to);
 	p->fd = socket(AF_INET, SOCK_STREAM, 0);
 	setsockopt(p->fd, SOL_SOCKET, SO_REUSEADDR, &on, sizeof(on));
-	bound_buffers(p->fd);
+	limit_buffers(p->fd);
 	if (bind(p->fd, (struct sockaddr *)&at, sizeof(at)) != 0 ||
 	    listen(p->fd, 64) != 0)
 		err(1, "%s", from);
-	pthread_create(&t, NULL, take, p);
+	pthread_create(&t, NULL, accept_connections, p);
 }
 
 int
@@ -396,8 +406,8 @@
 	sigaddset(&set, SIGTERM);
 	pthread_sigmask(SIG_BLOCK, &set, NULL);
 	for (i = 0; i < nlisten; i++)
-		serve(listen_addr[i], to_addr[i]);
-	if (web_start(control_addr, control) == NULL)
+		start_listener(listen_addr[i], to_addr[i]);
+	if (web_start(control_addr, handle_control) == NULL)
 		errx(1, "cannot listen on %s", control_addr);
 	sigwait(&set, &sig);
 	_exit(0);
