--- a/decide/standby.c
+++ b/decide/standby.c
@@ -39,14 +39,15 @@
 
 /*
  * Returns how long a host waits for larger ones before it takes control of a
- * site that has had no controller; bears is host_capacity().
+ * site that has had no controller; max_hosts is host_capacity().
  */
 usec
-bootstrap_delay(int bears)
+bootstrap_delay(int max_hosts)
 {
 	if (!feature_on(FEATURE_STANDBY))
 		return (0);
-	return (bears > 0 && bears < LARGE_HOST_MIN ? SMALL_HOST_DELAY : 0);
+	return (
+	    max_hosts > 0 && max_hosts < LARGE_HOST_MIN ? SMALL_HOST_DELAY : 0);
 }
 
 /*
@@ -66,7 +67,7 @@
 		return (c->is_standby);
 	if (first != NULL)
 		apart += strcmp(c->dc, first->dc) != 0;
-	return (apart * 1e9 + c->bears * 10.0 + c->is_standby);
+	return (apart * 1e9 + c->max_hosts * 10.0 + c->is_standby);
 }
 
 /* Picks the standbys of a controller in data centre dc; returns how many. */
@@ -88,17 +89,18 @@
 		}
 		if (best == NULL)
 			break;
-		out[got] = best->who;
+		out[got] = best->process;
 		first = best;
 	}
 	return (got);
 }
 
-/* True if a controller is too small for its fleet (bears 0 is not known). */
+/* True if a controller is too small for its fleet (max_hosts 0 is not known).
+ */
 int
-strained(int bears, int hosts)
+strained(int max_hosts, int hosts)
 {
-	return (bears > 0 && bears < hosts);
+	return (max_hosts > 0 && max_hosts < hosts);
 }
 
 /*
@@ -113,15 +115,16 @@
  * or control would go back and forth.
  */
 int
-larger_standby_ready(const struct candidate *c, int n, int bears, int hosts)
+larger_standby_ready(const struct candidate *c, int n, int max_hosts, int hosts)
 {
 	int i;
 
-	if (!strained(bears, hosts) || !feature_on(FEATURE_STANDBY))
+	if (!strained(max_hosts, hosts) || !feature_on(FEATURE_STANDBY))
 		return (0);
 	for (i = 0; i < n; i++) {
 		if (c[i].is_standby && c[i].store &&
-		    (c[i].bears >= hosts || c[i].bears >= 2 * bears))
+		    (c[i].max_hosts >= hosts ||
+			c[i].max_hosts >= 2 * max_hosts))
 			return (1);
 	}
 	return (0);
--- a/decide/standby.h
+++ b/decide/standby.h
@@ -6,17 +6,18 @@
 
 /* A host that could be a standby. */
 struct candidate {
-	struct member who;
+	struct member process;
 	char dc[NAME_MAX_GS];
-	int bears;	/* hosts that it could control; 0 if not known */
+	int max_hosts;	/* hosts that it could control; 0 if not known */
 	int is_standby; /* is a standby now */
 	int store;	/* the store has answered it recently */
 };
 
 int host_capacity(double cores, double link_mbps);
-usec bootstrap_delay(int bears);
-int strained(int bears, int hosts);
-int larger_standby_ready(const struct candidate *, int n, int bears, int hosts);
+usec bootstrap_delay(int max_hosts);
+int strained(int max_hosts, int hosts);
+int larger_standby_ready(
+    const struct candidate *, int n, int max_hosts, int hosts);
 int standbys_pick(const struct candidate *, int n, const char *dc,
     struct member out[STANDBYS_MAX]);
 
--- a/gspard/admin.c
+++ b/gspard/admin.c
@@ -37,7 +37,7 @@
 	q->service = service;
 	q->key = key;
 	q->refs = 2;
-	if (msg_post(s->kernel, "control", MSG_STATUS, q, query_unref) != 0) {
+	if (msg_post(s->kernel, "control", MSG_QUERY, q, query_unref) != 0) {
 		query_unref(q);
 		return (NULL);
 	}
--- a/gspard/call.h
+++ b/gspard/call.h
@@ -17,7 +17,7 @@
 	int status; /* HTTP status of the target's answer */
 	struct str type;
 	struct str body;
-	struct str heads; /* of the target, to pass on; lines end in CRLF */
+	struct str headers; /* of the target, to pass on; lines end in CRLF */
 	char target[NAME_MAX_GS];
 	uint64_t fence;
 };
@@ -25,8 +25,8 @@
 struct call {
 	struct call *next; /* in the list of slow.c */
 	struct call **link;
-	usec read_by; /* the request must be complete by then */
-	int say;      /* who answers the call, see slow.c */
+	usec read_deadline; /* the request must be complete by then */
+	int claim;	    /* who answers the call, see slow.c */
 	struct MHD_Connection *conn;
 	int fd;
 	int read_shut; /* this host shut the connection down for reading */
@@ -50,20 +50,20 @@
 	/* Set by the platform's form only. */
 	struct shared *site; /* the configuration that owns the rule */
 	const struct rule *rule;
-	struct str heads; /* to pass on; lines end in CRLF */
-	char id[128];	  /* request id given by the caller */
-	int key_number;	  /* of a keyed service; -1: none */
+	struct str headers; /* to pass on; lines end in CRLF */
+	char id[128];	    /* request id given by the caller */
+	int key_number;	    /* of a keyed service; -1: none */
 	struct answer answer;
 };
 
 /* door.c */
 /* Ends a call; the router must not use it afterwards. */
 void call_end(struct call *);
-int call_gone(const struct call *);
+int call_abandoned(const struct call *);
 int door_inflight(void);
 int door_connections(struct kernel *);
-void door_shut(struct kernel *);
-void door_end_idle(struct kernel *);
-void door_bar(struct kernel *);
+void door_close_listener(struct kernel *);
+void door_close_idle(struct kernel *);
+void door_refuse_calls(struct kernel *);
 
 #endif
--- a/gspard/callers.c
+++ b/gspard/callers.c
@@ -86,7 +86,7 @@
 
 /* Called by the library for each connection that is opened or closed. */
 void
-callers_changed(void *arg, struct MHD_Connection *conn, void **state,
+callers_on_notify(void *arg, struct MHD_Connection *conn, void **state,
     enum MHD_ConnectionNotificationCode what)
 {
 	if (what == MHD_CONNECTION_NOTIFY_STARTED)
@@ -101,7 +101,7 @@
  * arrived: an end of file on it then doesn't mean that the caller has left.
  */
 int
-callers_busy(struct callers *l, struct MHD_Connection *conn, int busy)
+callers_set_busy(struct callers *l, struct MHD_Connection *conn, int busy)
 {
 	const union MHD_ConnectionInfo *info;
 	struct caller *c;
--- a/gspard/callers.h
+++ b/gspard/callers.h
@@ -9,9 +9,9 @@
 
 struct callers *callers_new(apr_thread_mutex_t *);
 void callers_free(struct callers *);
-void callers_changed(void *, struct MHD_Connection *, void **,
+void callers_on_notify(void *, struct MHD_Connection *, void **,
     enum MHD_ConnectionNotificationCode);
-int callers_busy(struct callers *, struct MHD_Connection *, int busy);
+int callers_set_busy(struct callers *, struct MHD_Connection *, int busy);
 void callers_end_idle(struct callers *);
 
 #endif
--- a/gspard/control.c
+++ b/gspard/control.c
@@ -284,13 +284,13 @@
 	case MSG_FRAME:
 		handle_frame(s, m, now);
 		break;
-	case MSG_STORED:
+	case MSG_STORE_DONE:
 		handle_store_done(s, m->data, now);
 		break;
-	case MSG_TARGETS:
+	case MSG_REPORT:
 		handle_report(c, m);
 		break;
-	case MSG_STATUS:
+	case MSG_QUERY:
 		query_answer(s, m->data, now);
 		break;
 	case MSG_STOP:
--- a/gspard/ctl_stop.c
+++ b/gspard/ctl_stop.c
@@ -98,5 +98,5 @@
 	if (any_holder)
 		return;
 	c->stop_reported = 1;
-	kernel_done(s->kernel, "control");
+	kernel_step_done(s->kernel, "control");
 }
--- a/gspard/ctl_store.c
+++ b/gspard/ctl_store.c
@@ -52,8 +52,8 @@
 
 	st = record_store(c, STORE_PUT);
 	st->base = base;
-	st->gen = r->write_id;
-	record_write(r, &st->body);
+	st->generation = r->write_id;
+	record_encode(r, &st->body);
 	store_send(c->s->kernel, st);
 }
 
@@ -76,7 +76,7 @@
 
 	st = assignment_store(c, STORE_PUT, service);
 	st->base = base;
-	st->gen = c->cell->term;
+	st->generation = c->cell->term;
 	st->body.p = json;
 	st->body.n = strlen(json);
 	store_send(c->s->kernel, st);
@@ -98,14 +98,14 @@
 	struct control_record r;
 
 	if (st->op == STORE_PUT) {
-		if (st->gen == c->term.put_rec.write_id)
+		if (st->generation == c->term.put_rec.write_id)
 			term_put_done(
 			    &c->term, now, put_result(st->status), st->version);
 		return;
 	}
 	if (st->status == 404)
 		term_get_done(&c->term, now, 0, 0, NULL);
-	else if (st->status == 200 && record_read(&st->body, &r) == 0)
+	else if (st->status == 200 && record_decode(&st->body, &r) == 0)
 		term_get_done(&c->term, now, 1, st->version, &r);
 	else
 		term_get_failed(&c->term, now);
@@ -127,7 +127,7 @@
 	 * the pending one: the cell would act on an assignment that the
 	 * platform does not hold.
 	 */
-	if (st->op == STORE_PUT && st->gen != c->cell->term)
+	if (st->op == STORE_PUT && st->generation != c->cell->term)
 		return;
 	if (st->op == STORE_PUT)
 		cell_put_done(
--- a/gspard/direct.c
+++ b/gspard/direct.c
@@ -139,28 +139,29 @@
 static void
 report(struct direct *d, usec now)
 {
-	struct heat_report *h;
+	struct router_report *h;
 	struct target_state *s;
 	int i;
 
 	d->next_report = now + REPORT_INTERVAL;
-	h = heat_report_new(d->nsvcs);
+	h = router_report_new(d->nsvcs);
 	if (h == NULL)
 		return;
 	for (i = 0; i < d->nsvcs; i++) {
 		if (!d->svcs[i].keyed || d->svcs[i].heat.n == 0)
 			continue;
-		heat_report_keys(h, d->svcs[i].name, &d->svcs[i].heat);
+		router_report_keys(h, d->svcs[i].name, &d->svcs[i].heat);
 		heat_clear(&d->svcs[i].heat);
 	}
 	h->crashes = d->crashes;
 	memset(&d->crashes, 0, sizeof(d->crashes));
 	for (s = d->targets; s != NULL; s = s->next) {
-		heat_report_target(
+		router_report_target(
 		    h, s->id, s->dest.latency_ratio, s->dest.limit, s->answers);
 		s->answers = 0;
 	}
-	msg_post(d->s->kernel, "control", MSG_HEAT, h, heat_report_free);
+	msg_post(
+	    d->s->kernel, "control", MSG_ROUTER_REPORT, h, router_report_free);
 }
 
 /* Tells the door, once, that callers can be served. */
@@ -178,7 +179,7 @@
 	}
 	d->ready = 1;
 	log_line(LOG_NOTICE, "router", "Ready to serve callers.");
-	kernel_done(d->s->kernel, "ready");
+	kernel_step_done(d->s->kernel, "ready");
 }
 
 /* Begins an orderly stop: all requests must end before the host does. */
@@ -206,13 +207,13 @@
 		accept_call(d, m->data, now);
 		break;
 	case MSG_SITE:
-		msg_keep(m, &d->site);
+		msg_take_snapshot(m, &d->site);
 		break;
 	case MSG_FLEET:
 		targets_update(d, ((struct shared *)m->data)->p, now);
 		break;
 	case MSG_OWNERS:
-		msg_keep(m, &d->owners);
+		msg_take_snapshot(m, &d->owners);
 		hosts = ((struct owners *)d->owners->p)->hosts;
 		d->rank = ((struct owners *)d->owners->p)->rank;
 		if (hosts > 0) {
@@ -221,7 +222,7 @@
 		}
 		break;
 	case MSG_QUARANTINE:
-		msg_keep(m, &d->quarantine);
+		msg_take_snapshot(m, &d->quarantine);
 		crash_list_changed(d, now);
 		break;
 	case MSG_STOP:
--- a/gspard/direct_flow.c
+++ b/gspard/direct_flow.c
@@ -331,7 +331,7 @@
 {
 	if (now >= p->next_caller_check) {
 		p->next_caller_check = now + CALLER_CHECK_INTERVAL;
-		if (call_gone(p->call)) {
+		if (call_abandoned(p->call)) {
 			flow_caller_gone(d, p, now);
 			return;
 		}
--- a/gspard/direct_outcome.c
+++ b/gspard/direct_outcome.c
@@ -28,9 +28,9 @@
 
 	a->code = GS_OK;
 	a->status = r->status;
-	a->heads = r->heads;
+	a->headers = r->headers;
 	a->body = r->body;
-	memset(&r->heads, 0, sizeof(r->heads));
+	memset(&r->headers, 0, sizeof(r->headers));
 	memset(&r->body, 0, sizeof(r->body));
 	flow_finish(d, p, now);
 }
@@ -39,11 +39,11 @@
 static enum dest_end
 target_end(const struct attempt *a, CURLcode res, enum reply_kind kind)
 {
-	if (!a->t.begun)
+	if (!a->t.maybe_sent)
 		return (DEST_UNREACHED);
 	if (res != CURLE_OK || kind == REPLY_FOREIGN)
 		return (DEST_BROKEN);
-	if (kind == REPLY_MISSENT)
+	if (kind == REPLY_NOT_OWNER)
 		return (DEST_NOT_OWNER);
 	if (kind == REPLY_REFUSED)
 		return (DEST_REFUSED);
@@ -109,7 +109,7 @@
 	const struct owners *o = d->owners == NULL ? NULL : d->owners->p;
 	struct target_state *s = p->attempt->target;
 
-	if (kind == REPLY_MISSENT) {
+	if (kind == REPLY_NOT_OWNER) {
 		count_add(C_MISSENT, 1);
 		/* The address now belongs to another target. */
 		if (p->attempt->t.reply.instance[0] != '\0' &&
@@ -127,7 +127,7 @@
 		count_add(C_TARGET_FULL, 1);
 	log_request("router", p->call->id,
 	    "%s by target %s at %s, key %d, owners %llu, try %d",
-	    kind == REPLY_MISSENT ? "not owned" : "refused", s->id, s->addr,
+	    kind == REPLY_NOT_OWNER ? "not owned" : "refused", s->id, s->addr,
 	    p->call->key_number,
 	    o == NULL ? 0ull : (unsigned long long)o->number, p->tries);
 	if (may_resend(p, 1, now))
@@ -232,11 +232,11 @@
 		kind = d->ops->kind(&a->t.reply, p->call);
 	update_stats(p, target_end(a, res, kind), now);
 	update_target(d, p, res, kind, now);
-	if (!a->t.begun)
+	if (!a->t.maybe_sent)
 		unreached(d, p, res, now);
 	else if (res != CURLE_OK)
 		maybe_run(d, p, res, now);
-	else if (kind == REPLY_REFUSED || kind == REPLY_MISSENT)
+	else if (kind == REPLY_REFUSED || kind == REPLY_NOT_OWNER)
 		not_run(d, p, kind, now);
 	else if (kind == REPLY_FOREIGN)
 		maybe_run(d, p, res, now);
@@ -260,7 +260,7 @@
 	update_stats(p, DEST_TIMED_OUT, now);
 	crash_add_unanswered(d, p, now);
 	flow_fail(
-	    d, p, p->attempt->t.begun ? GS_DEADLINE : GS_TOO_LATE, 0, now);
+	    d, p, p->attempt->t.maybe_sent ? GS_DEADLINE : GS_TOO_LATE, 0, now);
 }
 
 /* Ends a request whose caller has disconnected, and cuts its attempt. */
--- a/gspard/direct_send.c
+++ b/gspard/direct_send.c
@@ -39,7 +39,7 @@
 		d->idle_easy[d->nidle_easy++] = a->t.easy;
 	} else
 		curl_easy_cleanup(a->t.easy);
-	transfer_end(&a->t);
+	transfer_free(&a->t);
 	free(a);
 }
 
@@ -73,7 +73,7 @@
 	long ms = (long)(left / 1000);
 
 	snprintf(url, sizeof(url), "http://%s/", a->target->addr);
-	transfer_set(&a->t, url, ms < CONNECT_MS ? ms + 1 : CONNECT_MS);
+	transfer_set_options(&a->t, url, ms < CONNECT_MS ? ms + 1 : CONNECT_MS);
 	curl_easy_setopt(a->t.easy, CURLOPT_PRIVATE, p);
 	curl_easy_setopt(a->t.easy, CURLOPT_MAXAGE_CONN,
 	    p->rule->idempotent ? IDLE_MAX_S : IDLE_MAX_ONCE_S);
@@ -104,7 +104,7 @@
 	a->sent = now;
 	a->t.ops = d->ops;
 	a->t.body_max = ANSWER_MAX;
-	a->t.heads = d->ops->request(
+	a->t.headers = d->ops->request(
 	    p->call, target->id, (int)(left / 1000) - RETURN_MS);
 	set_transfer(a, p, left);
 	set_request(a, p->call);
--- a/gspard/dispatch.c
+++ b/gspard/dispatch.c
@@ -15,8 +15,8 @@
 #define LOADS_REPORTED_MAX 16
 
 /* Returns the state of a cell, created if new; NULL if the table is full. */
-struct dcell *
-dcell(struct dispatch *d, const char *name)
+struct dispatch_cell *
+dispatch_cell(struct dispatch *d, const char *name)
 {
 	int i;
 
@@ -32,7 +32,7 @@
 
 /* Returns the number of the cell's current view; 0: none. */
 static uint64_t
-current_view(const struct dcell *c)
+current_view(const struct dispatch_cell *c)
 {
 	return (c->view == NULL ? 0 : view_number(c->view->p));
 }
@@ -52,8 +52,8 @@
 
 /* Applies one duty: a new target, or a later epoch of a known one. */
 static void
-apply_duty(
-    struct service *s, struct dcell *c, const struct duty *duty, usec now)
+apply_duty(struct service *s, struct dispatch_cell *c, const struct duty *duty,
+    usec now)
 {
 	struct dispatch *d = s->state;
 	struct target *t;
@@ -61,11 +61,11 @@
 	t = target_find(d, duty->target);
 	if (t == NULL) {
 		t = target_new(s, duty->target, c, duty, now);
-		d->report = 1;
+		d->report_due = 1;
 	} else if (duty->epoch > t->grant.epoch) {
 		grant_new_epoch(&t->grant, duty->epoch, now);
 		t->min_view = duty->min_view;
-		d->report = 1;
+		d->report_due = 1;
 	}
 	if (t == NULL)
 		return;
@@ -74,7 +74,7 @@
 	t->limited = duty->limited;
 	t->rate = duty->rate;
 	if (c->view != NULL)
-		target_view(t, c->view->p, current_view(c));
+		target_apply_view(t, c->view->p, current_view(c));
 }
 
 /* Applies a renewed lease; targets that it has no duty for are handed over. */
@@ -82,7 +82,7 @@
 apply_lease(struct service *s, struct lease *l, usec now)
 {
 	struct dispatch *d = s->state;
-	struct dcell *c = dcell(d, l->cell);
+	struct dispatch_cell *c = dispatch_cell(d, l->cell);
 	struct target *t;
 	int i;
 
@@ -108,20 +108,20 @@
 	struct dispatch *d = s->state;
 	struct shared *sh = m->data;
 	const Gspar__View *v = sh->p;
-	struct dcell *c = dcell(d, v->cell);
+	struct dispatch_cell *c = dispatch_cell(d, v->cell);
 	struct target *t;
 
 	if (c == NULL || view_number(v) <= current_view(c))
 		return;
-	msg_keep(m, &c->view);
+	msg_take_snapshot(m, &c->view);
 	for (t = d->targets; t != NULL; t = t->next) {
 		if (strcmp(t->cell, c->name) != 0)
 			continue;
-		target_view(t, v, current_view(c));
-		run_pump(s, t, now);
+		target_apply_view(t, v, current_view(c));
+		run_process_queue(s, t, now);
 		target_tick(s, t, now);
 	}
-	d->report = 1;
+	d->report_due = 1;
 }
 
 /* Releases targets to be handed over that have no more requests here. */
@@ -137,10 +137,10 @@
 			continue;
 		event_add("dispatch", 0, "handed over %s", t->name);
 		target_free(s, t);
-		d->report = 1;
+		d->report_due = 1;
 	}
 	if (d->stopping && d->targets == NULL) {
-		kernel_done(s->kernel, "dispatch");
+		kernel_step_done(s->kernel, "dispatch");
 		d->stopping = 0;
 	}
 }
@@ -155,7 +155,7 @@
 	if (!grant_set_certain(&t->grant, now))
 		return;
 	for (i = 0; i < t->shards; i++)
-		n += t->fence[i] != 0 && t->left_out[i];
+		n += t->fence[i] != 0 && t->excluded[i];
 	if (n == 0)
 		return;
 	f = malloc(sizeof(*f));
@@ -164,7 +164,7 @@
 	f->view = t->view;
 	f->shards = calloc(n, sizeof(*f->shards));
 	for (i = 0; i < t->shards; i++) {
-		if (t->fence[i] != 0 && t->left_out[i])
+		if (t->fence[i] != 0 && t->excluded[i])
 			f->shards[f->n_shards++] = t->first + i;
 	}
 	ts->freed = calloc(1, sizeof(*ts->freed));
@@ -199,7 +199,7 @@
 	Gspar__ShardLoad *l;
 	uint64_t rest = 0;
 	uint32_t i;
-	usec span = now - t->loads_at;
+	usec span = now - t->loads_since;
 
 	if (span < LOADS_INTERVAL)
 		return;
@@ -221,7 +221,7 @@
 	    (uint64_t)span);
 	t->arrived = 0;
 	memset(t->busy, 0, t->shards * sizeof(*t->busy));
-	t->loads_at = now;
+	t->loads_since = now;
 }
 
 /* Builds the report of one target for the controller. */
@@ -265,10 +265,10 @@
 	Gspar__LeaseAsk *ask;
 	struct report *r;
 	struct target *t;
-	int i, urgent = d->report;
+	int i, urgent = d->report_due;
 	size_t n;
 
-	d->report = 0;
+	d->report_due = 0;
 	d->last_report = now;
 	for (i = 0; i < d->ncells; i++) {
 		ask = malloc(sizeof(*ask));
@@ -293,7 +293,7 @@
 		r = malloc(sizeof(*r));
 		r->ask = ask;
 		r->urgent = urgent;
-		msg_post(s->kernel, "control", MSG_TARGETS, r, free_report);
+		msg_post(s->kernel, "control", MSG_REPORT, r, free_report);
 	}
 }
 
@@ -318,7 +318,7 @@
 		run_peer_down(s, m->host, m->conn, now);
 		break;
 	case MSG_CATALOGUE:
-		msg_keep(m, &d->catalogue);
+		msg_take_snapshot(m, &d->catalogue);
 		for (t = d->targets; t != NULL; t = t->next)
 			target_configure(d, t);
 		break;
@@ -354,7 +354,8 @@
 			continue;
 		curl_easy_getinfo(cm->easy_handle, CURLINFO_PRIVATE, &p);
 		if ((uintptr_t)p & 1)
-			note_done(s, (struct note *)(void *)(p - 1),
+			target_call_done(s,
+			    (struct target_call *)(void *)(p - 1),
 			    cm->data.result, now);
 		else
 			run_done(
@@ -370,20 +371,21 @@
 	struct target *t;
 
 	for (t = d->targets; t != NULL; t = t->next) {
-		if (!t->lease_lapsed && now >= dcell(d, t->cell)->lease_until) {
+		if (!t->lease_lapsed &&
+		    now >= dispatch_cell(d, t->cell)->lease_until) {
 			t->lease_lapsed = 1;
 			t->handing_over = 1;
-			d->report = 1;
+			d->report_due = 1;
 			event_add("dispatch", 0, "lease lapsed, released %s",
 			    t->name);
 		}
-		target_sets(t);
+		target_update_wanted(t);
 		target_tick(s, t, now);
-		runs_again(s, t, now);
-		run_pump(s, t, now);
+		runs_resend(s, t, now);
+		run_process_queue(s, t, now);
 	}
 	release_targets(s);
-	if (d->report || now - d->last_report >= REPORT_INTERVAL)
+	if (d->report_due || now - d->last_report >= REPORT_INTERVAL)
 		report(s, now);
 }
 
@@ -416,7 +418,7 @@
 		curl_multi_perform(d->multi, &running);
 		handle_transfers(s, clock_mono());
 		now = clock_mono();
-		if (now - ticked >= MS(TICK_MS) || d->report) {
+		if (now - ticked >= MS(TICK_MS) || d->report_due) {
 			tick(s, now);
 			ticked = now;
 		}
--- a/gspard/dispatch.h
+++ b/gspard/dispatch.h
@@ -17,7 +17,7 @@
 
 #define MAX_TARGETS 512
 #define VIEWS_MAX 32
-#define TICKETS_KEPT 16384
+#define TICKETS_MAX 16384
 #define JOINED_MAX 8
 
 struct target;
@@ -54,9 +54,9 @@
 };
 
 /* A short request to a target: grant, clock or cancel. */
-struct note {
-	struct note *next;
-	struct note **link;
+struct target_call {
+	struct target_call *next;
+	struct target_call **link;
 	struct target *target;
 	enum grant_step step;
 	uint64_t epoch;
@@ -80,29 +80,29 @@
 	struct queue queue;
 	struct once once;
 	struct silence silence;
-	struct budget again;
+	struct budget retry_budget;
 	int handing_over; /* its dispatch is handed over */
 	int lease_lapsed; /* the host's lease for its cell has lapsed */
 	int leaving;
 	int limited;   /* its rate applies */
 	uint32_t rate; /* thousandths of a request a second */
 	struct bucket bucket;
-	uint32_t arrived;  /* requests since loads_at */
+	uint32_t arrived;  /* requests since loads_since */
 	uint64_t min_view; /* older views are not used */
 	uint64_t view;	   /* the view that the arrays below are of */
 	uint64_t *fence;   /* 0: not a shard of this target */
 	uint8_t *moving;
 	uint32_t nmoving;
-	uint8_t *left_out; /* moving, and excluded from the wanted set */
+	uint8_t *excluded; /* moving, and excluded from the wanted set */
 	uint16_t *inflight;
-	uint32_t *busy; /* microseconds since loads_at */
-	usec loads_at;
+	uint32_t *busy; /* microseconds since loads_since */
+	usec loads_since;
 	struct run *runs;
 	int nruns;
-	struct note *notes;
+	struct target_call *target_calls;
 };
 
-struct dcell {
+struct dispatch_cell {
 	char name[CELL_NAME_MAX];
 	usec lease_until;
 	uint64_t ack; /* sequence number of the last lease applied */
@@ -112,31 +112,32 @@
 struct dispatch {
 	CURLM *multi;
 	struct target *targets;
-	struct dcell cells[VIEWS_MAX];
+	struct dispatch_cell cells[VIEWS_MAX];
 	int ncells;
 	struct shared *catalogue;
 	uint64_t next_id;
-	int report; /* a report is due at once */
+	int report_due; /* a report is due at once */
 	usec last_report;
 	int stopping; /* until all targets are handed over */
 	int stop;
 };
 
 /* dispatch.c */
-struct dcell *dcell(struct dispatch *, const char *name);
+struct dispatch_cell *dispatch_cell(struct dispatch *, const char *name);
 const struct entry *dispatch_entry(const struct dispatch *, const char *);
 
 /* target.c */
 struct target *target_new(struct service *, const char *name,
-    const struct dcell *, const struct duty *, usec now);
+    const struct dispatch_cell *, const struct duty *, usec now);
 int target_configure(struct dispatch *, struct target *);
 void target_free(struct service *, struct target *);
 struct target *target_find(struct dispatch *, const char *name);
-void target_view(struct target *, const Gspar__View *, uint64_t number);
+void target_apply_view(struct target *, const Gspar__View *, uint64_t number);
 void target_tick(struct service *, struct target *, usec now);
-void target_sets(struct target *);
-void note_done(struct service *, struct note *, CURLcode, usec now);
-void note_cancel(struct service *, struct target *, uint64_t id);
+void target_update_wanted(struct target *);
+void target_call_done(
+    struct service *, struct target_call *, CURLcode, usec now);
+void target_call_cancel(struct service *, struct target *, uint64_t id);
 
 /* run.c */
 void run_handle_request(
@@ -144,7 +145,7 @@
 void run_cancel(
     struct service *, const char *host, uint64_t conn, uint64_t corr, usec now);
 void run_peer_down(struct service *, const char *host, uint64_t conn, usec now);
-void run_pump(struct service *, struct target *, usec now);
+void run_process_queue(struct service *, struct target *, usec now);
 void run_flush(struct service *, struct target *, int code, usec now);
 void run_free(struct service *, struct run *);
 int run_match_any(const struct job *, void *);
@@ -155,8 +156,8 @@
 /* send.c */
 void run_done(struct service *, struct run *, CURLcode, usec now);
 void run_send(struct service *, struct run *, usec now);
-void runs_again(struct service *, struct target *, usec now);
+void runs_resend(struct service *, struct target *, usec now);
 int may_send(struct service *, const struct target *, usec now);
-void conn_age(const struct target *, CURL *, usec now);
+void limit_conn_age(const struct target *, CURL *, usec now);
 
 #endif
--- a/gspard/door.c
+++ b/gspard/door.c
@@ -73,7 +73,7 @@
 	info = MHD_get_connection_info(conn, MHD_CONNECTION_INFO_CONNECTION_FD);
 	c->fd = info == NULL ? -1 : info->connect_fd;
 	slow_add(d->slow, c, clock_mono());
-	c->read_shut = callers_busy(d->callers, conn, 1);
+	c->read_shut = callers_set_busy(d->callers, conn, 1);
 	return (c);
 }
 
@@ -88,7 +88,7 @@
 	if (c == NULL)
 		return;
 	*state = NULL;
-	callers_busy(d->callers, conn, 0);
+	callers_set_busy(d->callers, conn, 0);
 	slow_remove(d->slow, c);
 	if (c->submitted && why != MHD_REQUEST_TERMINATED_COMPLETED_OK)
 		count_add(C_CALLER_GONE, 1);
@@ -100,8 +100,8 @@
 		    1);
 	free(c->uri);
 	shared_unref(c->site);
-	str_free(&c->heads);
-	str_free(&c->answer.heads);
+	str_free(&c->headers);
+	str_free(&c->answer.headers);
 	str_free(&c->body);
 	str_free(&c->answer.type);
 	str_free(&c->answer.body);
@@ -133,7 +133,7 @@
 
 	if (result_again(a->code))
 		ms = add_retry_jitter(
-		    a->retry_ms > 0 ? a->retry_ms : LOST_RETRY_MS);
+		    a->retry_ms > 0 ? a->retry_ms : RETRY_DEFAULT_MS);
 	n = result_json(text, sizeof(text), a->code, a->outcome, ms);
 	r = MHD_create_response_from_buffer(
 	    (size_t)n, text, MHD_RESPMEM_MUST_COPY);
@@ -297,7 +297,7 @@
  * that its target is working on.
  */
 int
-call_gone(const struct call *c)
+call_abandoned(const struct call *c)
 {
 	char b;
 
@@ -331,7 +331,7 @@
  * stop began each answer asks the caller to close its connection.
  */
 void
-door_shut(struct kernel *k)
+door_close_listener(struct kernel *k)
 {
 	struct door *d = kernel_find(k, "door")->state;
 	MHD_socket fd;
@@ -347,7 +347,7 @@
 
 /* Closes callers' connections that have no request in progress. */
 void
-door_end_idle(struct kernel *k)
+door_close_idle(struct kernel *k)
 {
 	struct door *d = kernel_find(k, "door")->state;
 
@@ -370,7 +370,7 @@
 
 /* Refuses all further requests with GS_STOPPING. */
 void
-door_bar(struct kernel *k)
+door_refuse_calls(struct kernel *k)
 {
 	struct door *d = kernel_find(k, "door")->state;
 
@@ -434,7 +434,7 @@
 	    NULL, handle, s, MHD_OPTION_LISTEN_SOCKET, d->sock,
 	    MHD_OPTION_URI_LOG_CALLBACK, on_request_line, d,
 	    MHD_OPTION_NOTIFY_COMPLETED, on_completed, d,
-	    MHD_OPTION_NOTIFY_CONNECTION, callers_changed, d->callers,
+	    MHD_OPTION_NOTIFY_CONNECTION, callers_on_notify, d->callers,
 	    MHD_OPTION_CONNECTION_TIMEOUT, IDLE_TIMEOUT_S,
 	    MHD_OPTION_CONNECTION_LIMIT, CONNECTIONS_MAX, MHD_OPTION_END);
 	if (d->daemon == NULL)
@@ -449,7 +449,7 @@
 set_active(struct door *d, struct msg *m)
 {
 	apr_thread_mutex_lock(d->lock);
-	msg_keep(m, &d->active);
+	msg_take_snapshot(m, &d->active);
 	apr_thread_mutex_unlock(d->lock);
 }
 
--- a/gspard/gspard.c
+++ b/gspard/gspard.c
@@ -90,7 +90,7 @@
     &door_service, &admin_service, NULL};
 /* ... and for a platform of objects, where hosts send to targets directly. */
 static const struct service_ops *const objects_services[] = {&platform_service,
-    &peer_service, &keeper_service, &direct_service, &door_service,
+    &peer_service, &sitectl_service, &direct_service, &door_service,
     &watch_service, &probe_service, NULL};
 
 /* Sends MSG_STOP to a service. */
@@ -124,10 +124,10 @@
 drain_connections(struct kernel *k, usec until)
 {
 	while (door_connections(k) > 0 && clock_mono() < until) {
-		door_end_idle(k);
+		door_close_idle(k);
 		apr_sleep(MS(POLL_MS));
 	}
-	door_bar(k);
+	door_refuse_calls(k);
 	/* libmicrohttpd needs some time to write the last answers. */
 	apr_sleep(MS(FLUSH_MS));
 }
@@ -145,11 +145,11 @@
 	send_stop(k, "door");
 	send_stop(k, "control");
 	send_stop(k, "dispatch");
-	if (kernel_wait(k, "control", HANDOVER_MAX_MS) != 0)
+	if (kernel_wait_step(k, "control", HANDOVER_MAX_MS) != 0)
 		log_line(LOG_WARNING, "kernel",
 		    "No other host took over this host's targets.");
 	apr_sleep(MS(KEEPALIVE_MS));
-	door_shut(k);
+	door_close_listener(k);
 	apr_sleep(MS(FIRST_REQUEST_MS));
 	drain_connections(k, clock_mono() + MS(DRAIN_MAX_MS));
 	log_line(LOG_NOTICE, "kernel", "Stopped.");
@@ -176,14 +176,14 @@
 	send_stop_plan(k, "control", &plan);
 	while (clock_mono() < plan.accept_all_until)
 		apr_sleep(MS(POLL_MS));
-	door_shut(k);
+	door_close_listener(k);
 	apr_sleep(MS(FIRST_REQUEST_MS));
 	drain_connections(k, plan.end + MS(ANSWER_TRANSIT_MS));
 	/* A controller that cannot release control, as the store is
 	 * unavailable, keeps it until the end of the plan. */
 	left = plan.end - clock_mono();
 	if (left > 0)
-		kernel_wait(k, "control", (int)(left / 1000));
+		kernel_wait_step(k, "control", (int)(left / 1000));
 	log_line(LOG_NOTICE, "kernel", "Stopped, %d calls in flight.",
 	    door_inflight());
 }
--- a/gspard/gspard.h
+++ b/gspard/gspard.h
@@ -16,41 +16,41 @@
 #include "str.h"
 
 /* Suggested retry delay if no better one is known, in milliseconds. */
-#define LOST_RETRY_MS 1000
+#define RETRY_DEFAULT_MS 1000
 
 enum msg_kind {
 	MSG_NONE,
-	MSG_CALL,	 /* door to router: a caller's request */
-	MSG_FRAME,	 /* peer to any: a frame was received */
-	MSG_SEND,	 /* any to peer: send a frame */
-	MSG_PEER_DOWN,	 /* peer to all: a connection was lost */
-	MSG_UNSENT,	 /* peer to router: a request was not sent */
-	MSG_PEERS,	 /* control to peer: the hosts and their addresses */
-	MSG_STORE,	 /* any to platform: a store call */
-	MSG_STORED,	 /* platform to any: its outcome */
-	MSG_CATALOGUE,	 /* control to all: current catalogue entries */
-	MSG_VIEW,	 /* control to router and dispatch: a view */
-	MSG_LEASE,	 /* control to dispatch: lease and duties */
-	MSG_TARGETS,	 /* dispatch to control: targets it holds */
-	MSG_STATUS,	 /* admin to control: a query */
-	MSG_READY,	 /* router to door: callers can be served */
-	MSG_SITE,	 /* watch to all: current routes and services */
-	MSG_FLEET,	 /* watch to router and control: the targets */
-	MSG_OWNERS,	 /* control to router: owners of keys */
-	MSG_HEAT,	 /* router to control: sample of requested keys */
-	MSG_QUARANTINE,	 /* control to router: quarantined contents */
-	MSG_TOLD,	 /* control to watch: configuration from a host */
-	MSG_READ_SITE,	 /* control to watch: read the configuration now */
-	MSG_SITE_UNREAD, /* watch to control: reading it failed */
-	MSG_SITE_READ,	 /* watch to control: it has been read */
-	MSG_RELIST,	 /* control to watch: changes were missed, list again */
-	MSG_FOLLOW,	 /* control to watch: follow the store ... */
-	MSG_BE_TOLD,	 /* ... or the controller's updates */
-	MSG_FRESH,	 /* watch to control: store answers for targets */
-	MSG_STALE,	 /* watch to control: it does not, or is not asked */
-	MSG_FLEET_TOLD,	 /* control to watch: targets from the controller */
-	MSG_STOP,	 /* kernel to all: begin the orderly stop */
-	MSG_QUIT	 /* kernel to all: end the thread */
+	MSG_CALL,	    /* door to router: a caller's request */
+	MSG_FRAME,	    /* peer to any: a frame was received */
+	MSG_SEND,	    /* any to peer: send a frame */
+	MSG_PEER_DOWN,	    /* peer to all: a connection was lost */
+	MSG_REQUEST_UNSENT, /* peer to router: a request was not sent */
+	MSG_PEERS,	    /* control to peer: the hosts and their addresses */
+	MSG_STORE_CALL,	    /* any to platform: a store call */
+	MSG_STORE_DONE,	    /* platform to any: its outcome */
+	MSG_CATALOGUE,	    /* control to all: current catalogue entries */
+	MSG_VIEW,	    /* control to router and dispatch: a view */
+	MSG_LEASE,	    /* control to dispatch: lease and duties */
+	MSG_REPORT,	    /* dispatch to control: targets it holds */
+	MSG_QUERY,	    /* admin to control: a query */
+	MSG_READY,	    /* router to door: callers can be served */
+	MSG_SITE,	    /* watch to all: current routes and services */
+	MSG_FLEET,	    /* watch to router and control: the targets */
+	MSG_OWNERS,	    /* control to router: owners of keys */
+	MSG_ROUTER_REPORT,  /* router to control: sample of requested keys */
+	MSG_QUARANTINE,	    /* control to router: quarantined contents */
+	MSG_SITE_RECEIVED,  /* control to watch: configuration from a host */
+	MSG_READ_SITE,	    /* control to watch: read the configuration now */
+	MSG_SITE_READ_FAILED, /* watch to control: reading it failed */
+	MSG_SITE_READ,	      /* watch to control: it has been read */
+	MSG_RELIST, /* control to watch: changes were missed, list again */
+	MSG_FOLLOW_STORE,      /* control to watch: follow the store ... */
+	MSG_FOLLOW_CONTROLLER, /* ... or the controller's updates */
+	MSG_TARGETS_FRESH,     /* watch to control: store answers for targets */
+	MSG_TARGETS_STALE,  /* watch to control: it does not, or is not asked */
+	MSG_FLEET_RECEIVED, /* control to watch: targets from the controller */
+	MSG_STOP,	    /* kernel to all: begin the orderly stop */
+	MSG_QUIT	    /* kernel to all: end the thread */
 };
 
 struct msg {
@@ -62,7 +62,7 @@
 	Gspar__Frame *frame;
 	struct bytes bytes;
 	void *data;
-	void (*drop)(void *data);
+	void (*free_data)(void *data);
 };
 
 /* Operations of the platform's store. */
@@ -76,17 +76,17 @@
 };
 
 enum store_result {
-	STORE_SILENT, /* no response: the call may still take effect */
+	STORE_NO_REPLY, /* no response: the call may still take effect */
 	STORE_DONE,
-	STORE_ABSENT,
+	STORE_NOT_FOUND,
 	STORE_CONFLICT,
-	STORE_FORGOTTEN, /* changes since base are not kept: list again */
-	STORE_BUSY,	 /* over the rate limit: not done */
-	STORE_DOWN	 /* refused: not done */
+	STORE_COMPACTED,    /* changes since base are not kept: list again */
+	STORE_RATE_LIMITED, /* over the rate limit: not done */
+	STORE_REFUSED	    /* refused: not done */
 };
 
 /* An object of a list, or a change of one. */
-struct found {
+struct store_item {
 	char name[NAME_MAX_GS];
 	uint64_t version;
 	int deleted;
@@ -100,18 +100,18 @@
 	char path[CELL_NAME_MAX + 128];
 	char tag[CELL_NAME_MAX + NAME_MAX_GS + 8];
 	uint64_t base;
-	uint64_t gen; /* of the sender, to recognise stale outcomes */
+	uint64_t generation; /* of the sender, to recognise stale outcomes */
 	struct str body;
-	int status; /* HTTP status, or 0 if there was no response */
-	usec took;  /* time from sending to the end */
+	int status;    /* HTTP status, or 0 if there was no response */
+	usec duration; /* time from sending to the end */
 	uint64_t version;
 	enum store_result result;
-	int wait_ms; /* watch: how long to wait for a change */
-	int stale;   /* read: a value that is seconds old is accepted */
+	int wait_ms;	 /* watch: how long to wait for a change */
+	int allow_stale; /* read: a value that is seconds old is accepted */
 	char after[NAME_MAX_GS]; /* list: continue after this name */
 	struct json_t *parsed;
-	struct found *found;
-	int nfound;
+	struct store_item *items;
+	int nitems;
 	int more; /* the list is not complete */
 };
 
@@ -119,7 +119,7 @@
 struct shared {
 	int refs;
 	void *p;
-	void (*drop)(void *);
+	void (*free_data)(void *);
 };
 
 struct catalogue {
@@ -198,14 +198,14 @@
 void kernel_set_conf(struct kernel *, const struct conf *);
 uint64_t kernel_boot(const struct kernel *);
 int kernel_send(struct kernel *, const char *to, struct msg *);
-void kernel_done(struct kernel *, const char *what);
-int kernel_wait(struct kernel *, const char *what, int ms);
+void kernel_step_done(struct kernel *, const char *what);
+int kernel_wait_step(struct kernel *, const char *what, int ms);
 
 /* msg.c */
 struct msg *msg_new(enum msg_kind);
 void msg_free(struct msg *);
 int msg_post(struct kernel *, const char *to, enum msg_kind, void *data,
-    void (*drop)(void *));
+    void (*free_data)(void *));
 void deliver_frame(
     struct kernel *, const char *host, uint64_t conn, Gspar__Frame *);
 void send_frame(
@@ -213,7 +213,7 @@
 struct shared *shared_new(void *, void (*)(void *));
 struct shared *shared_ref(struct shared *);
 void shared_unref(void *);
-void msg_keep(struct msg *, struct shared **at);
+void msg_take_snapshot(struct msg *, struct shared **at);
 struct store *store_new(enum store_op, const char *reply_to, const char *path);
 void store_free(void *);
 void store_send(struct kernel *, struct store *);
@@ -227,7 +227,7 @@
 extern const struct service_ops platform_service;
 extern const struct service_ops admin_service;
 extern const struct service_ops direct_service;
-extern const struct service_ops keeper_service;
+extern const struct service_ops sitectl_service;
 extern const struct service_ops watch_service;
 extern const struct service_ops probe_service;
 
--- a/gspard/heat_report.c
+++ b/gspard/heat_report.c
@@ -8,10 +8,10 @@
 
 /* Returns an empty report with capacity for a number of services; NULL where
  * memory is exhausted. */
-struct heat_report *
-heat_report_new(int services)
+struct router_report *
+router_report_new(int services)
 {
-	struct heat_report *h;
+	struct router_report *h;
 
 	h = calloc(1, sizeof(*h));
 	if (h == NULL)
@@ -25,10 +25,10 @@
 
 /* Adds a service's sample of requested keys. */
 void
-heat_report_keys(
-    struct heat_report *h, const char *service, const struct heat *heat)
+router_report_keys(
+    struct router_report *h, const char *service, const struct heat *heat)
 {
-	struct heat_keys *k = &h->keys[h->nkeys++];
+	struct reported_keys *k = &h->keys[h->nkeys++];
 
 	name_copy(k->service, sizeof(k->service), service);
 	k->heat = *heat;
@@ -36,10 +36,10 @@
 
 /* Adds the state of a target that has answered since the last report. */
 void
-heat_report_target(struct heat_report *h, const char *id, double speed,
-    double limit, int answers)
+router_report_target(struct router_report *h, const char *id,
+    double latency_ratio, double limit, int answers)
 {
-	struct heat_target *t;
+	struct reported_target *t;
 
 	if (answers == 0 || h->ntargets == TARGETS_MAX)
 		return;
@@ -49,16 +49,16 @@
 	h->targets = t;
 	t += h->ntargets++;
 	name_copy(t->id, sizeof(t->id), id);
-	t->speed = speed;
+	t->latency_ratio = latency_ratio;
 	t->limit = limit;
 	t->answers = answers;
 }
 
 /* Frees a report; has the type of a message's drop function. */
 void
-heat_report_free(void *arg)
+router_report_free(void *arg)
 {
-	struct heat_report *h = arg;
+	struct router_report *h = arg;
 
 	free(h->keys);
 	free(h->targets);
--- a/gspard/keeper.c
+++ b/gspard/keeper.c
@@ -31,7 +31,7 @@
 
 /* Sends the list of hosts and their addresses to the peer service. */
 void
-keeper_publish_peers(struct keeper *k)
+sitectl_publish_peers(struct sitectl *k)
 {
 	struct peers *l;
 	struct peer_addr *a;
@@ -56,8 +56,8 @@
 }
 
 /* Returns the host with the given name, or NULL. */
-struct keeper_host *
-keeper_host(struct keeper *k, const char *name)
+struct sitectl_host *
+sitectl_host(struct sitectl *k, const char *name)
 {
 	int i;
 
@@ -70,21 +70,21 @@
 
 /* Returns this host's name. */
 const char *
-keeper_self(const struct keeper *k)
+sitectl_self(const struct sitectl *k)
 {
 	return (kernel_conf(k->s->kernel)->host);
 }
 
 /* Returns the site configuration in force on this host, or NULL. */
 const struct site *
-keeper_site(const struct keeper *k)
+sitectl_site(const struct sitectl *k)
 {
 	return (k->site == NULL ? NULL : k->site->p);
 }
 
 /* Returns the targets that this host knows, or NULL. */
 const struct fleet *
-keeper_fleet(const struct keeper *k)
+sitectl_fleet(const struct sitectl *k)
 {
 	return (k->fleet == NULL ? NULL : k->fleet->p);
 }
@@ -93,14 +93,14 @@
  * Updates a host that was heard or that the controller listed; adds it if new.
  */
 void
-keeper_host_seen(struct keeper *k, const struct member *m, const char *dc,
+sitectl_host_seen(struct sitectl *k, const struct member *m, const char *dc,
     int stopping, usec now)
 {
-	struct keeper_host *h = keeper_host(k, m->host);
+	struct sitectl_host *h = sitectl_host(k, m->host);
 	int is_new = h == NULL;
 
 	term_process_seen(&k->term, now, m);
-	if (is_new && k->nhosts == KEEPER_HOSTS_MAX)
+	if (is_new && k->nhosts == SITECTL_HOSTS_MAX)
 		return;
 	if (is_new)
 		h = &k->hosts[k->nhosts++];
@@ -110,7 +110,7 @@
 		h->process = *m;
 		name_copy(h->dc, sizeof(h->dc), dc);
 		k->hosts_changed = 1;
-		keeper_publish_peers(k);
+		sitectl_publish_peers(k);
 	}
 	h->last_heard = now;
 	h->stopping = stopping;
@@ -122,7 +122,7 @@
  * learn of it, so hosts are assumed to be up at first.
  */
 int
-keeper_host_up(const struct keeper_host *h, usec now)
+sitectl_host_up(const struct sitectl_host *h, usec now)
 {
 	return (
 	    now - h->last_heard < HOST_DOWN_AFTER || now < h->assumed_up_until);
@@ -130,7 +130,7 @@
 
 /* Removes hosts that were neither heard nor listed for HOST_FORGET_AFTER. */
 static void
-forget_hosts(struct keeper *k, usec now)
+forget_hosts(struct sitectl *k, usec now)
 {
 	int i;
 
@@ -147,13 +147,13 @@
 
 /* Starts or stops acting as controller, depending on the term's role. */
 static void
-apply_term(struct keeper *k, usec now)
+apply_term(struct sitectl *k, usec now)
 {
 	const struct control_record *r = &k->term.rec;
 	int i, holds = k->term.role == TERM_HOLDER;
 
 	if (holds && !k->acting) {
-		keeper_add_services(k, now);
+		sitectl_add_services(k, now);
 		for (i = 0; i < k->nkeys; i++)
 			keys_begin(k->keys[i], r->term, now);
 		for (i = 0; i < k->nhosts; i++)
@@ -161,12 +161,13 @@
 		site_control_began(k);
 		k->hosts_changed = 1;
 	} else if (!holds && k->acting) {
-		keeper_drop_keys(k);
+		sitectl_drop_keys(k);
 		orders_cancel(k);
 	}
 	k->acting = holds;
 	if (holds) {
-		name_copy(k->controller, sizeof(k->controller), keeper_self(k));
+		name_copy(
+		    k->controller, sizeof(k->controller), sitectl_self(k));
 		k->controller_term = r->term;
 		k->controller_heard = now;
 	} else if (k->term.known && r->term > k->controller_term &&
@@ -174,7 +175,7 @@
 		/* The record was read before the controller was heard. */
 		k->controller_term = r->term;
 		name_copy(k->controller, sizeof(k->controller), r->holder.host);
-		keeper_host_seen(k, &r->holder, "", 0, now);
+		sitectl_host_seen(k, &r->holder, "", 0, now);
 		k->controller_heard = now;
 	}
 }
@@ -186,7 +187,7 @@
  * requests; detection here takes less than half of that.
  */
 static void
-set_following(struct keeper *k, usec now)
+set_following(struct sitectl *k, usec now)
 {
 	int follow = k->acting || relay_due(k, now) ||
 	    now - k->follower_heard > NO_CONTROLLER_AFTER;
@@ -199,19 +200,19 @@
 		   : "The controller %s follows the store, heard %lld ms ago.",
 	    k->controller, (long long)((now - k->controller_heard) / 1000));
 	k->following = follow;
-	msg_post(k->s->kernel, "watch", follow ? MSG_FOLLOW : MSG_BE_TOLD, NULL,
-	    NULL);
+	msg_post(k->s->kernel, "watch",
+	    follow ? MSG_FOLLOW_STORE : MSG_FOLLOW_CONTROLLER, NULL, NULL);
 }
 
 /* Runs all periodic work. */
 static void
-tick(struct keeper *k, usec now)
+tick(struct sitectl *k, usec now)
 {
 	int i;
 
 	k->term.no_controller = now - k->controller_heard > NO_CONTROLLER_AFTER;
 	if (k->acting)
-		keeper_choose_standbys(k, now);
+		sitectl_choose_standbys(k, now);
 	term_tick(&k->term, now);
 	apply_term(k, now);
 	if (k->acting && term_may_renew(&k->term, now) && !k->resigned &&
@@ -229,46 +230,46 @@
 	forget_hosts(k, now);
 	fleet_relist_if_stale(k, now);
 	set_following(k, now);
-	keeper_yield_if_isolated(k, now);
-	keeper_yield_to_larger(k, now);
-	keeper_probe_store(k, now);
+	sitectl_yield_if_isolated(k, now);
+	sitectl_yield_to_larger(k, now);
+	sitectl_probe_store(k, now);
 }
 
 /* Continues an orderly stop, which releases control first. */
 static void
-stop_tick(struct keeper *k, usec now)
+stop_tick(struct sitectl *k, usec now)
 {
 	if (!k->stopping || k->stopped)
 		return;
-	keeper_release_control(k, now);
+	sitectl_release_control(k, now);
 	if (k->term.role == TERM_FOLLOWER || now > k->stop_by) {
 		k->stopped = 1;
-		kernel_done(k->s->kernel, "control");
+		kernel_step_done(k->s->kernel, "control");
 	}
 }
 
 /* Dispatches the result of a store call by its tag. */
 static void
-handle_store_result(struct keeper *k, const struct store *st, usec now)
+handle_store_result(struct sitectl *k, const struct store *st, usec now)
 {
 	if (strncmp(st->tag, "keys ", 5) == 0)
-		keeper_keys_done(k, st, now);
+		sitectl_keys_done(k, st, now);
 	else if (strcmp(st->tag, QUARANTINE_TAG) == 0)
 		quarantine_store_done(k, st, now);
 	else
-		keeper_record_done(k, st, now);
+		sitectl_record_done(k, st, now);
 }
 
 /* Dispatches a frame from another host by its type. */
 static void
-handle_frame(struct keeper *k, const struct msg *m, usec now)
+handle_frame(struct sitectl *k, const struct msg *m, usec now)
 {
 	switch (m->frame->body_case) {
 	case GSPAR__FRAME__BODY_PROMISE_ASK:
-		keeper_promise_request(k, m, now);
+		sitectl_promise_request(k, m, now);
 		break;
 	case GSPAR__FRAME__BODY_PROMISE:
-		keeper_promise_reply(k, m, now);
+		sitectl_promise_reply(k, m, now);
 		break;
 	case GSPAR__FRAME__BODY_OWNERS:
 		broadcast_receive(k, m->frame->owners, now);
@@ -295,14 +296,14 @@
 
 /* Replaces the site configuration; the controller pushes it to the hosts. */
 static void
-handle_site(struct keeper *k, struct msg *m, usec now)
+handle_site(struct sitectl *k, struct msg *m, usec now)
 {
 	struct shared *was = k->site;
 
 	k->site = NULL;
-	msg_keep(m, &k->site);
+	msg_take_snapshot(m, &k->site);
 	if (k->acting) {
-		keeper_add_services(k, now);
+		sitectl_add_services(k, now);
 		if (term_may_renew(&k->term, now) && !k->resigned &&
 		    !k->yielded)
 			site_broadcast(k, was == NULL ? NULL : was->p, now);
@@ -312,21 +313,21 @@
 
 /* Replaces the list of known targets. */
 static void
-handle_fleet(struct keeper *k, struct msg *m, usec now)
+handle_fleet(struct sitectl *k, struct msg *m, usec now)
 {
-	const struct fleet *was = keeper_fleet(k);
+	const struct fleet *was = sitectl_fleet(k);
 	int i;
 
 	if (was != NULL)
 		superseded_add(&k->fleet_superseded, was->digest, now);
-	msg_keep(m, &k->fleet);
+	msg_take_snapshot(m, &k->fleet);
 	for (i = 0; i < k->nkeys; i++)
 		keys_set_fleet(k->keys[i], k->fleet->p, now);
 }
 
 /* Begins an orderly stop.  The plan is NULL if memory ran out. */
 static void
-begin_stop(struct keeper *k, const struct stop_plan *plan, usec now)
+begin_stop(struct sitectl *k, const struct stop_plan *plan, usec now)
 {
 	k->stopping = 1;
 	k->handover_since = now;
@@ -335,19 +336,19 @@
 
 /* Handles one message and frees it. */
 static void
-handle_msg(struct keeper *k, struct msg *m, usec now)
+handle_msg(struct sitectl *k, struct msg *m, usec now)
 {
 	switch (m->kind) {
 	case MSG_FRAME:
 		handle_frame(k, m, now);
 		break;
-	case MSG_STORED:
+	case MSG_STORE_DONE:
 		handle_store_result(k, m->data, now);
 		break;
 	case MSG_SITE:
 		handle_site(k, m, now);
 		break;
-	case MSG_SITE_UNREAD:
+	case MSG_SITE_READ_FAILED:
 		behind_read_failed(&k->behind);
 		break;
 	case MSG_SITE_READ:
@@ -356,15 +357,15 @@
 	case MSG_FLEET:
 		handle_fleet(k, m, now);
 		break;
-	case MSG_FRESH:
+	case MSG_TARGETS_FRESH:
 		k->fresh = 1;
 		break;
-	case MSG_STALE:
+	case MSG_TARGETS_STALE:
 		k->fresh = 0;
 		break;
-	case MSG_HEAT:
+	case MSG_ROUTER_REPORT:
 		if (k->pending_report != NULL)
-			heat_report_free(k->pending_report);
+			router_report_free(k->pending_report);
 		k->pending_report = m->data;
 		m->data = NULL;
 		quarantine_add_seen(k, &k->pending_report->crashes, now);
@@ -384,9 +385,9 @@
 
 /* Runs the service's thread until MSG_QUIT. */
 static void
-keeper_run(struct service *s)
+sitectl_run(struct service *s)
 {
-	struct keeper *k = s->state;
+	struct sitectl *k = s->state;
 	struct msg *m;
 	int running;
 	usec now;
@@ -409,9 +410,9 @@
 
 /* Initialises the service; returns 0, or -1 if memory runs out. */
 static int
-keeper_open(struct service *s)
+sitectl_open(struct service *s)
 {
-	struct keeper *k;
+	struct sitectl *k;
 
 	k = calloc(1, sizeof(*k));
 	if (k == NULL || (k->multi = curl_multi_init()) == NULL) {
@@ -424,22 +425,22 @@
 	curl_multi_setopt(k->multi, CURLMOPT_MAXCONNECTS, (long)ORDER_CONNS);
 	k->controller_heard = clock_mono();
 	k->following = 1; /* as the watch service starts */
-	keeper_term_init(k);
+	sitectl_term_init(k);
 	ring_on_put(s->in, transfers_wake, k->multi);
 	return (0);
 }
 
 /* Frees the service's state. */
 static void
-keeper_close(struct service *s)
+sitectl_close(struct service *s)
 {
-	struct keeper *k = s->state;
+	struct sitectl *k = s->state;
 
 	ring_on_put(s->in, NULL, NULL);
 	orders_cancel(k);
-	keeper_drop_keys(k);
+	sitectl_drop_keys(k);
 	if (k->pending_report != NULL)
-		heat_report_free(k->pending_report);
+		router_report_free(k->pending_report);
 	shared_unref(k->site);
 	shared_unref(k->fleet);
 	shared_unref(k->fleet_sent);
@@ -448,5 +449,5 @@
 	free(k);
 }
 
-const struct service_ops keeper_service = {
-    "control", 16384, keeper_open, keeper_run, keeper_close};
+const struct service_ops sitectl_service = {
+    "control", 16384, sitectl_open, sitectl_run, sitectl_close};
--- a/gspard/keeper.h
+++ b/gspard/keeper.h
@@ -2,8 +2,8 @@
  * The control service of hosts that send to targets directly: the election of
  * the controller, the list of hosts and the ownership of keys.
  */
-#ifndef KEEPER_H
-#define KEEPER_H
+#ifndef SITECTL_H
+#define SITECTL_H
 
 #include <curl/curl.h>
 
@@ -19,9 +19,9 @@
 #include "target_ops.h"
 #include "term.h"
 
-#define KEEPER_HOSTS_MAX 512
-#define KEEPER_SERVICES_MAX 16
-#define ASKED_KEPT 64
+#define SITECTL_HOSTS_MAX 512
+#define SITECTL_SERVICES_MAX 16
+#define SITECTL_PROMISES_MAX 64
 /*
  * If a host's reports show that it lacks an update that was sent, the update is
  * sent again after this time.
@@ -35,14 +35,14 @@
 #define RANGE_MOVING_UNTIL 2u
 
 /* Request counts and target latencies since the router's last report. */
-struct heat_keys {
+struct reported_keys {
 	char service[NAME_MAX_GS];
 	struct heat heat;
 };
 
-struct heat_target {
+struct reported_target {
 	char id[NAME_MAX_GS];
-	double speed;
+	double latency_ratio;
 	double limit; /* requests per second that it allows; negative if none */
 	int answers;
 };
@@ -59,23 +59,23 @@
 	Gspar__Quarantined *list[QUARANTINE_ENTRIES_MAX];
 };
 
-struct heat_report {
-	struct heat_keys *keys;
+struct router_report {
+	struct reported_keys *keys;
 	int nkeys;
-	struct heat_target *targets;
+	struct reported_target *targets;
 	int ntargets;
 	struct crash_report crashes;
 };
 
-struct heat_report *heat_report_new(int services);
-void heat_report_keys(
-    struct heat_report *, const char *service, const struct heat *);
-void heat_report_target(struct heat_report *, const char *id, double speed,
-    double limit, int answers);
-void heat_report_free(void *);
+struct router_report *router_report_new(int services);
+void router_report_keys(
+    struct router_report *, const char *service, const struct heat *);
+void router_report_target(struct router_report *, const char *id,
+    double latency_ratio, double limit, int answers);
+void router_report_free(void *);
 
 /* A host as the other hosts know it, and what the controller sent to it. */
-struct keeper_host {
+struct sitectl_host {
 	struct member process;
 	char dc[NAME_MAX_GS];
 	usec last_heard;
@@ -94,12 +94,14 @@
 	int stopping;
 };
 
-struct keeper {
+struct sitectl {
 	struct service *s;
 	const struct target_ops *ops;
 	struct term term;
 	uint64_t promise_seq;
-	usec asked_at[ASKED_KEPT]; /* of promise requests, by sequence number */
+	usec
+	    promise_requested_at[SITECTL_PROMISES_MAX]; /* of promise requests,
+							   by sequence number */
 	char controller[NAME_MAX_GS];
 	uint64_t controller_term;
 	usec controller_heard;	   /* when it was last heard */
@@ -108,10 +110,10 @@
 	usec next_standbys;
 	usec store_answered_at; /* last successful call for the record */
 
-	struct keeper_host hosts[KEEPER_HOSTS_MAX];
+	struct sitectl_host hosts[SITECTL_HOSTS_MAX];
 	int nhosts;
 	int hosts_changed;
-	struct keys *keys[KEEPER_SERVICES_MAX];
+	struct keys *keys[SITECTL_SERVICES_MAX];
 	int nkeys;
 	int acting; /* this host is the controller */
 	struct shared *site;
@@ -130,8 +132,8 @@
 	struct pace site_pace;	   /* of copies that hosts requested */
 	int site_pushed;	   /* was small enough to be pushed */
 	int site_request; /* request it with the next report or heartbeat */
-	char site_source[NAME_MAX_GS];	    /* a host that has a newer one */
-	struct heat_report *pending_report; /* from the router, to be sent */
+	char site_source[NAME_MAX_GS];	      /* a host that has a newer one */
+	struct router_report *pending_report; /* from the router, to be sent */
 
 	/* Requests that crash targets: what was seen, what is quarantined. */
 	struct quarantine quarantine;
@@ -168,88 +170,89 @@
 };
 
 /* keeper.c */
-struct keeper_host *keeper_host(struct keeper *, const char *name);
-const char *keeper_self(const struct keeper *);
-const struct site *keeper_site(const struct keeper *);
-const struct fleet *keeper_fleet(const struct keeper *);
-int keeper_host_up(const struct keeper_host *, usec now);
-void keeper_host_seen(struct keeper *, const struct member *, const char *dc,
+struct sitectl_host *sitectl_host(struct sitectl *, const char *name);
+const char *sitectl_self(const struct sitectl *);
+const struct site *sitectl_site(const struct sitectl *);
+const struct fleet *sitectl_fleet(const struct sitectl *);
+int sitectl_host_up(const struct sitectl_host *, usec now);
+void sitectl_host_seen(struct sitectl *, const struct member *, const char *dc,
     int stopping, usec now);
-void keeper_publish_peers(struct keeper *);
+void sitectl_publish_peers(struct sitectl *);
 
 /* keeper_term.c */
-void keeper_term_init(struct keeper *);
-int keeper_is_standby(const struct keeper *);
-void keeper_choose_standbys(struct keeper *, usec now);
-void keeper_yield_if_isolated(struct keeper *, usec now);
-void keeper_yield_to_larger(struct keeper *, usec now);
-void keeper_release_control(struct keeper *, usec now);
-void keeper_probe_store(struct keeper *, usec now);
-int keeper_capacity(const struct keeper *);
-void keeper_record_done(struct keeper *, const struct store *, usec now);
-void keeper_promise_request(struct keeper *, const struct msg *, usec now);
-void keeper_promise_reply(struct keeper *, const struct msg *, usec now);
-
-/* keeper_keys.c */
-struct keys *keeper_keys(struct keeper *, const char *service);
-void keeper_add_services(struct keeper *, usec now);
-void keeper_drop_keys(struct keeper *);
-void keeper_keys_done(struct keeper *, const struct store *, usec now);
-enum put_result keeper_put_result(const struct store *);
+void sitectl_term_init(struct sitectl *);
+int sitectl_is_standby(const struct sitectl *);
+void sitectl_choose_standbys(struct sitectl *, usec now);
+void sitectl_yield_if_isolated(struct sitectl *, usec now);
+void sitectl_yield_to_larger(struct sitectl *, usec now);
+void sitectl_release_control(struct sitectl *, usec now);
+void sitectl_probe_store(struct sitectl *, usec now);
+int sitectl_capacity(const struct sitectl *);
+void sitectl_record_done(struct sitectl *, const struct store *, usec now);
+void sitectl_promise_request(struct sitectl *, const struct msg *, usec now);
+void sitectl_promise_reply(struct sitectl *, const struct msg *, usec now);
+
+/* sitectl_keys.c */
+struct keys *sitectl_keys(struct sitectl *, const char *service);
+void sitectl_add_services(struct sitectl *, usec now);
+void sitectl_drop_keys(struct sitectl *);
+void sitectl_keys_done(struct sitectl *, const struct store *, usec now);
+enum put_result sitectl_put_result(const struct store *);
 
 /* keeper_order.c */
-void order_send(struct keeper *, const char *service, const struct key_order *);
-void orders_reap(struct keeper *, usec now);
-void orders_cancel(struct keeper *);
-
-/* keeper_fleet.c */
-void fleet_broadcast(struct keeper *, usec now);
-void fleet_check_host(struct keeper *, const char *host, uint64_t, usec now);
-void fleet_receive(struct keeper *, const Gspar__FleetTold *, usec now);
-void fleet_relist_if_stale(struct keeper *, usec now);
-void fleet_receive_relay(struct keeper *, const Gspar__StoreNews *, usec now);
+void order_send(
+    struct sitectl *, const char *service, const struct key_order *);
+void orders_reap(struct sitectl *, usec now);
+void orders_cancel(struct sitectl *);
+
+/* sitectl_fleet.c */
+void fleet_broadcast(struct sitectl *, usec now);
+void fleet_check_host(struct sitectl *, const char *host, uint64_t, usec now);
+void fleet_receive(struct sitectl *, const Gspar__FleetTold *, usec now);
+void fleet_relist_if_stale(struct sitectl *, usec now);
+void fleet_receive_relay(struct sitectl *, const Gspar__StoreNews *, usec now);
 void fleet_fill_target(
     Gspar__TargetTold *, const struct fleet_target *, usec now);
 size_t fleet_fill_evacuations(const struct evacuations *, Gspar__Evacuation *,
     Gspar__Evacuation **, usec now);
 
 /* keeper_relay.c */
-int relay_due(const struct keeper *, usec now);
-void relay_tick(struct keeper *, usec now);
-void relay_receive(struct keeper *, const Gspar__StoreNews *, usec now);
+int relay_due(const struct sitectl *, usec now);
+void relay_tick(struct sitectl *, usec now);
+void relay_receive(struct sitectl *, const Gspar__StoreNews *, usec now);
 
 /* keeper_spread.c */
-uint64_t owners_number(const struct keeper *);
-void broadcast_tick(struct keeper *, usec now);
-void broadcast_resignation(struct keeper *, usec now);
-void owners_publish(struct keeper *, struct owners *);
-void report_tick(struct keeper *, usec now);
+uint64_t owners_number(const struct sitectl *);
+void broadcast_tick(struct sitectl *, usec now);
+void broadcast_resignation(struct sitectl *, usec now);
+void owners_publish(struct sitectl *, struct owners *);
+void report_tick(struct sitectl *, usec now);
 void report_receive(
-    struct keeper *, const char *host, const Gspar__HostReport *, usec now);
+    struct sitectl *, const char *host, const Gspar__HostReport *, usec now);
 
 /* keeper_quarantine.c */
 #define QUARANTINE_TAG "quarantine"
 void quarantine_add_seen(
-    struct keeper *, const struct crash_report *, usec now);
-void quarantine_conn_refused(struct keeper *, const char *target, usec now);
-void quarantine_fill_report(struct keeper *, Gspar__HostReport *, usec now);
-void quarantine_receive_report(
-    struct keeper *, struct keeper_host *, const Gspar__HostReport *, usec now);
+    struct sitectl *, const struct crash_report *, usec now);
+void quarantine_conn_refused(struct sitectl *, const char *target, usec now);
+void quarantine_fill_report(struct sitectl *, Gspar__HostReport *, usec now);
+void quarantine_receive_report(struct sitectl *, struct sitectl_host *,
+    const Gspar__HostReport *, usec now);
 void quarantine_receive(
-    struct keeper *, const Gspar__QuarantineTold *, usec now);
-void quarantine_tick(struct keeper *, usec now);
-void quarantine_store_done(struct keeper *, const struct store *, usec now);
-
-/* keeper_site.c */
-void site_control_began(struct keeper *);
-void site_broadcast(struct keeper *, const struct site *was, usec now);
-void site_receive_report(
-    struct keeper *, struct keeper_host *, const Gspar__HostReport *, usec now);
-void site_receive_heartbeat(struct keeper *, const Gspar__Owners *, usec now);
-void site_tick(struct keeper *, usec now);
-void site_receive(struct keeper *, const Gspar__SiteTold *);
+    struct sitectl *, const Gspar__QuarantineTold *, usec now);
+void quarantine_tick(struct sitectl *, usec now);
+void quarantine_store_done(struct sitectl *, const struct store *, usec now);
+
+/* sitectl_site.c */
+void site_control_began(struct sitectl *);
+void site_broadcast(struct sitectl *, const struct site *was, usec now);
+void site_receive_report(struct sitectl *, struct sitectl_host *,
+    const Gspar__HostReport *, usec now);
+void site_receive_heartbeat(struct sitectl *, const Gspar__Owners *, usec now);
+void site_tick(struct sitectl *, usec now);
+void site_receive(struct sitectl *, const Gspar__SiteTold *);
 
 /* keeper_hear.c */
-void broadcast_receive(struct keeper *, const Gspar__Owners *, usec now);
+void broadcast_receive(struct sitectl *, const Gspar__Owners *, usec now);
 
 #endif
--- a/gspard/keeper_fleet.c
+++ b/gspard/keeper_fleet.c
@@ -84,10 +84,10 @@
  * is NULL, to the named host, or to all hosts if that is NULL.
  */
 static void
-send_targets(struct keeper *k, const struct fleet *f, const struct fleet *was,
+send_targets(struct sitectl *k, const struct fleet *f, const struct fleet *was,
     const char *host, usec now)
 {
-	const char *self = keeper_self(k);
+	const char *self = sitectl_self(k);
 	Gspar__Frame fr = GSPAR__FRAME__INIT;
 	Gspar__FleetTold w = GSPAR__FLEET_TOLD__INIT;
 	Gspar__TargetTold *entries;
@@ -120,7 +120,7 @@
 	fr.fleet_told = &w;
 	for (i = 0; i < k->nhosts; i++) {
 		if (host != NULL ? strcmp(k->hosts[i].process.host, host) == 0
-				 : keeper_host_up(&k->hosts[i], now) &&
+				 : sitectl_host_up(&k->hosts[i], now) &&
 			    strcmp(k->hosts[i].process.host, self) != 0)
 			send_frame(
 			    k->s->kernel, k->hosts[i].process.host, 0, &fr);
@@ -135,9 +135,9 @@
  * hosts with few changes.
  */
 void
-fleet_broadcast(struct keeper *k, usec now)
+fleet_broadcast(struct sitectl *k, usec now)
 {
-	const struct fleet *f = keeper_fleet(k);
+	const struct fleet *f = sitectl_fleet(k);
 	const struct fleet *was =
 	    k->fleet_sent == NULL ? NULL : k->fleet_sent->p;
 
@@ -152,10 +152,10 @@
 
 /* Sends all targets to a host whose report shows a different list. */
 void
-fleet_check_host(struct keeper *k, const char *host, uint64_t digest, usec now)
+fleet_check_host(struct sitectl *k, const char *host, uint64_t digest, usec now)
 {
-	const struct fleet *f = keeper_fleet(k);
-	struct keeper_host *h = keeper_host(k, host);
+	const struct fleet *f = sitectl_fleet(k);
+	struct sitectl_host *h = sitectl_host(k, host);
 
 	if (f == NULL || digest == f->digest ||
 	    superseded_within(
@@ -218,14 +218,14 @@
 
 /* Passes another host's targets to the watch service, which owns the list. */
 static void
-pass_to_watch(struct keeper *k, struct fleet *f)
+pass_to_watch(struct sitectl *k, struct fleet *f)
 {
-	msg_post(k->s->kernel, "watch", MSG_FLEET_TOLD, f, fleet_free);
+	msg_post(k->s->kernel, "watch", MSG_FLEET_RECEIVED, f, fleet_free);
 }
 
 /* Handles targets that the controller sent. */
 void
-fleet_receive(struct keeper *k, const Gspar__FleetTold *w, usec now)
+fleet_receive(struct sitectl *k, const Gspar__FleetTold *w, usec now)
 {
 	struct fleet *f;
 
@@ -243,7 +243,7 @@
  * cannot.
  */
 void
-fleet_receive_relay(struct keeper *k, const Gspar__StoreNews *w, usec now)
+fleet_receive_relay(struct sitectl *k, const Gspar__StoreNews *w, usec now)
 {
 	struct fleet *f = read_targets(w->targets, w->n_targets);
 
@@ -261,9 +261,9 @@
  * in use here.
  */
 void
-fleet_relist_if_stale(struct keeper *k, usec now)
+fleet_relist_if_stale(struct sitectl *k, usec now)
 {
-	const struct fleet *f = keeper_fleet(k);
+	const struct fleet *f = sitectl_fleet(k);
 
 	if (k->acting || f == NULL || k->controller_fleet == 0 ||
 	    k->controller_fleet == f->digest) {
--- a/gspard/keeper_hear.c
+++ b/gspard/keeper_hear.c
@@ -44,7 +44,7 @@
  * out.
  */
 static struct owners *
-read_owners(const struct keeper *k, const Gspar__Owners *w, usec now)
+read_owners(const struct sitectl *k, const Gspar__Owners *w, usec now)
 {
 	struct owners *o;
 	size_t i;
@@ -81,7 +81,7 @@
  * sends a whole one.
  */
 static struct owners *
-apply_difference(const struct keeper *k, struct owners *d, uint64_t since)
+apply_difference(const struct sitectl *k, struct owners *d, uint64_t since)
 {
 	const struct owners *base = k->owners == NULL ? NULL : k->owners->p;
 	struct owners *o = NULL;
@@ -94,7 +94,7 @@
 
 /* Handles a host that the controller lists. */
 static void
-receive_host_addr(struct keeper *k, const Gspar__HostAddr *w, usec now)
+receive_host_addr(struct sitectl *k, const Gspar__HostAddr *w, usec now)
 {
 	struct member m;
 
@@ -102,7 +102,7 @@
 	name_copy(m.host, sizeof(m.host), w->host);
 	name_copy(m.addr, sizeof(m.addr), w->addr);
 	m.boot = w->boot;
-	keeper_host_seen(k, &m, w->dc, 0, now);
+	sitectl_host_seen(k, &m, w->dc, 0, now);
 }
 
 /*
@@ -111,9 +111,9 @@
  * give all hosts the same rank, and with it the same turn at limited targets.
  */
 static void
-receive_host_list(struct keeper *k, const Gspar__Owners *w, usec now)
+receive_host_list(struct sitectl *k, const Gspar__Owners *w, usec now)
 {
-	struct keeper_host *h;
+	struct sitectl_host *h;
 	size_t i;
 	int n;
 
@@ -121,7 +121,7 @@
 		k->hosts[n].listed_at = 0;
 	for (i = 0; i < w->n_hosts; i++) {
 		receive_host_addr(k, w->hosts[i], now);
-		if ((h = keeper_host(k, w->hosts[i]->host)) != NULL)
+		if ((h = sitectl_host(k, w->hosts[i]->host)) != NULL)
 			h->listed_at = now;
 	}
 	for (n = 0; n < k->nhosts; n++) {
@@ -132,7 +132,7 @@
 
 /* Handles a heartbeat or owners from the controller. */
 void
-broadcast_receive(struct keeper *k, const Gspar__Owners *w, usec now)
+broadcast_receive(struct sitectl *k, const Gspar__Owners *w, usec now)
 {
 	struct owners *o;
 
--- a/gspard/keeper_keys.c
+++ b/gspard/keeper_keys.c
@@ -39,7 +39,7 @@
 static void
 get_owners(void *arg, const char *service)
 {
-	struct keeper *k = arg;
+	struct sitectl *k = arg;
 	struct store *st = owners_store(STORE_GET, service);
 
 	if (st != NULL)
@@ -50,13 +50,13 @@
 static void
 put_owners(void *arg, const char *service, uint64_t base, const char *json)
 {
-	struct keeper *k = arg;
+	struct sitectl *k = arg;
 	struct store *st = owners_store(STORE_PUT, service);
 
 	if (st == NULL)
 		return;
 	st->base = base;
-	st->gen = keys_write_id(keeper_keys(k, service));
+	st->generation = keys_write_id(sitectl_keys(k, service));
 	str_set(&st->body, json, strlen(json));
 	store_send(k->s->kernel, st);
 }
@@ -65,7 +65,7 @@
 static void
 send_order(void *arg, const char *service, const struct key_order *o)
 {
-	struct keeper *k = arg;
+	struct sitectl *k = arg;
 
 	/*
 	 * The clock is read again: a host that was suspended since the tick
@@ -73,7 +73,7 @@
 	 * another controller grants the same keys to other targets.
 	 */
 	if (!term_may_renew(&k->term, clock_mono())) {
-		keys_order_done(keeper_keys(k, service), clock_mono(), o->id,
+		keys_order_done(sitectl_keys(k, service), clock_mono(), o->id,
 		    ORDER_NOT_SENT, "");
 		return;
 	}
@@ -92,7 +92,7 @@
 
 /* Returns the key rules of a service, or NULL. */
 struct keys *
-keeper_keys(struct keeper *k, const char *service)
+sitectl_keys(struct sitectl *k, const char *service)
 {
 	int i;
 
@@ -105,14 +105,14 @@
 
 /* Creates the key rules of a new keyed service. */
 static void
-add_keys(struct keeper *k, const struct site_service *v, usec now)
+add_keys(struct sitectl *k, const struct site_service *v, usec now)
 {
 	const struct bounds *b = &kernel_conf(k->s->kernel)->bounds;
 	struct keys_conf kc = {HOLD_TIME, HOLD_TIME, GRANT_TIMEOUT, SETTLE_TIME,
 	    v->cold_start, v->cold_rate > 0};
 	struct keys *ks;
 
-	if (k->nkeys == KEEPER_SERVICES_MAX ||
+	if (k->nkeys == SITECTL_SERVICES_MAX ||
 	    (ks = calloc(1, sizeof(*ks))) == NULL)
 		return;
 	if (kc.hold > MS(b->hold_max_ms))
@@ -131,9 +131,9 @@
  * needs them.
  */
 void
-keeper_add_services(struct keeper *k, usec now)
+sitectl_add_services(struct sitectl *k, usec now)
 {
-	const struct site *t = keeper_site(k);
+	const struct site *t = sitectl_site(k);
 	const struct site_service *v;
 	struct keys *ks;
 	int i;
@@ -142,7 +142,7 @@
 		v = &t->services[i];
 		if (!v->keyed)
 			continue;
-		if ((ks = keeper_keys(k, v->name)) == NULL)
+		if ((ks = sitectl_keys(k, v->name)) == NULL)
 			add_keys(k, v, now);
 		else
 			keys_set_cold_start(
@@ -152,7 +152,7 @@
 
 /* Frees the key rules of all services. */
 void
-keeper_drop_keys(struct keeper *k)
+sitectl_drop_keys(struct sitectl *k)
 {
 	int i;
 
@@ -165,7 +165,7 @@
 
 /* Returns the outcome of a write to the store. */
 enum put_result
-keeper_put_result(const struct store *st)
+sitectl_put_result(const struct store *st)
 {
 	if (st->result == STORE_DONE)
 		return (PUT_DONE);
@@ -174,16 +174,16 @@
 
 /* Handles the result of a store call for the owners of a service's keys. */
 void
-keeper_keys_done(struct keeper *k, const struct store *st, usec now)
+sitectl_keys_done(struct sitectl *k, const struct store *st, usec now)
 {
-	struct keys *ks = keeper_keys(k, st->tag + 5);
+	struct keys *ks = sitectl_keys(k, st->tag + 5);
 
 	if (ks == NULL)
 		return;
 	if (st->op == STORE_PUT)
-		keys_put_done(
-		    ks, now, st->gen, keeper_put_result(st), st->version);
-	else if (st->result == STORE_DONE || st->result == STORE_ABSENT)
+		keys_put_done(ks, now, st->generation, sitectl_put_result(st),
+		    st->version);
+	else if (st->result == STORE_DONE || st->result == STORE_NOT_FOUND)
 		keys_get_done(ks, now, st->result == STORE_DONE, st->version,
 		    st->body.p, st->body.n);
 	else
--- a/gspard/keeper_order.c
+++ b/gspard/keeper_order.c
@@ -43,19 +43,19 @@
 	struct linger l = {1, 0};
 
 	setsockopt(fd, SOL_SOCKET, SO_LINGER, &l, sizeof(l));
-	return (transfer_alive(arg, fd, purpose));
+	return (transfer_set_keepalive(arg, fd, purpose));
 }
 
 /* Frees a call; aborts one in progress. */
 static void
-order_call_free(struct keeper *k, struct order_call *c)
+order_call_free(struct sitectl *k, struct order_call *c)
 {
 	*c->link = c->next;
 	if (c->next != NULL)
 		c->next->link = c->link;
 	curl_multi_remove_handle(k->multi, c->t.easy);
 	curl_easy_cleanup(c->t.easy);
-	transfer_end(&c->t);
+	transfer_free(&c->t);
 	free(c);
 }
 
@@ -67,13 +67,13 @@
 	const char *path = c->t.ops->order(&c->order, c->body, sizeof(c->body));
 
 	snprintf(url, sizeof(url), "http://%s%s", c->order.addr, path);
-	c->t.heads =
-	    curl_slist_append(c->t.heads, "Content-Type: application/json");
-	c->t.heads = curl_slist_append(c->t.heads, "Expect:");
-	c->t.heads = curl_slist_append(c->t.heads, "Accept:");
+	c->t.headers =
+	    curl_slist_append(c->t.headers, "Content-Type: application/json");
+	c->t.headers = curl_slist_append(c->t.headers, "Expect:");
+	c->t.headers = curl_slist_append(c->t.headers, "Accept:");
 	c->t.ops->expect(c->order.target, line, sizeof(line));
-	c->t.heads = curl_slist_append(c->t.heads, line);
-	transfer_set(&c->t, url, CONNECT_TIMEOUT_MS);
+	c->t.headers = curl_slist_append(c->t.headers, line);
+	transfer_set_options(&c->t, url, CONNECT_TIMEOUT_MS);
 	curl_easy_setopt(c->t.easy, CURLOPT_PRIVATE, c);
 	curl_easy_setopt(c->t.easy, CURLOPT_TIMEOUT_MS, wait_ms);
 	curl_easy_setopt(c->t.easy, CURLOPT_POSTFIELDS, c->body);
@@ -83,9 +83,9 @@
 
 /* Starts the call of an order. */
 void
-order_send(struct keeper *k, const char *service, const struct key_order *o)
+order_send(struct sitectl *k, const char *service, const struct key_order *o)
 {
-	struct keys *keys = keeper_keys(k, service);
+	struct keys *keys = sitectl_keys(k, service);
 	struct order_call *c;
 	long wait = o->release ? RELEASE_TIMEOUT_MS
 			       : (long)(keys->conf.order_timeout / 1000);
@@ -112,18 +112,19 @@
 
 /* Reports the outcome of an order to the key rules and frees its call. */
 static void
-order_done(struct keeper *k, struct order_call *c, CURLcode res, usec now)
+order_done(struct sitectl *k, struct order_call *c, CURLcode res, usec now)
 {
-	struct keys *keys = keeper_keys(k, c->service);
+	struct keys *keys = sitectl_keys(k, c->service);
 	long status = 0;
 
 	curl_easy_getinfo(c->t.easy, CURLINFO_RESPONSE_CODE, &status);
 	if (res == CURLE_COULDNT_CONNECT)
 		quarantine_conn_refused(k, c->order.target, now);
-	if (!c->t.begun)
+	if (!c->t.maybe_sent)
 		status = ORDER_NOT_SENT;
 	else if (res != CURLE_OK || status == 421 || status >= 500)
-		status = c->t.opened ? ORDER_NO_REPLY_NEW_CONN : ORDER_NO_REPLY;
+		status =
+		    c->t.new_conn ? ORDER_NO_REPLY_NEW_CONN : ORDER_NO_REPLY;
 	if (status != 200) {
 		count_add(C_GRANTS_FAILED, 1);
 		log_line(LOG_INFO, "control",
@@ -144,13 +145,13 @@
 
 /* Aborts grants without a reply on a reused connection. */
 static void
-expire_silent_grants(struct keeper *k, usec now)
+expire_silent_grants(struct sitectl *k, usec now)
 {
 	struct order_call *c, *next;
 
 	for (c = k->calls; c != NULL; c = next) {
 		next = c->next;
-		if (!c->order.release && c->t.begun && !c->t.opened &&
+		if (!c->order.release && c->t.maybe_sent && !c->t.new_conn &&
 		    now - c->sent > REUSED_CONN_TIMEOUT)
 			order_done(k, c, CURLE_OPERATION_TIMEDOUT, now);
 	}
@@ -158,7 +159,7 @@
 
 /* Handles all completed orders and expired grants. */
 void
-orders_reap(struct keeper *k, usec now)
+orders_reap(struct sitectl *k, usec now)
 {
 	struct order_call *c;
 	CURLMsg *m;
@@ -177,7 +178,7 @@
 
 /* Aborts all orders in progress. */
 void
-orders_cancel(struct keeper *k)
+orders_cancel(struct sitectl *k)
 {
 	while (k->calls != NULL)
 		order_call_free(k, k->calls);
--- a/gspard/keeper_quarantine.c
+++ b/gspard/keeper_quarantine.c
@@ -26,7 +26,7 @@
 
 /* Sends the list to the router. */
 static void
-publish(struct keeper *k)
+publish(struct sitectl *k)
 {
 	struct quarantine_list *l = malloc(sizeof(*l));
 	struct shared *sh = l == NULL ? NULL : shared_new(l, free);
@@ -59,13 +59,13 @@
 
 /* Sends the list to the named host, or to all hosts if that is NULL. */
 static void
-send_list(struct keeper *k, const char *host, usec now)
+send_list(struct sitectl *k, const char *host, usec now)
 {
 	Gspar__Frame f = GSPAR__FRAME__INIT;
 	Gspar__QuarantineTold w = GSPAR__QUARANTINE_TOLD__INIT;
 	Gspar__Quarantined items[QUARANTINE_ENTRIES_MAX],
 	    *list[QUARANTINE_ENTRIES_MAX];
-	struct keeper_host *h;
+	struct sitectl_host *h;
 	int i;
 
 	w.term = k->term.rec.term;
@@ -76,10 +76,10 @@
 	for (i = 0; i < k->nhosts; i++) {
 		h = &k->hosts[i];
 		if (host != NULL ? strcmp(h->process.host, host) != 0
-				 : !keeper_host_up(h, now))
+				 : !sitectl_host_up(h, now))
 			continue;
 		h->quarantine_sent_at = now;
-		if (strcmp(h->process.host, keeper_self(k)) != 0)
+		if (strcmp(h->process.host, sitectl_self(k)) != 0)
 			send_frame(k->s->kernel, h->process.host, 0, &f);
 	}
 }
@@ -127,7 +127,7 @@
  * publishes it and, as controller, sends it to all hosts.
  */
 static void
-refresh(struct keeper *k, usec now)
+refresh(struct sitectl *k, usec now)
 {
 	struct quarantine_list was = k->quarantined;
 
@@ -145,7 +145,7 @@
 
 /* Adds what this host's router has seen. */
 void
-quarantine_add_seen(struct keeper *k, const struct crash_report *n, usec now)
+quarantine_add_seen(struct sitectl *k, const struct crash_report *n, usec now)
 {
 	int i;
 
@@ -163,7 +163,7 @@
 
 /* Records that a target has ended, as it refused the connection of an order. */
 void
-quarantine_conn_refused(struct keeper *k, const char *target, usec now)
+quarantine_conn_refused(struct sitectl *k, const char *target, usec now)
 {
 	quarantine_add_end(&k->quarantine, incarnation_digest(target), now);
 }
@@ -199,7 +199,7 @@
  * received them.
  */
 static void
-add_crashes(const struct keeper *k, Gspar__HostReport *w,
+add_crashes(const struct sitectl *k, Gspar__HostReport *w,
     struct quarantine_report_buf *buf)
 {
 	struct quarantine_break b = {.sends = 1};
@@ -219,7 +219,7 @@
 
 /* Fills in the crash data and the quarantine list of a report. */
 void
-quarantine_fill_report(struct keeper *k, Gspar__HostReport *w, usec now)
+quarantine_fill_report(struct sitectl *k, Gspar__HostReport *w, usec now)
 {
 	const struct quarantine *q = &k->quarantine;
 	struct quarantine_report_buf *buf = &k->report_buf;
@@ -271,14 +271,14 @@
 
 /* True if a host is this one. */
 static int
-is_self(const struct keeper *k, const struct keeper_host *h)
+is_self(const struct sitectl *k, const struct sitectl_host *h)
 {
-	return (strcmp(h->process.host, keeper_self(k)) == 0);
+	return (strcmp(h->process.host, sitectl_self(k)) == 0);
 }
 
 /* Handles the crash data of a host's report, as controller. */
 void
-quarantine_receive_report(struct keeper *k, struct keeper_host *h,
+quarantine_receive_report(struct sitectl *k, struct sitectl_host *h,
     const Gspar__HostReport *w, usec now)
 {
 	uint64_t source = XXH3_64bits_withSeed(
@@ -314,7 +314,7 @@
 
 /* Handles the controller's list. */
 void
-quarantine_receive(struct keeper *k, const Gspar__QuarantineTold *w, usec now)
+quarantine_receive(struct sitectl *k, const Gspar__QuarantineTold *w, usec now)
 {
 	struct quarantine_list l;
 
@@ -326,7 +326,7 @@
 
 /* Reads the list from the store or writes it. */
 static void
-call_store(struct keeper *k, enum store_op op, usec now)
+call_store(struct sitectl *k, enum store_op op, usec now)
 {
 	struct store *st = store_new(op, "control", QUARANTINE_PATH);
 	struct quarantine_list l;
@@ -335,11 +335,11 @@
 	if (st == NULL)
 		return;
 	name_copy(st->tag, sizeof(st->tag), QUARANTINE_TAG);
-	st->stale = !k->acting;
+	st->allow_stale = !k->acting;
 	if (op == STORE_PUT) {
 		quarantine_confirmed(&k->quarantined, &l);
 		st->base = k->quarantine_version;
-		st->gen = quarantine_checksum(&l);
+		st->generation = quarantine_checksum(&l);
 		quarantine_write(&l, &st->body, now);
 	}
 	k->quarantine_pending = 1;
@@ -348,7 +348,7 @@
 
 /* True if the stored list differs from the one in force. */
 static int
-needs_write(const struct keeper *k)
+needs_write(const struct sitectl *k)
 {
 	struct quarantine_list l;
 
@@ -362,7 +362,7 @@
  * READ_INTERVAL.
  */
 void
-quarantine_tick(struct keeper *k, usec now)
+quarantine_tick(struct sitectl *k, usec now)
 {
 	refresh(k, now);
 	if (!k->acting)
@@ -379,7 +379,7 @@
 
 /* Handles the result of a store call for the list. */
 void
-quarantine_store_done(struct keeper *k, const struct store *st, usec now)
+quarantine_store_done(struct sitectl *k, const struct store *st, usec now)
 {
 	struct quarantine_list l;
 	int i;
@@ -389,10 +389,10 @@
 		/* The outcome of a failed write is unknown: read the list. */
 		k->quarantine_known = st->result == STORE_DONE;
 		k->quarantine_version = st->version;
-		k->quarantine_stored = st->gen;
+		k->quarantine_stored = st->generation;
 		return;
 	}
-	if (st->result != STORE_DONE && st->result != STORE_ABSENT)
+	if (st->result != STORE_DONE && st->result != STORE_NOT_FOUND)
 		return;
 	l.n = 0;
 	if (st->result == STORE_DONE &&
--- a/gspard/keeper_relay.c
+++ b/gspard/keeper_relay.c
@@ -19,12 +19,12 @@
  * not: the broadcasts would take all of its processor.
  */
 int
-relay_due(const struct keeper *k, usec now)
+relay_due(const struct sitectl *k, usec now)
 {
-	return (!k->acting && keeper_is_standby(k) &&
+	return (!k->acting && sitectl_is_standby(k) &&
 	    (!k->controller_follows ||
 		now - k->controller_heard > RELAY_AFTER) &&
-	    !strained(keeper_capacity(k), k->nhosts));
+	    !strained(sitectl_capacity(k), k->nhosts));
 }
 
 /* Lists the targets that get no new requests; returns how many. */
@@ -47,13 +47,13 @@
 
 /* Broadcasts to all other hosts. */
 static void
-broadcast(struct keeper *k, const struct fleet *f, usec now)
+broadcast(struct sitectl *k, const struct fleet *f, usec now)
 {
 	Gspar__Frame fr = GSPAR__FRAME__INIT;
 	Gspar__StoreNews w = GSPAR__STORE_NEWS__INIT;
 	Gspar__Evacuation items[EVACUATIONS_MAX], *list[EVACUATIONS_MAX];
 	Gspar__TargetTold *entries, **targets;
-	const struct site *t = keeper_site(k);
+	const struct site *t = sitectl_site(k);
 	int i;
 
 	entries = calloc((size_t)f->ntargets + 1, sizeof(*entries));
@@ -71,7 +71,7 @@
 	fr.body_case = GSPAR__FRAME__BODY_STORE_NEWS;
 	fr.store_news = &w;
 	for (i = 0; i < k->nhosts; i++) {
-		if (strcmp(k->hosts[i].process.host, keeper_self(k)) != 0)
+		if (strcmp(k->hosts[i].process.host, sitectl_self(k)) != 0)
 			send_frame(
 			    k->s->kernel, k->hosts[i].process.host, 0, &fr);
 	}
@@ -82,9 +82,9 @@
 
 /* Broadcasts at each interval if this host relays and the store answers it. */
 void
-relay_tick(struct keeper *k, usec now)
+relay_tick(struct sitectl *k, usec now)
 {
-	const struct fleet *f = keeper_fleet(k);
+	const struct fleet *f = sitectl_fleet(k);
 
 	if (!relay_due(k, now) || !k->fresh || f == NULL || now < k->next_relay)
 		return;
@@ -95,9 +95,9 @@
 
 /* Handles the broadcast of a standby. */
 void
-relay_receive(struct keeper *k, const Gspar__StoreNews *w, usec now)
+relay_receive(struct sitectl *k, const Gspar__StoreNews *w, usec now)
 {
-	const struct site *t = keeper_site(k);
+	const struct site *t = sitectl_site(k);
 
 	if (k->acting || w->term < k->controller_term)
 		return;
--- a/gspard/keeper_report.c
+++ b/gspard/keeper_report.c
@@ -27,7 +27,7 @@
 
 /* Encodes what the router has measured. */
 static void
-fill_report(Gspar__HostReport *w, const struct heat_report *h,
+fill_report(Gspar__HostReport *w, const struct router_report *h,
     Gspar__KeyHeat *keys, Gspar__KeyHeat **klist, Gspar__TargetLearnt *targets,
     Gspar__TargetLearnt **tlist, uint32_t *buf)
 {
@@ -50,7 +50,8 @@
 		gspar__target_learnt__init(&targets[i]);
 		tlist[i] = &targets[i];
 		targets[i].target = h->targets[i].id;
-		targets[i].speed = (uint32_t)(h->targets[i].speed * 1000);
+		targets[i].speed =
+		    (uint32_t)(h->targets[i].latency_ratio * 1000);
 		targets[i].answers = (uint32_t)h->targets[i].answers;
 		targets[i].limit = limit_to_wire(h->targets[i].limit);
 	}
@@ -62,14 +63,14 @@
 
 /* Sends this host's report to the controller. */
 static void
-send_report(struct keeper *k, const struct heat_report *h, usec now)
+send_report(struct sitectl *k, const struct router_report *h, usec now)
 {
 	const struct conf *conf = kernel_conf(k->s->kernel);
-	const struct site *t = keeper_site(k);
+	const struct site *t = sitectl_site(k);
 	Gspar__Frame f = GSPAR__FRAME__INIT;
-	const struct fleet *fleet = keeper_fleet(k);
+	const struct fleet *fleet = sitectl_fleet(k);
 	Gspar__HostReport w = GSPAR__HOST_REPORT__INIT;
-	Gspar__KeyHeat keys[KEEPER_SERVICES_MAX], *klist[KEEPER_SERVICES_MAX];
+	Gspar__KeyHeat keys[SITECTL_SERVICES_MAX], *klist[SITECTL_SERVICES_MAX];
 	Gspar__TargetLearnt *targets, **tlist;
 	uint32_t *buf;
 
@@ -80,7 +81,7 @@
 	w.addr = (char *)conf->reached;
 	w.dc = (char *)conf->dc;
 	w.stopping = k->stopping;
-	w.bears = (uint32_t)keeper_capacity(k);
+	w.bears = (uint32_t)sitectl_capacity(k);
 	w.store = k->store_answered_at != 0 &&
 	    now - k->store_answered_at < STORE_ANSWER_MAX_AGE;
 	w.owners = k->number;
@@ -104,13 +105,13 @@
 
 /* Forwards the router's last report to the controller. */
 void
-report_tick(struct keeper *k, usec now)
+report_tick(struct sitectl *k, usec now)
 {
 	if (k->pending_report == NULL)
 		return;
 	if (k->controller[0] != '\0')
 		send_report(k, k->pending_report, now);
-	heat_report_free(k->pending_report);
+	router_report_free(k->pending_report);
 	k->pending_report = NULL;
 }
 
@@ -126,10 +127,10 @@
 /* Handles a host's report, as controller. */
 void
 report_receive(
-    struct keeper *k, const char *host, const Gspar__HostReport *w, usec now)
+    struct sitectl *k, const char *host, const Gspar__HostReport *w, usec now)
 {
 	uint16_t keys[HEAT_SAMPLE_MAX];
-	struct keeper_host *h;
+	struct sitectl_host *h;
 	struct member m;
 	struct keys *ks;
 	size_t i, n;
@@ -139,10 +140,10 @@
 	name_copy(m.host, sizeof(m.host), host);
 	name_copy(m.addr, sizeof(m.addr), w->addr);
 	m.boot = w->boot;
-	keeper_host_seen(k, &m, w->dc, w->stopping, now);
+	sitectl_host_seen(k, &m, w->dc, w->stopping, now);
 	if (w->term != 0)
 		term_holder_follows(&k->term, now, &m, w->term);
-	if ((h = keeper_host(k, host)) != NULL) {
+	if ((h = sitectl_host(k, host)) != NULL) {
 		h->owners_reported = w->owners;
 		h->max_hosts = (int)w->bears;
 		h->store_reachable = w->store;
@@ -152,7 +153,7 @@
 	if (k->acting)
 		fleet_check_host(k, host, w->fleet, now);
 	for (i = 0; i < w->n_heat; i++) {
-		ks = keeper_keys(k, w->heat[i]->service);
+		ks = sitectl_keys(k, w->heat[i]->service);
 		for (n = 0; n < w->heat[i]->n_keys && n < HEAT_SAMPLE_MAX; n++)
 			keys[n] = (uint16_t)w->heat[i]->keys[n];
 		if (ks != NULL)
--- a/gspard/keeper_site.c
+++ b/gspard/keeper_site.c
@@ -22,7 +22,7 @@
 
 /* Encodes a configuration; site is NULL if t is, or if memory runs out. */
 static void
-update_init(const struct keeper *k, struct update *n, const struct site *t)
+update_init(const struct sitectl *k, struct update *n, const struct site *t)
 {
 	double link = kernel_conf(k->s->kernel)->link_mbps;
 
@@ -36,7 +36,7 @@
 
 /* Sends an update to a host. */
 static void
-send_update(struct keeper *k, const char *host, struct update *n)
+send_update(struct sitectl *k, const char *host, struct update *n)
 {
 	Gspar__Frame f = GSPAR__FRAME__INIT;
 
@@ -58,11 +58,11 @@
  * Sends the whole configuration in force to a host; returns its size in bytes.
  */
 static size_t
-send_whole(struct keeper *k, const char *host)
+send_whole(struct sitectl *k, const char *host)
 {
 	struct update whole;
 
-	update_init(k, &whole, keeper_site(k));
+	update_init(k, &whole, sitectl_site(k));
 	send_update(k, host, &whole);
 	site_frame_free(&whole.frame);
 	return (whole.size);
@@ -72,7 +72,7 @@
  * True if a host has the base version of a difference, or will when it arrives.
  */
 static int
-has_base(const struct keeper_host *h, const struct site *diff)
+has_base(const struct sitectl_host *h, const struct site *diff)
 {
 	return (h->site_version == diff->since || h->site_sent == diff->since);
 }
@@ -83,16 +83,16 @@
  */
 static void
 send_to_all(
-    struct keeper *k, struct update *diff, struct update *whole, usec now)
+    struct sitectl *k, struct update *diff, struct update *whole, usec now)
 {
-	uint64_t version = keeper_site(k)->version;
-	struct keeper_host *h;
+	uint64_t version = sitectl_site(k)->version;
+	struct sitectl_host *h;
 	int i;
 
 	for (i = 0; i < k->nhosts; i++) {
 		h = &k->hosts[i];
-		if (!keeper_host_up(h, now) || h->site_version >= version ||
-		    strcmp(h->process.host, keeper_self(k)) == 0)
+		if (!sitectl_host_up(h, now) || h->site_version >= version ||
+		    strcmp(h->process.host, sitectl_self(k)) == 0)
 			continue;
 		if (diff->fits && has_base(h, diff->site))
 			send_update(k, h->process.host, diff);
@@ -111,14 +111,14 @@
  * heartbeats announce its version, and hosts read it from the store.
  */
 void
-site_broadcast(struct keeper *k, const struct site *was, usec now)
+site_broadcast(struct sitectl *k, const struct site *was, usec now)
 {
 	struct site *difference =
-	    was == NULL ? NULL : site_diff(was, keeper_site(k));
+	    was == NULL ? NULL : site_diff(was, sitectl_site(k));
 	struct update diff, whole;
 
 	update_init(k, &diff, difference);
-	update_init(k, &whole, keeper_site(k));
+	update_init(k, &whole, sitectl_site(k));
 	send_to_all(k, &diff, &whole, now);
 	k->site_pushed = diff.fits || whole.fits;
 	k->next_heartbeat = now; /* The next heartbeat announces the version. */
@@ -132,7 +132,7 @@
  * current version already or learn it from heartbeats.
  */
 void
-site_control_began(struct keeper *k)
+site_control_began(struct sitectl *k)
 {
 	int i;
 
@@ -143,10 +143,10 @@
 
 /* Handles the configuration's version in a host's report. */
 void
-site_receive_report(struct keeper *k, struct keeper_host *h,
+site_receive_report(struct sitectl *k, struct sitectl_host *h,
     const Gspar__HostReport *w, usec now)
 {
-	const struct site *t = keeper_site(k);
+	const struct site *t = sitectl_site(k);
 	uint64_t own = t == NULL ? 0 : t->version;
 
 	h->site_version = w->site;
@@ -164,11 +164,11 @@
  * capacity of this host's link allows.
  */
 static void
-serve_requests(struct keeper *k, usec now)
+serve_requests(struct sitectl *k, usec now)
 {
 	double link = kernel_conf(k->s->kernel)->link_mbps;
-	const struct site *t = keeper_site(k);
-	struct keeper_host *h;
+	const struct site *t = sitectl_site(k);
+	struct sitectl_host *h;
 	int i;
 
 	for (i = 0; i < k->nhosts && !k->hosts[i].site_requested; i++)
@@ -185,14 +185,14 @@
 
 /* Handles the configuration's version in the controller's heartbeat. */
 void
-site_receive_heartbeat(struct keeper *k, const Gspar__Owners *w, usec now)
+site_receive_heartbeat(struct sitectl *k, const Gspar__Owners *w, usec now)
 {
-	const struct site *t = keeper_site(k);
+	const struct site *t = sitectl_site(k);
 	uint64_t own = t == NULL ? 0 : t->version;
 
 	behind_announced(&k->behind, own, w->site, w->site_told, now);
 	if (w->site < own && w->controller[0] != '\0' &&
-	    strcmp(w->site_from, keeper_self(k)) == 0)
+	    strcmp(w->site_from, sitectl_self(k)) == 0)
 		send_whole(k, w->controller);
 }
 
@@ -201,9 +201,9 @@
  * requested it.
  */
 void
-site_tick(struct keeper *k, usec now)
+site_tick(struct sitectl *k, usec now)
 {
-	const struct site *t = keeper_site(k);
+	const struct site *t = sitectl_site(k);
 
 	serve_requests(k, now);
 	switch (behind_step(&k->behind, t == NULL ? 0 : t->version, now)) {
@@ -220,9 +220,9 @@
 
 /* Passes a configuration received from a host to the watch service. */
 void
-site_receive(struct keeper *k, const Gspar__SiteTold *told)
+site_receive(struct sitectl *k, const Gspar__SiteTold *told)
 {
-	const struct site *t = keeper_site(k);
+	const struct site *t = sitectl_site(k);
 	struct site *read;
 
 	if (t != NULL && told->version <= t->version)
@@ -233,5 +233,5 @@
 		    (unsigned long long)told->version);
 		return;
 	}
-	msg_post(k->s->kernel, "watch", MSG_TOLD, read, site_free);
+	msg_post(k->s->kernel, "watch", MSG_SITE_RECEIVED, read, site_free);
 }
--- a/gspard/keeper_spread.c
+++ b/gspard/keeper_spread.c
@@ -15,7 +15,7 @@
  * it also rises when the controller changes.
  */
 uint64_t
-owners_number(const struct keeper *k)
+owners_number(const struct sitectl *k)
 {
 	uint64_t n = 0;
 	int i;
@@ -27,7 +27,7 @@
 
 /* Returns a snapshot of the owners of all services; NULL if memory runs out. */
 static struct owners *
-collect_owners(const struct keeper *k)
+collect_owners(const struct sitectl *k)
 {
 	struct owner_range *r;
 	struct owners *o;
@@ -74,9 +74,9 @@
  * host gets a different rank.
  */
 static int
-rank(const struct keeper *k)
+rank(const struct sitectl *k)
 {
-	const char *self = keeper_self(k);
+	const char *self = sitectl_self(k);
 	int i, n = 0;
 
 	for (i = 0; i < k->nhosts; i++)
@@ -86,7 +86,7 @@
 
 /* Sends a snapshot to the router.  Takes ownership of it. */
 void
-owners_publish(struct keeper *k, struct owners *o)
+owners_publish(struct sitectl *k, struct owners *o)
 {
 	struct shared *sh;
 
@@ -141,7 +141,7 @@
 
 /* True if a host has the base of a difference, or was sent it. */
 static int
-has_base(const struct keeper_host *h, uint64_t number)
+has_base(const struct sitectl_host *h, uint64_t number)
 {
 	return (number != 0 &&
 	    (h->owners_sent == number || h->owners_reported == number));
@@ -149,9 +149,9 @@
 
 /* True if a snapshot is to be sent to a host now. */
 static int
-needs_owners(const struct keeper_host *h, uint64_t number, usec now)
+needs_owners(const struct sitectl_host *h, uint64_t number, usec now)
 {
-	return (keeper_host_up(h, now) && h->owners_reported != number &&
+	return (sitectl_host_up(h, now) && h->owners_reported != number &&
 	    (h->owners_sent != number ||
 		now - h->owners_sent_at >= PUSH_RETRY_DELAY));
 }
@@ -161,14 +161,14 @@
  * those that have its base; with since 0, the whole snapshot, to the others.
  */
 static void
-send_owners(struct keeper *k, const struct owners *o, uint64_t since,
+send_owners(struct sitectl *k, const struct owners *o, uint64_t since,
     uint64_t base, usec now)
 {
 	Gspar__Frame f = GSPAR__FRAME__INIT;
 	Gspar__Owners w = GSPAR__OWNERS__INIT;
-	Gspar__KeyOwners services[KEEPER_SERVICES_MAX],
-	    *list[KEEPER_SERVICES_MAX];
-	struct keeper_host *h;
+	Gspar__KeyOwners services[SITECTL_SERVICES_MAX],
+	    *list[SITECTL_SERVICES_MAX];
+	struct sitectl_host *h;
 	char **names;
 	int i, bad = 0;
 
@@ -177,7 +177,7 @@
 	w.number = o->number;
 	w.since = since;
 	w.host_count = (uint32_t)o->hosts;
-	w.controller = (char *)keeper_self(k);
+	w.controller = (char *)sitectl_self(k);
 	w.whole = 1;
 	w.targets = names;
 	w.n_targets = (size_t)o->ntargets;
@@ -215,7 +215,7 @@
  * show it, and it is sent the whole snapshot.
  */
 static void
-send_changes(struct keeper *k, const struct owners *o, usec now)
+send_changes(struct sitectl *k, const struct owners *o, usec now)
 {
 	const struct owners *was = k->owners == NULL ? NULL : k->owners->p;
 	struct owners *d = NULL;
@@ -233,16 +233,16 @@
 
 /* Sends a heartbeat to all hosts, with the list of hosts if it changed. */
 static void
-send_heartbeat(struct keeper *k, usec now)
+send_heartbeat(struct sitectl *k, usec now)
 {
 	Gspar__Frame f = GSPAR__FRAME__INIT;
 	Gspar__Owners w = GSPAR__OWNERS__INIT;
 	const struct conf *conf = kernel_conf(k->s->kernel);
-	Gspar__HostAddr hosts[KEEPER_HOSTS_MAX], *list[KEEPER_HOSTS_MAX];
+	Gspar__HostAddr hosts[SITECTL_HOSTS_MAX], *list[SITECTL_HOSTS_MAX];
 	Gspar__HostAddr self = GSPAR__HOST_ADDR__INIT;
-	const struct site *t = keeper_site(k);
-	const struct fleet *fleet = keeper_fleet(k);
-	struct keeper_host *h;
+	const struct site *t = sitectl_site(k);
+	const struct fleet *fleet = sitectl_fleet(k);
+	struct sitectl_host *h;
 	int i, late = term_renewal_late(&k->term, now);
 
 	for (i = 0; i < k->nhosts; i++) {
@@ -279,7 +279,7 @@
 	 */
 	w.follows = fleet != NULL && k->fresh && !late;
 	w.late = late;
-	w.strained = strained(keeper_capacity(k), k->nhosts);
+	w.strained = strained(sitectl_capacity(k), k->nhosts);
 	/*
 	 * Also while targets come and go: changes are sent before the heartbeat
 	 * with their digest, on the same connection, so a host whose list still
@@ -293,7 +293,7 @@
 	f.owners = &w;
 	for (i = 0; i < k->nhosts; i++) {
 		h = &k->hosts[i];
-		if (keeper_host_up(h, now) &&
+		if (sitectl_host_up(h, now) &&
 		    strcmp(h->process.host, conf->host) != 0)
 			send_frame(k->s->kernel, h->process.host, 0, &f);
 	}
@@ -301,7 +301,7 @@
 
 /* Tells all hosts that this host is no longer the controller. */
 void
-broadcast_resignation(struct keeper *k, usec now)
+broadcast_resignation(struct sitectl *k, usec now)
 {
 	send_heartbeat(k, now);
 }
@@ -312,7 +312,7 @@
  * owner at all.
  */
 static int
-knows_owners(const struct keeper *k)
+knows_owners(const struct sitectl *k)
 {
 	int i;
 
@@ -325,7 +325,7 @@
 
 /* Sends owners and heartbeats that are due, as controller. */
 void
-broadcast_tick(struct keeper *k, usec now)
+broadcast_tick(struct sitectl *k, usec now)
 {
 	uint64_t number = owners_number(k);
 	struct owners *o;
--- a/gspard/keeper_term.c
+++ b/gspard/keeper_term.c
@@ -49,7 +49,7 @@
 static void
 get_record(void *arg)
 {
-	struct keeper *k = arg;
+	struct sitectl *k = arg;
 	struct store *st = store_new(STORE_GET, "control", RECORD_PATH);
 
 	if (st == NULL)
@@ -62,15 +62,15 @@
 static void
 put_record(void *arg, uint64_t base, const struct control_record *r)
 {
-	struct keeper *k = arg;
+	struct sitectl *k = arg;
 	struct store *st = store_new(STORE_PUT, "control", RECORD_PATH);
 
 	if (st == NULL)
 		return;
 	name_copy(st->tag, sizeof(st->tag), "term");
 	st->base = base;
-	st->gen = r->write_id;
-	record_write(r, &st->body);
+	st->generation = r->write_id;
+	record_encode(r, &st->body);
 	store_send(k->s->kernel, st);
 }
 
@@ -78,7 +78,7 @@
 static void
 send_promise_request(void *arg, const struct member *m, uint64_t term)
 {
-	struct keeper *k = arg;
+	struct sitectl *k = arg;
 	Gspar__Frame f = GSPAR__FRAME__INIT;
 	Gspar__PromiseAsk ask = GSPAR__PROMISE_ASK__INIT;
 
@@ -86,7 +86,7 @@
 	ask.seq = ++k->promise_seq;
 	ask.boot = m->boot;
 	ask.late = term_renewal_late(&k->term, clock_mono());
-	k->asked_at[ask.seq % ASKED_KEPT] = clock_mono();
+	k->promise_requested_at[ask.seq % SITECTL_PROMISES_MAX] = clock_mono();
 	f.body_case = GSPAR__FRAME__BODY_PROMISE_ASK;
 	f.promise_ask = &ask;
 	send_frame(k->s->kernel, m->host, 0, &f);
@@ -96,7 +96,7 @@
 static void
 term_event(void *arg, const char *what)
 {
-	struct keeper *k = arg;
+	struct sitectl *k = arg;
 
 	log_line(LOG_NOTICE, "control", "Term %llu: %s.",
 	    (unsigned long long)k->term.rec.term, what);
@@ -108,7 +108,7 @@
 
 /* Initialises the term with this host's settings. */
 void
-keeper_term_init(struct keeper *k)
+sitectl_term_init(struct sitectl *k)
 {
 	const struct conf *conf = kernel_conf(k->s->kernel);
 	struct term_conf tc;
@@ -122,21 +122,21 @@
 	tc.host_lease = HOST_LEASE;
 	tc.version_announced = 1;
 	tc.final_promise = FINAL_PROMISE_TIME;
-	tc.bootstrap_delay = bootstrap_delay(keeper_capacity(k));
+	tc.bootstrap_delay = bootstrap_delay(sitectl_capacity(k));
 	term_init(&k->term, &tc, &term_callbacks, k, tc.self.boot);
 }
 
 /* True if a host can be a standby. */
 static int
-can_be_standby(const struct keeper *k, const struct keeper_host *h, usec now)
+can_be_standby(const struct sitectl *k, const struct sitectl_host *h, usec now)
 {
 	return (!h->stopping && now - h->last_heard < STANDBY_SILENCE_MAX &&
-	    strcmp(h->process.host, keeper_self(k)) != 0);
+	    strcmp(h->process.host, sitectl_self(k)) != 0);
 }
 
 /* True if the control record lists a process as a standby. */
 static int
-is_standby_process(const struct keeper *k, const struct member *m)
+is_standby_process(const struct sitectl *k, const struct member *m)
 {
 	const struct control_record *r = &k->term.rec;
 	int i;
@@ -151,25 +151,25 @@
 
 /* True if this host is a standby. */
 int
-keeper_is_standby(const struct keeper *k)
+sitectl_is_standby(const struct sitectl *k)
 {
 	return (!k->stopping && is_standby_process(k, &k->term.conf.self));
 }
 
 /* Lists the hosts that can be standbys; returns their number. */
 static int
-candidates(const struct keeper *k, struct candidate *c, usec now)
+candidates(const struct sitectl *k, struct candidate *c, usec now)
 {
-	const struct keeper_host *h;
+	const struct sitectl_host *h;
 	int i, n = 0;
 
 	for (i = 0; i < k->nhosts; i++) {
 		h = &k->hosts[i];
 		if (!can_be_standby(k, h, now))
 			continue;
-		c[n].who = h->process;
+		c[n].process = h->process;
 		name_copy(c[n].dc, sizeof(c[n].dc), h->dc);
-		c[n].bears = h->max_hosts;
+		c[n].max_hosts = h->max_hosts;
 		c[n].is_standby = is_standby_process(k, &h->process);
 		c[n].store = h->store_reachable;
 		n++;
@@ -179,9 +179,9 @@
 
 /* Chooses the standbys among the hosts that are heard. */
 void
-keeper_choose_standbys(struct keeper *k, usec now)
+sitectl_choose_standbys(struct sitectl *k, usec now)
 {
-	struct candidate c[KEEPER_HOSTS_MAX];
+	struct candidate c[SITECTL_HOSTS_MAX];
 	struct member want[STANDBYS_MAX];
 	int n;
 
@@ -198,9 +198,9 @@
  * while.  This host counts as heard.
  */
 void
-keeper_yield_if_isolated(struct keeper *k, usec now)
+sitectl_yield_if_isolated(struct sitectl *k, usec now)
 {
-	usec heard[KEEPER_HOSTS_MAX + 1];
+	usec heard[SITECTL_HOSTS_MAX + 1];
 	int i, n = 0;
 
 	if (!k->acting) {
@@ -233,9 +233,9 @@
  * record that it could not read.
  */
 static void
-read_record(struct keeper *k, const struct store *st, struct control_record *r)
+read_record(struct sitectl *k, const struct store *st, struct control_record *r)
 {
-	if (record_read(&st->body, r) == 0)
+	if (record_decode(&st->body, r) == 0)
 		return;
 	log_line(LOG_ERR, "control",
 	    "Control record version %llu is not valid, taken as vacant.",
@@ -251,7 +251,7 @@
  * the store is back.
  */
 static int
-must_keep_control(const struct keeper *k, usec now)
+must_keep_control(const struct sitectl *k, usec now)
 {
 	return (k->acting && k->stopping && now < k->stop_by &&
 	    term_renewal_late(&k->term, now) && term_may_renew(&k->term, now));
@@ -259,7 +259,7 @@
 
 /* Resigns; for good if the host is stopping. */
 static void
-resign(struct keeper *k, usec now)
+resign(struct sitectl *k, usec now)
 {
 	k->resigned = 1;
 	k->had_control = k->acting;
@@ -274,7 +274,7 @@
  * next controller need not wait for the owners before and after a move.
  */
 void
-keeper_release_control(struct keeper *k, usec now)
+sitectl_release_control(struct sitectl *k, usec now)
 {
 	int i, ready = 1;
 
@@ -298,7 +298,7 @@
 
 /* Returns the number of hosts that this host could control. */
 int
-keeper_capacity(const struct keeper *k)
+sitectl_capacity(const struct sitectl *k)
 {
 	const struct conf *conf = kernel_conf(k->s->kernel);
 
@@ -310,15 +310,15 @@
  * it.
  */
 void
-keeper_yield_to_larger(struct keeper *k, usec now)
+sitectl_yield_to_larger(struct sitectl *k, usec now)
 {
-	struct candidate c[KEEPER_HOSTS_MAX];
+	struct candidate c[SITECTL_HOSTS_MAX];
 	int n;
 
 	if (k->stopping)
 		return;
 	if (k->handover_since != 0) {
-		keeper_release_control(k, now);
+		sitectl_release_control(k, now);
 		if (k->term.role == TERM_HOLDER)
 			return;
 		k->handover_since = 0;
@@ -330,15 +330,15 @@
 	}
 	if (!k->acting || k->yielded ||
 	    now - k->acting_since < NEW_CONTROLLER_GRACE ||
-	    !strained(keeper_capacity(k), k->nhosts))
+	    !strained(sitectl_capacity(k), k->nhosts))
 		return;
 	n = candidates(k, c, now);
-	if (!larger_standby_ready(c, n, keeper_capacity(k), k->nhosts))
+	if (!larger_standby_ready(c, n, sitectl_capacity(k), k->nhosts))
 		return;
 	log_line(LOG_NOTICE, "control",
 	    "This host can control %d of %d hosts, "
 	    "releasing control to a larger one.",
-	    keeper_capacity(k), k->nhosts);
+	    sitectl_capacity(k), k->nhosts);
 	k->handover_since = now;
 }
 
@@ -348,13 +348,13 @@
  * controller do not call the store otherwise and could not tell.
  */
 void
-keeper_probe_store(struct keeper *k, usec now)
+sitectl_probe_store(struct sitectl *k, usec now)
 {
 	struct member self = k->term.conf.self;
 
 	if (!k->controller_overloaded || k->acting ||
 	    now < k->next_store_probe || !is_standby_process(k, &self) ||
-	    strained(keeper_capacity(k), k->nhosts))
+	    strained(sitectl_capacity(k), k->nhosts))
 		return;
 	k->next_store_probe = now + STORE_PROBE_INTERVAL;
 	get_record(k);
@@ -362,17 +362,17 @@
 
 /* Handles the result of a store call for the control record. */
 void
-keeper_record_done(struct keeper *k, const struct store *st, usec now)
+sitectl_record_done(struct sitectl *k, const struct store *st, usec now)
 {
 	struct control_record r;
 
 	if (st->result == STORE_DONE)
 		k->store_answered_at = now;
 	if (st->op == STORE_PUT) {
-		if (st->gen == k->term.put_rec.write_id)
+		if (st->generation == k->term.put_rec.write_id)
 			term_put_done(
-			    &k->term, now, keeper_put_result(st), st->version);
-	} else if (st->result == STORE_ABSENT)
+			    &k->term, now, sitectl_put_result(st), st->version);
+	} else if (st->result == STORE_NOT_FOUND)
 		term_get_done(&k->term, now, 0, 0, NULL);
 	else if (st->result == STORE_DONE) {
 		read_record(k, st, &r);
@@ -383,7 +383,7 @@
 
 /* Handles a promise request of the controller. */
 void
-keeper_promise_request(struct keeper *k, const struct msg *m, usec now)
+sitectl_promise_request(struct sitectl *k, const struct msg *m, usec now)
 {
 	const Gspar__PromiseAsk *ask = m->frame->promise_ask;
 	Gspar__Frame f = GSPAR__FRAME__INIT;
@@ -414,16 +414,16 @@
 
 /* Handles a standby's reply to a promise request. */
 void
-keeper_promise_reply(struct keeper *k, const struct msg *m, usec now)
+sitectl_promise_reply(struct sitectl *k, const struct msg *m, usec now)
 {
 	const Gspar__Promise *p = m->frame->promise;
 	struct member who;
 
-	if (k->promise_seq - p->seq >= ASKED_KEPT)
+	if (k->promise_seq - p->seq >= SITECTL_PROMISES_MAX)
 		return;
 	memset(&who, 0, sizeof(who));
 	name_copy(who.host, sizeof(who.host), m->host);
 	who.boot = p->boot;
 	term_promise_reply(&k->term, now, &who, p->term, promise_kind_of(p),
-	    k->asked_at[p->seq % ASKED_KEPT]);
+	    k->promise_requested_at[p->seq % SITECTL_PROMISES_MAX]);
 }
--- a/gspard/kernel.c
+++ b/gspard/kernel.c
@@ -197,9 +197,9 @@
 	return (-1);
 }
 
-/* Reports a finished step of the stop to kernel_wait(). */
+/* Reports a finished step of the stop to kernel_wait_step(). */
 void
-kernel_done(struct kernel *k, const char *what)
+kernel_step_done(struct kernel *k, const char *what)
 {
 	apr_thread_mutex_lock(k->lock);
 	if (k->nfinished < STEPS_MAX)
@@ -223,7 +223,7 @@
 
 /* Waits for a step, at most ms milliseconds; 0, or -1 if it is not finished. */
 int
-kernel_wait(struct kernel *k, const char *what, int ms)
+kernel_wait_step(struct kernel *k, const char *what, int ms)
 {
 	usec until = clock_mono() + MS(ms);
 	int ok;
--- a/gspard/msg.c
+++ b/gspard/msg.c
@@ -25,30 +25,30 @@
 		return;
 	frame_free(m->frame);
 	free(m->bytes.p);
-	if (m->data != NULL && m->drop != NULL)
-		m->drop(m->data);
+	if (m->data != NULL && m->free_data != NULL)
+		m->free_data(m->data);
 	free(m);
 }
 
 /*
  * Sends data to a service, which takes it over.  If the ring is full, frees the
- * data with drop(), unless that is NULL, and returns -1: a sender whose data
- * must not be lost has to check.
+ * data with free_data(), unless that is NULL, and returns -1: a sender whose
+ * data must not be lost has to check.
  */
 int
 msg_post(struct kernel *k, const char *to, enum msg_kind kind, void *data,
-    void (*drop)(void *))
+    void (*free_data)(void *))
 {
 	struct msg *m;
 
 	m = msg_new(kind);
 	if (m == NULL) {
-		if (drop != NULL)
-			drop(data);
+		if (free_data != NULL)
+			free_data(data);
 		return (-1);
 	}
 	m->data = data;
-	m->drop = drop;
+	m->free_data = free_data;
 	if (kernel_send(k, to, m) == 0)
 		return (0);
 	msg_free(m);
@@ -135,9 +135,9 @@
 		msg_free(m);
 }
 
-/* Makes a reference-counted object with one reference; drop() frees p. */
+/* Makes a reference-counted object with one reference; free_data() frees p. */
 struct shared *
-shared_new(void *p, void (*drop)(void *))
+shared_new(void *p, void (*free_data)(void *))
 {
 	struct shared *s;
 
@@ -146,7 +146,7 @@
 		return (NULL);
 	s->refs = 1;
 	s->p = p;
-	s->drop = drop;
+	s->free_data = free_data;
 	return (s);
 }
 
@@ -158,7 +158,7 @@
 	return (s);
 }
 
-/* Drops a reference; takes void * to serve as a message's drop(). */
+/* Drops a reference; takes void * to serve as a message's free_data(). */
 void
 shared_unref(void *arg)
 {
@@ -166,13 +166,13 @@
 
 	if (s == NULL || __atomic_sub_fetch(&s->refs, 1, __ATOMIC_ACQ_REL) > 0)
 		return;
-	s->drop(s->p);
+	s->free_data(s->p);
 	free(s);
 }
 
 /* Moves the shared object of a message to *at, which drops its earlier one. */
 void
-msg_keep(struct msg *m, struct shared **at)
+msg_take_snapshot(struct msg *m, struct shared **at)
 {
 	shared_unref(*at);
 	*at = m->data;
@@ -202,7 +202,7 @@
 
 	str_free(&s->body);
 	json_decref(s->parsed);
-	free(s->found);
+	free(s->items);
 	free(s);
 }
 
@@ -212,16 +212,16 @@
 {
 	struct msg *m;
 
-	m = msg_new(MSG_STORE);
+	m = msg_new(MSG_STORE_CALL);
 	if (m == NULL) {
 		store_free(s);
 		return;
 	}
 	m->data = s;
-	m->drop = store_free;
+	m->free_data = store_free;
 	if (kernel_send(k, "platform", m) == 0)
 		return;
-	m->kind = MSG_STORED;
+	m->kind = MSG_STORE_DONE;
 	s->status = 0;
 	if (kernel_send(k, s->reply_to, m) != 0)
 		msg_free(m);
--- a/gspard/peer.c
+++ b/gspard/peer.c
@@ -219,7 +219,7 @@
 {
 	struct msg *m;
 
-	m = msg_new(MSG_UNSENT);
+	m = msg_new(MSG_REQUEST_UNSENT);
 	if (m == NULL)
 		return;
 	m->corr = corr;
@@ -446,7 +446,7 @@
 			send_msg(s, m, now);
 			break;
 		case MSG_PEERS:
-			msg_keep(m, &p->peers);
+			msg_take_snapshot(m, &p->peers);
 			break;
 		case MSG_QUIT:
 			p->stop = 1;
--- a/gspard/platform.c
+++ b/gspard/platform.c
@@ -40,7 +40,7 @@
 	struct store *store;
 	const struct store_form *form;
 	CURL *easy;
-	struct curl_slist *heads;
+	struct curl_slist *headers;
 	struct str body;
 	int addr_index; /* index of the address that it was sent to */
 	usec sent;
@@ -63,8 +63,8 @@
 {
 	struct store_call *c = arg;
 
-	if (c->form->head != NULL)
-		c->form->head(c->store, p, size * n);
+	if (c->form->header != NULL)
+		c->form->header(c->store, p, size * n);
 	return (size * n);
 }
 
@@ -77,7 +77,7 @@
 		c->next->link = c->link;
 	if (c->easy != NULL)
 		curl_easy_cleanup(c->easy);
-	curl_slist_free_all(c->heads);
+	curl_slist_free_all(c->headers);
 	str_free(&c->body);
 	if (c->store != NULL)
 		store_free(c->store);
@@ -131,7 +131,8 @@
 	    (long)((is_large(st) ? LARGE_TIMEOUT_MS : CALL_TIMEOUT_MS) +
 		st->wait_ms));
 	curl_easy_setopt(c->easy, CURLOPT_CONNECTTIMEOUT_MS, 500L);
-	curl_easy_setopt(c->easy, CURLOPT_SOCKOPTFUNCTION, transfer_alive);
+	curl_easy_setopt(
+	    c->easy, CURLOPT_SOCKOPTFUNCTION, transfer_set_keepalive);
 	curl_easy_setopt(
 	    c->easy, CURLOPT_USERAGENT, kernel_conf(s->kernel)->host);
 	curl_easy_setopt(c->easy, CURLOPT_WRITEFUNCTION, on_body);
@@ -139,12 +140,12 @@
 	curl_easy_setopt(c->easy, CURLOPT_HEADERFUNCTION, on_header);
 	curl_easy_setopt(c->easy, CURLOPT_HEADERDATA, c);
 	curl_easy_setopt(c->easy, CURLOPT_CUSTOMREQUEST, h.method);
-	if (h.head[0] != '\0')
-		c->heads = curl_slist_append(c->heads, h.head);
+	if (h.header[0] != '\0')
+		c->headers = curl_slist_append(c->headers, h.header);
 	if (h.body.n > 0) {
-		c->heads = curl_slist_append(c->heads, "Expect:");
-		c->heads = curl_slist_append(
-		    c->heads, "Content-Type: application/json");
+		c->headers = curl_slist_append(c->headers, "Expect:");
+		c->headers = curl_slist_append(
+		    c->headers, "Content-Type: application/json");
 		curl_easy_setopt(
 		    c->easy, CURLOPT_POSTFIELDSIZE, (long)h.body.n);
 		curl_easy_setopt(c->easy, CURLOPT_COPYPOSTFIELDS, h.body.p);
@@ -152,7 +153,7 @@
 		 * write again, which may have been done. */
 		curl_easy_setopt(c->easy, CURLOPT_FRESH_CONNECT, 1L);
 	}
-	curl_easy_setopt(c->easy, CURLOPT_HTTPHEADER, c->heads);
+	curl_easy_setopt(c->easy, CURLOPT_HTTPHEADER, c->headers);
 	str_free(&h.body);
 	count_add(st->op == STORE_PUT ? C_STORE_PUT : C_STORE_GET, 1);
 	curl_multi_add_handle(p->multi, c->easy);
@@ -190,24 +191,24 @@
 		count_add(C_STORE_FAIL, 1);
 		switch_address(s, c);
 	}
-	st->took = clock_mono() - c->sent;
+	st->duration = clock_mono() - c->sent;
 	/* The time of a watch says nothing: the store waits for changes. */
 	if (st->wait_ms == 0)
-		hist_add(H_STORE, st->took);
+		hist_add(H_STORE, st->duration);
 	st->status = (int)status;
 	str_free(&st->body);
 	st->body = c->body;
 	memset(&c->body, 0, sizeof(c->body));
 	if (st->status != 0)
-		c->form->answer(st);
+		c->form->response(st);
 	c->store = NULL;
-	m = msg_new(MSG_STORED);
+	m = msg_new(MSG_STORE_DONE);
 	if (m == NULL) {
 		store_free(st);
 		return;
 	}
 	m->data = st;
-	m->drop = store_free;
+	m->free_data = store_free;
 	if (kernel_send(s->kernel, st->reply_to, m) != 0)
 		msg_free(m);
 }
@@ -220,7 +221,7 @@
 	struct msg *m;
 
 	while ((m = ring_get(s->in)) != NULL) {
-		if (m->kind == MSG_STORE) {
+		if (m->kind == MSG_STORE_CALL) {
 			call_start(s, m->data);
 			m->data = NULL;
 		} else if (m->kind == MSG_QUIT)
--- a/gspard/probe.c
+++ b/gspard/probe.c
@@ -50,7 +50,7 @@
 	struct probe *p = s->state;
 	int ok;
 
-	ok = kernel_wait(s->kernel, "ready", 0) == 0 &&
+	ok = kernel_wait_step(s->kernel, "ready", 0) == 0 &&
 	    !__atomic_load_n(&p->stopping, __ATOMIC_RELAXED);
 	return (answer(
 	    conn, ok ? 200 : 503, ok ? yes : no, MHD_RESPMEM_PERSISTENT));
--- a/gspard/record.c
+++ b/gspard/record.c
@@ -44,7 +44,7 @@
 
 /* Encodes a control record as JSON text into out. */
 void
-record_write(const struct control_record *r, struct str *out)
+record_encode(const struct control_record *r, struct str *out)
 {
 	char id[24], *text;
 	json_t *o, *standbys;
@@ -65,7 +65,7 @@
 
 /* Decodes a control record; 0, or -1 if it is not valid. */
 int
-record_read(const struct str *body, struct control_record *r)
+record_decode(const struct str *body, struct control_record *r)
 {
 	json_t *o, *standbys, *v;
 	const char *id;
--- a/gspard/record.h
+++ b/gspard/record.h
@@ -5,7 +5,7 @@
 #include "str.h"
 #include "term.h"
 
-void record_write(const struct control_record *, struct str *out);
-int record_read(const struct str *body, struct control_record *);
+void record_encode(const struct control_record *, struct str *out);
+int record_decode(const struct str *body, struct control_record *);
 
 #endif
--- a/gspard/router.c
+++ b/gspard/router.c
@@ -208,7 +208,8 @@
 	host =
 	    v == NULL ? NULL : shard_dispatcher(v, e->name, shard - cc->first);
 	if (host == NULL) {
-		attempt_failed(s, p, GS_MOVED, OUT_NOT_RUN, LOST_RETRY_MS, now);
+		attempt_failed(
+		    s, p, GS_MOVED, OUT_NOT_RUN, RETRY_DEFAULT_MS, now);
 		return;
 	}
 	name_copy(p->host, sizeof(p->host), host);
@@ -235,7 +236,7 @@
 	}
 	if (code == GS_MOVED) {
 		code = GS_NO_OWNER;
-		retry_ms = LOST_RETRY_MS;
+		retry_ms = RETRY_DEFAULT_MS;
 	}
 	finish_error(r, p, code, outcome, retry_ms);
 }
@@ -327,7 +328,7 @@
 	p = apr_hash_get(r->by_corr, &corr, sizeof(corr));
 	if (p != NULL && p->sent)
 		attempt_failed(
-		    s, p, GS_NO_OWNER, OUT_NOT_RUN, LOST_RETRY_MS, now);
+		    s, p, GS_NO_OWNER, OUT_NOT_RUN, RETRY_DEFAULT_MS, now);
 }
 
 /* Stores a cell's view, and sends the held requests of the cell. */
@@ -349,7 +350,7 @@
 		return;
 	if (i == r->nviews)
 		r->nviews++;
-	msg_keep(m, &r->views[i]);
+	msg_take_snapshot(m, &r->views[i]);
 	for (p = r->calls; p != NULL; p = next) {
 		next = p->next;
 		if (p->held && strcmp(p->cell, v->cell) == 0)
@@ -383,10 +384,11 @@
 			if (p->sent)
 				send_cancel(s, p);
 			finish_error(r, p, p->sent ? GS_DEADLINE : GS_TOO_LATE,
-			    p->sent ? OUT_UNKNOWN : OUT_NOT_RUN, LOST_RETRY_MS);
+			    p->sent ? OUT_UNKNOWN : OUT_NOT_RUN,
+			    RETRY_DEFAULT_MS);
 		} else if (now >= p->next_caller_check) {
 			p->next_caller_check = now + CALLER_CHECK_INTERVAL;
-			if (call_gone(p->call)) {
+			if (call_abandoned(p->call)) {
 				if (p->sent)
 					send_cancel(s, p);
 				finish_error(
@@ -451,14 +453,14 @@
 		if (m->conn == 0)
 			handle_peer_down(s, m->host, now);
 		break;
-	case MSG_UNSENT:
+	case MSG_REQUEST_UNSENT:
 		handle_unsent(s, m->corr, now);
 		break;
 	case MSG_VIEW:
 		handle_view(s, m, now);
 		break;
 	case MSG_CATALOGUE:
-		msg_keep(m, &r->catalogue);
+		msg_take_snapshot(m, &r->catalogue);
 		break;
 	case MSG_QUIT:
 		r->stop = 1;
@@ -491,7 +493,8 @@
 	}
 	while (r->calls != NULL)
 		finish_error(r, r->calls, GS_STOPPING,
-		    r->calls->sent ? OUT_UNKNOWN : OUT_NOT_RUN, LOST_RETRY_MS);
+		    r->calls->sent ? OUT_UNKNOWN : OUT_NOT_RUN,
+		    RETRY_DEFAULT_MS);
 }
 
 /* Prepares the service. */
--- a/gspard/run.c
+++ b/gspard/run.c
@@ -85,10 +85,10 @@
     struct dispatch *d, const char *cell, const char *service, uint32_t shard)
 {
 	const char *name;
-	struct dcell *c;
+	struct dispatch_cell *c;
 	struct target *t;
 
-	c = dcell(d, cell);
+	c = dispatch_cell(d, cell);
 	if (c == NULL || c->view == NULL)
 		return (NULL);
 	for (t = d->targets; t != NULL; t = t->next) {
@@ -227,7 +227,7 @@
 		r->ticket = ticket;
 		once_begin(&t->once, ticket, r);
 	}
-	run_pump(s, t, now);
+	run_process_queue(s, t, now);
 }
 
 /* Handles a request frame, and takes the frame over. */
@@ -237,7 +237,7 @@
 {
 	struct dispatch *d = s->state;
 	const Gspar__Request *q = f->request;
-	struct dcell *c;
+	struct dispatch_cell *c;
 	struct target *t;
 	struct requester a;
 	uint64_t ticket = 0;
@@ -245,7 +245,7 @@
 	name_copy(a.host, sizeof(a.host), m->host);
 	a.conn = m->conn;
 	a.corr = q->corr;
-	c = dcell(d, q->cell);
+	c = dispatch_cell(d, q->cell);
 	t = shard_owner(d, q->cell, q->service, q->shard);
 	if (t == NULL || t->handing_over || c->lease_until <= now ||
 	    q->shard - t->first >= t->shards ||
@@ -254,7 +254,7 @@
 		goto drop;
 	}
 	if (t->grant.phase == GRANT_INACTIVE) {
-		refuse(s, &a, GS_NO_OWNER, OUT_NOT_RUN, LOST_RETRY_MS);
+		refuse(s, &a, GS_NO_OWNER, OUT_NOT_RUN, RETRY_DEFAULT_MS);
 		goto drop;
 	}
 	if (q->ticket) {
@@ -281,7 +281,7 @@
 	const struct target *t = arg;
 
 	return (t->fence[j->shard] != 0 && !t->moving[j->shard] &&
-	    !t->left_out[j->shard]);
+	    !t->excluded[j->shard]);
 }
 
 /* Returns true if the shard of a job is no longer this target's. */
@@ -305,15 +305,15 @@
  * or whose shard has moved; all of them if the host's lease has lapsed.
  */
 void
-run_pump(struct service *s, struct target *t, usec now)
+run_process_queue(struct service *s, struct target *t, usec now)
 {
 	struct dispatch *d = s->state;
-	struct dcell *c = dcell(d, t->cell);
+	struct dispatch_cell *c = dispatch_cell(d, t->cell);
 	struct job *j;
 
 	while ((j = queue_expired(&t->queue, now)) != NULL)
-		run_fail(
-		    s, j->user_data, GS_TOO_LATE, OUT_NOT_RUN, LOST_RETRY_MS);
+		run_fail(s, j->user_data, GS_TOO_LATE, OUT_NOT_RUN,
+		    RETRY_DEFAULT_MS);
 	while ((j = queue_remove(&t->queue, is_moved, t)) != NULL)
 		run_fail(s, j->user_data, GS_MOVED, OUT_NOT_RUN, 20);
 	while (may_send(s, t, now)) {
@@ -334,7 +334,7 @@
 
 	while ((j = queue_remove(&t->queue, run_match_any, NULL)) != NULL)
 		run_fail(s, j->user_data, code, OUT_NOT_RUN,
-		    code == GS_MOVED ? 20 : LOST_RETRY_MS);
+		    code == GS_MOVED ? 20 : RETRY_DEFAULT_MS);
 }
 
 /* Removes requesters from a run (corr 0: any); true if none is left. */
@@ -394,7 +394,7 @@
 			    !remove_requester(r, host, conn, corr))
 				continue;
 			r->cancelled = 1;
-			note_cancel(s, t, r->id);
+			target_call_cancel(s, t, r->id);
 		}
 	}
 }
--- a/gspard/send.c
+++ b/gspard/send.c
@@ -97,7 +97,7 @@
  * lost.
  */
 void
-conn_age(const struct target *t, CURL *easy, usec now)
+limit_conn_age(const struct target *t, CURL *easy, usec now)
 {
 	long age = silence_conn_age(&t->silence, now);
 
@@ -142,7 +142,7 @@
 		curl_easy_setopt(r->easy, CURLOPT_POSTFIELDS,
 		    q->body.data == NULL ? "" : (char *)q->body.data);
 	}
-	conn_age(t, r->easy, now);
+	limit_conn_age(t, r->easy, now);
 	if (r->resent)
 		curl_easy_setopt(r->easy, CURLOPT_FRESH_CONNECT, 1L);
 	if (!t->class->idempotent) {
@@ -179,7 +179,7 @@
 	t->nruns++;
 	t->inflight[r->job.shard]++;
 	count_add(C_SENT, 1);
-	budget_deposit(&t->again);
+	budget_deposit(&t->retry_budget);
 }
 
 /* True if a run may be on a dead connection and may be sent again. */
@@ -213,7 +213,7 @@
 	curl_multi_remove_handle(d->multi, easy);
 	curl_easy_cleanup(easy);
 	curl_slist_free_all(headers);
-	note_cancel(s, r->target, id);
+	target_call_cancel(s, r->target, id);
 	r->refused = 0;
 	r->type[0] = '\0';
 	count_add(C_RETRIES, 1);
@@ -228,7 +228,7 @@
 int
 may_send(struct service *s, const struct target *t, usec now)
 {
-	return (now < dcell(s->state, t->cell)->lease_until &&
+	return (now < dispatch_cell(s->state, t->cell)->lease_until &&
 	    grant_usable(&t->grant, now));
 }
 
@@ -238,7 +238,7 @@
  * first transfer is cancelled at the target, in case it arrived.
  */
 void
-runs_again(struct service *s, struct target *t, usec now)
+runs_resend(struct service *s, struct target *t, usec now)
 {
 	struct run *r;
 	int n = 0;
@@ -246,7 +246,7 @@
 	for (r = t->runs; r != NULL; r = r->next) {
 		if (may_resend(r, now) && now < r->job.deadline &&
 		    t->fence[r->job.shard] != 0 && may_send(s, t, now) &&
-		    budget_withdraw(&t->again))
+		    budget_withdraw(&t->retry_budget))
 			n += resend(s, r, now);
 	}
 	if (n > 0)
@@ -318,11 +318,11 @@
 	curl_easy_getinfo(r->easy, CURLINFO_REQUEST_SIZE, &sent);
 	code = failure_code(r, res);
 	if (code == GS_DEADLINE && sent > 0)
-		note_cancel(s, r->target, r->id);
+		target_call_cancel(s, r->target, r->id);
 	/* No byte was sent, so the request certainly has not run. */
 	if (sent == 0)
 		run_fail(s, r, code == GS_DEADLINE ? GS_TOO_LATE : GS_NO_OWNER,
-		    OUT_NOT_RUN, LOST_RETRY_MS);
+		    OUT_NOT_RUN, RETRY_DEFAULT_MS);
 	else
 		run_fail(s, r, code, OUT_UNKNOWN, 0);
 }
@@ -336,7 +336,7 @@
 		run_fail(s, r, GS_MOVED, OUT_NOT_RUN, 20);
 		break;
 	case 504:
-		run_fail(s, r, GS_TOO_LATE, OUT_NOT_RUN, LOST_RETRY_MS);
+		run_fail(s, r, GS_TOO_LATE, OUT_NOT_RUN, RETRY_DEFAULT_MS);
 		break;
 	default:
 		run_fail(s, r, GS_SHED, OUT_NOT_RUN,
@@ -370,7 +370,7 @@
 	else
 		finish_answered(s, r, status);
 	if (t->nmoving > 0)
-		target_sets(t);
-	run_pump(s, t, now);
+		target_update_wanted(t);
+	run_process_queue(s, t, now);
 	target_tick(s, t, now);
 }
--- a/gspard/slow.c
+++ b/gspard/slow.c
@@ -46,7 +46,7 @@
 void
 slow_add(struct slow *l, struct call *c, usec now)
 {
-	c->read_by = now + READ_TIMEOUT;
+	c->read_deadline = now + READ_TIMEOUT;
 	apr_thread_mutex_lock(l->lock);
 	c->next = l->first;
 	c->link = &l->first;
@@ -77,7 +77,7 @@
 {
 	int was = READING;
 
-	return (__atomic_compare_exchange_n(&c->say, &was, CLAIMED, 0,
+	return (__atomic_compare_exchange_n(&c->claim, &was, CLAIMED, 0,
 		    __ATOMIC_ACQ_REL, __ATOMIC_ACQUIRE) ||
 	    was == CLAIMED);
 }
@@ -86,7 +86,7 @@
 int
 slow_is_reading(const struct call *c)
 {
-	return (__atomic_load_n(&c->say, __ATOMIC_ACQUIRE) == READING);
+	return (__atomic_load_n(&c->claim, __ATOMIC_ACQUIRE) == READING);
 }
 
 /*
@@ -122,8 +122,8 @@
 	apr_thread_mutex_lock(l->lock);
 	for (c = l->first; c != NULL; c = c->next) {
 		was = READING;
-		if (now >= c->read_by && c->fd >= 0 &&
-		    __atomic_compare_exchange_n(&c->say, &was, TIMED_OUT, 0,
+		if (now >= c->read_deadline && c->fd >= 0 &&
+		    __atomic_compare_exchange_n(&c->claim, &was, TIMED_OUT, 0,
 			__ATOMIC_ACQ_REL, __ATOMIC_ACQUIRE))
 			send_timeout(c);
 	}
--- a/gspard/store.h
+++ b/gspard/store.h
@@ -13,7 +13,7 @@
 struct store_http {
 	const char *method;
 	char url[CELL_NAME_MAX + 400];
-	char head[64];	 /* an additional header line, or "" */
+	char header[64]; /* an additional header line, or "" */
 	struct str body; /* freed by the client */
 };
 
@@ -23,9 +23,9 @@
 	void (*request)(
 	    const struct store *, const char *addr, struct store_http *);
 	/* Reads one header line of a response. */
-	void (*head)(struct store *, const char *line, size_t n);
+	void (*header)(struct store *, const char *line, size_t n);
 	/* Sets the result from the response's status and body in the call. */
-	void (*answer)(struct store *);
+	void (*response)(struct store *);
 };
 
 extern const struct store_form native_form;
--- a/gspard/store_native.c
+++ b/gspard/store_native.c
@@ -23,14 +23,14 @@
 	h->method = st->op == STORE_PUT ? "PUT" : "GET";
 	if (st->op != STORE_PUT)
 		return;
-	snprintf(h->head, sizeof(h->head), "If-Version: %llu",
+	snprintf(h->header, sizeof(h->header), "If-Version: %llu",
 	    (unsigned long long)st->base);
 	str_set(&h->body, st->body.p, st->body.n);
 }
 
 /* Reads the version from a header line of the response. */
 static void
-native_head(struct store *st, const char *p, size_t n)
+native_header(struct store *st, const char *p, size_t n)
 {
 	char line[64];
 
@@ -43,23 +43,23 @@
 
 /* Maps the HTTP status to a result. */
 static void
-native_answer(struct store *st)
+native_response(struct store *st)
 {
 	switch (st->status) {
 	case 200:
 		st->result = STORE_DONE;
 		break;
 	case 404:
-		st->result = STORE_ABSENT;
+		st->result = STORE_NOT_FOUND;
 		break;
 	case 412:
 		st->result = STORE_CONFLICT;
 		break;
 	default:
-		st->result = STORE_DOWN;
+		st->result = STORE_REFUSED;
 		break;
 	}
 }
 
 const struct store_form native_form = {
-    native_request, native_head, native_answer};
+    native_request, native_header, native_response};
--- a/gspard/target.c
+++ b/gspard/target.c
@@ -79,7 +79,7 @@
 /* Starts to dispatch for a target; NULL where memory is exhausted or this
  * host's catalogue does not have the target. */
 struct target *
-target_new(struct service *s, const char *name, const struct dcell *c,
+target_new(struct service *s, const char *name, const struct dispatch_cell *c,
     const struct duty *duty, usec now)
 {
 	const struct conf *conf = kernel_conf(s->kernel);
@@ -100,20 +100,20 @@
 	}
 	t->fence = calloc(t->shards, sizeof(*t->fence));
 	t->moving = calloc(t->shards, sizeof(*t->moving));
-	t->left_out = calloc(t->shards, sizeof(*t->left_out));
+	t->excluded = calloc(t->shards, sizeof(*t->excluded));
 	t->inflight = calloc(t->shards, sizeof(*t->inflight));
 	t->busy = calloc(t->shards, sizeof(*t->busy));
 	apr_generate_random_bytes((unsigned char *)&table, sizeof(table));
-	if (once_init(&t->once, table, TICKETS_KEPT, free_answer) != 0 ||
-	    t->fence == NULL || t->moving == NULL || t->left_out == NULL ||
+	if (once_init(&t->once, table, TICKETS_MAX, free_answer) != 0 ||
+	    t->fence == NULL || t->moving == NULL || t->excluded == NULL ||
 	    t->inflight == NULL || t->busy == NULL) {
 		target_free(s, t);
 		return (NULL);
 	}
 	grant_init(&t->grant, &gc, duty->epoch, now);
-	budget_init(&t->again, RETRY_SHARE, RETRY_BURST);
+	budget_init(&t->retry_budget, RETRY_SHARE, RETRY_BURST);
 	t->min_view = duty->min_view;
-	t->loads_at = now;
+	t->loads_since = now;
 	t->next = d->targets;
 	d->targets = t;
 	event_add("dispatch", 0, "takes %s", name);
@@ -122,7 +122,7 @@
 
 /* Frees a short call; one in flight is cut. */
 static void
-target_call_free(struct service *s, struct note *n)
+target_call_free(struct service *s, struct target_call *n)
 {
 	struct dispatch *d = s->state;
 
@@ -149,14 +149,14 @@
 			break;
 		}
 	}
-	while (t->notes != NULL)
-		target_call_free(s, t->notes);
+	while (t->target_calls != NULL)
+		target_call_free(s, t->target_calls);
 	while (t->runs != NULL)
 		run_free(s, t->runs);
 	once_free(&t->once);
 	free(t->fence);
 	free(t->moving);
-	free(t->left_out);
+	free(t->excluded);
 	free(t->inflight);
 	free(t->busy);
 	free(t);
@@ -167,25 +167,25 @@
  * and adds those whose move was cancelled.
  */
 void
-target_sets(struct target *t)
+target_update_wanted(struct target *t)
 {
 	uint32_t i;
 	int out;
 
 	for (i = 0; i < t->shards; i++) {
 		out = t->moving[i] && t->inflight[i] == 0;
-		if (t->fence[i] == 0 || out == t->left_out[i])
+		if (t->fence[i] == 0 || out == t->excluded[i])
 			continue;
 		if (!out && t->moving[i])
 			continue;
-		t->left_out[i] = (uint8_t)out;
+		t->excluded[i] = (uint8_t)out;
 		t->grant.wanted_set++;
 	}
 }
 
 /* Sets the target's shards from a newer view. */
 void
-target_view(struct target *t, const Gspar__View *v, uint64_t number)
+target_apply_view(struct target *t, const Gspar__View *v, uint64_t number)
 {
 	const Gspar__ServiceView *sv = view_service(v, t->service);
 	uint64_t fence;
@@ -214,19 +214,19 @@
 		if (fence == t->fence[n])
 			continue;
 		t->fence[n] = fence;
-		t->left_out[n] = 0;
+		t->excluded[n] = 0;
 		t->grant.wanted_set++;
 	}
-	target_sets(t);
+	target_update_wanted(t);
 }
 
 /* Appends received bytes to the answer's body. */
 static size_t
 on_body(char *p, size_t size, size_t n, void *arg)
 {
-	struct note *note = arg;
+	struct target_call *target_call = arg;
 
-	return (str_add(&note->in, p, size * n) == 0 ? size * n : 0);
+	return (str_add(&target_call->in, p, size * n) == 0 ? size * n : 0);
 }
 
 /* Starts a short call; it owns the body, if any. */
@@ -235,7 +235,7 @@
     const char *path, char *body)
 {
 	struct dispatch *d = s->state;
-	struct note *n;
+	struct target_call *n;
 	char url[160];
 
 	n = calloc(1, sizeof(*n));
@@ -248,11 +248,11 @@
 	n->step = step;
 	n->epoch = t->grant.epoch;
 	n->sent = clock_mono();
-	n->next = t->notes;
-	n->link = &t->notes;
+	n->next = t->target_calls;
+	n->link = &t->target_calls;
 	if (n->next != NULL)
 		n->next->link = &n->next;
-	t->notes = n;
+	t->target_calls = n;
 	snprintf(url, sizeof(url), "http://%s%s", t->addr, path);
 	curl_easy_setopt(n->easy, CURLOPT_URL, url);
 	curl_easy_setopt(n->easy, CURLOPT_NOSIGNAL, 1L);
@@ -260,7 +260,7 @@
 	    n->easy, CURLOPT_USERAGENT, kernel_conf(s->kernel)->host);
 	curl_easy_setopt(
 	    n->easy, CURLOPT_TIMEOUT_MS, (long)TARGET_CALL_TIMEOUT_MS);
-	conn_age(t, n->easy, n->sent);
+	limit_conn_age(t, n->easy, n->sent);
 	curl_easy_setopt(n->easy, CURLOPT_WRITEFUNCTION, on_body);
 	curl_easy_setopt(n->easy, CURLOPT_WRITEDATA, n);
 	/* The low bit distinguishes short calls from runs in reap(). */
@@ -277,7 +277,7 @@
 
 /* Asks a target to stop a run; the answer is ignored. */
 void
-note_cancel(struct service *s, struct target *t, uint64_t id)
+target_call_cancel(struct service *s, struct target *t, uint64_t id)
 {
 	char path[64];
 
@@ -301,7 +301,7 @@
 	if (whole) {
 		set = json_array();
 		for (i = 0; i < t->shards; i++) {
-			if (t->fence[i] != 0 && !t->left_out[i])
+			if (t->fence[i] != 0 && !t->excluded[i])
 				json_array_append_new(set,
 				    json_pack("[I, I]",
 					(json_int_t)(t->first + i),
@@ -321,7 +321,7 @@
 target_tick(struct service *s, struct target *t, usec now)
 {
 	struct dispatch *d = s->state;
-	struct dcell *c = dcell(d, t->cell);
+	struct dispatch_cell *c = dispatch_cell(d, t->cell);
 	enum grant_phase was = t->grant.phase;
 	enum grant_step step;
 	int64_t until = 0;
@@ -334,7 +334,7 @@
 	if (t->grant.phase == GRANT_INACTIVE && was != GRANT_INACTIVE) {
 		event_add(
 		    "dispatch", 0, "%s does not answer, grant lapsed", t->name);
-		d->report = 1;
+		d->report_due = 1;
 		run_flush(s, t, GS_NO_OWNER, now);
 	}
 	switch (step) {
@@ -354,7 +354,8 @@
 
 /* Handles the outcome of a short call. */
 void
-note_done(struct service *s, struct note *n, CURLcode res, usec now)
+target_call_done(
+    struct service *s, struct target_call *n, CURLcode res, usec now)
 {
 	struct dispatch *d = s->state;
 	struct target *t = n->target;
@@ -373,7 +374,7 @@
 	if (res != CURLE_OK)
 		silence_probe_missed(&t->silence);
 	else if (silence_probe_answered(&t->silence, n->sent))
-		runs_again(s, t, now);
+		runs_resend(s, t, now);
 	clock = json_integer_value(json_object_get(o, "clock"));
 	boot = json_integer_value(json_object_get(o, "boot"));
 	if (clock == 0 || n->epoch != t->grant.epoch) {
@@ -385,16 +386,16 @@
 		    &t->grant, now, n->step, status == 200, clock, boot);
 		leaving = json_is_true(json_object_get(o, "leaving"));
 		if (leaving != t->leaving)
-			d->report = 1;
+			d->report_due = 1;
 		t->leaving = leaving;
 		if (n->step == STEP_FULL)
-			d->report = 1;
+			d->report_due = 1;
 	}
 	if (was_up != t->grant.up)
-		d->report = 1;
+		d->report_due = 1;
 out:
 	json_decref(o);
 	target_call_free(s, n);
-	run_pump(s, t, now);
+	run_process_queue(s, t, now);
 	target_tick(s, t, now);
 }
--- a/gspard/target_ops.h
+++ b/gspard/target_ops.h
@@ -14,7 +14,7 @@
 /* The answer to one request or order. */
 struct reply {
 	int status;
-	struct str heads; /* forwarded to the caller: lines with CRLF */
+	struct str headers; /* forwarded to the caller: lines with CRLF */
 	struct str body;
 	int too_large;
 	char id[128];		    /* of the request it answers, or "" */
@@ -30,11 +30,12 @@
 
 /* What an answer means. */
 enum reply_kind {
-	REPLY_ANSWER,  /* to be forwarded to the caller */
-	REPLY_FAILURE, /* the same, and the target failed */
-	REPLY_REFUSED, /* did not run: the target is full or leaving */
-	REPLY_MISSENT, /* did not run: another target, or not the key's owner */
-	REPLY_FOREIGN  /* not an answer to this request */
+	REPLY_ANSWER,	 /* to be forwarded to the caller */
+	REPLY_FAILURE,	 /* the same, and the target failed */
+	REPLY_REFUSED,	 /* did not run: the target is full or leaving */
+	REPLY_NOT_OWNER, /* did not run: another target, or not the key's owner
+			  */
+	REPLY_FOREIGN	 /* not an answer to this request */
 };
 
 /* One kind of target. */
--- a/gspard/transfer.c
+++ b/gspard/transfer.c
@@ -26,7 +26,7 @@
  * watch on it gets no change and a request no answer until they time out.
  */
 int
-transfer_alive(void *arg, curl_socket_t fd, curlsocktype purpose)
+transfer_set_keepalive(void *arg, curl_socket_t fd, curlsocktype purpose)
 {
 	int on = 1, idle = KEEPALIVE_IDLE_S, interval = KEEPALIVE_INTERVAL_S,
 	    n = KEEPALIVE_PROBES;
@@ -78,19 +78,19 @@
 on_send(void *arg, char *ip, char *local, int port, int local_port)
 {
 	struct transfer *t = arg;
-	long opened = 0;
+	long new_conn = 0;
 
-	if (t->begun)
+	if (t->maybe_sent)
 		return (CURL_PREREQFUNC_ABORT);
-	t->begun = 1;
-	curl_easy_getinfo(t->easy, CURLINFO_NUM_CONNECTS, &opened);
-	t->opened = opened > 0;
+	t->maybe_sent = 1;
+	curl_easy_getinfo(t->easy, CURLINFO_NUM_CONNECTS, &new_conn);
+	t->new_conn = new_conn > 0;
 	return (CURL_PREREQFUNC_OK);
 }
 
 /* Sets the options that all transfers to targets share. */
 void
-transfer_set(struct transfer *t, const char *url, long connect_ms)
+transfer_set_options(struct transfer *t, const char *url, long connect_ms)
 {
 	t->reply.limit = -1;
 	curl_easy_setopt(t->easy, CURLOPT_URL, url);
@@ -99,8 +99,9 @@
 	curl_easy_setopt(t->easy, CURLOPT_PROTOCOLS_STR, "http");
 	curl_easy_setopt(t->easy, CURLOPT_PROXY, "");
 	curl_easy_setopt(t->easy, CURLOPT_CONNECTTIMEOUT_MS, connect_ms);
-	curl_easy_setopt(t->easy, CURLOPT_HTTPHEADER, t->heads);
-	curl_easy_setopt(t->easy, CURLOPT_SOCKOPTFUNCTION, transfer_alive);
+	curl_easy_setopt(t->easy, CURLOPT_HTTPHEADER, t->headers);
+	curl_easy_setopt(
+	    t->easy, CURLOPT_SOCKOPTFUNCTION, transfer_set_keepalive);
 	curl_easy_setopt(t->easy, CURLOPT_WRITEFUNCTION, on_body);
 	curl_easy_setopt(t->easy, CURLOPT_WRITEDATA, t);
 	curl_easy_setopt(t->easy, CURLOPT_HEADERFUNCTION, on_header);
@@ -111,9 +112,9 @@
 
 /* Frees a transfer's headers and answer, but not its handle. */
 void
-transfer_end(struct transfer *t)
+transfer_free(struct transfer *t)
 {
-	curl_slist_free_all(t->heads);
-	str_free(&t->reply.heads);
+	curl_slist_free_all(t->headers);
+	str_free(&t->reply.headers);
 	str_free(&t->reply.body);
 }
--- a/gspard/transfer.h
+++ b/gspard/transfer.h
@@ -7,16 +7,16 @@
 struct transfer {
 	const struct target_ops *ops;
 	CURL *easy;
-	struct curl_slist *heads;
+	struct curl_slist *headers;
 	struct reply reply;
 	size_t body_max; /* of the answer; 0 discards the body */
-	int begun;	 /* bytes may have been sent */
-	int opened;	 /* ... on a connection opened for this transfer */
+	int maybe_sent;	 /* bytes may have been sent */
+	int new_conn;	 /* ... on a connection opened for this transfer */
 };
 
 void transfers_wake(void *multi);
-int transfer_alive(void *, curl_socket_t, curlsocktype);
-void transfer_set(struct transfer *, const char *url, long connect_ms);
-void transfer_end(struct transfer *);
+int transfer_set_keepalive(void *, curl_socket_t, curlsocktype);
+void transfer_set_options(struct transfer *, const char *url, long connect_ms);
+void transfer_free(struct transfer *);
 
 #endif
--- a/gspard/watch.c
+++ b/gspard/watch.c
@@ -41,7 +41,7 @@
 /* Logs an invalid entry, once for each version: lists are read repeatedly, and
  * would repeat the line. */
 static void
-log_invalid(struct watch *w, const struct found *f)
+log_invalid(struct watch *w, const struct store_item *f)
 {
 	uint64_t h = XXH3_64bits_withSeed(f->name, strlen(f->name), f->version);
 	int i;
@@ -59,7 +59,7 @@
 
 /* Handles a target's entry. */
 static void
-handle_target(struct service *s, const struct found *f, usec now)
+handle_target(struct service *s, const struct store_item *f, usec now)
 {
 	struct watch *w = s->state;
 	struct fleet_target t;
@@ -78,8 +78,8 @@
 
 /* Handles one evacuation; since is 0 where its start is unknown. */
 static void
-handle_evacuation(
-    struct watch *w, const struct found *f, int listing, usec since, usec now)
+handle_evacuation(struct watch *w, const struct store_item *f, int listing,
+    usec since, usec now)
 {
 	struct evacuations *e =
 	    listing ? &w->listed : &w->membership.evacuations;
@@ -102,10 +102,10 @@
 	int i;
 
 	/* Another host has already sent a later revision. */
-	if (st->nfound == 0 || st->version < e->as_of)
+	if (st->nitems == 0 || st->version < e->as_of)
 		return;
-	for (i = 0; i < st->nfound; i++)
-		handle_evacuation(w, &st->found[i], 0, since, now);
+	for (i = 0; i < st->nitems; i++)
+		handle_evacuation(w, &st->items[i], 0, since, now);
 	e->as_of = st->version;
 	w->membership.changed = 1;
 }
@@ -118,17 +118,17 @@
 	struct watch *w = s->state;
 	int i, gone = 0;
 
-	for (i = 0; i < st->nfound; i++)
-		gone += st->found[i].deleted;
+	for (i = 0; i < st->nitems; i++)
+		gone += st->items[i].deleted;
 	if (kind == FEED_TARGETS)
 		membership_mass_removal(&w->membership, gone, now);
-	for (i = 0; i < st->nfound; i++) {
+	for (i = 0; i < st->nitems; i++) {
 		if (kind == FEED_SITE)
-			watch_site_found(s, &st->found[i]);
+			watch_site_found(s, &st->items[i]);
 		else if (kind == FEED_TARGETS)
-			handle_target(s, &st->found[i], now);
+			handle_target(s, &st->items[i], now);
 		else
-			handle_evacuation(w, &st->found[i], 1, 0, now);
+			handle_evacuation(w, &st->items[i], 1, 0, now);
 	}
 }
 
@@ -145,9 +145,9 @@
 	 */
 	if (f->after[0] == '\0')
 		f->list_base = st->version;
-	if (st->more && st->nfound > 0) {
+	if (st->more && st->nitems > 0) {
 		name_copy(
-		    f->after, sizeof(f->after), st->found[st->nfound - 1].name);
+		    f->after, sizeof(f->after), st->items[st->nitems - 1].name);
 		return;
 	}
 	f->after[0] = '\0';
@@ -239,8 +239,8 @@
 	if (w->fresh == fresh)
 		return;
 	w->fresh = fresh;
-	msg_post(
-	    s->kernel, "control", fresh ? MSG_FRESH : MSG_STALE, NULL, NULL);
+	msg_post(s->kernel, "control",
+	    fresh ? MSG_TARGETS_FRESH : MSG_TARGETS_STALE, NULL, NULL);
 }
 
 /* Handles the end of a watch, with changes or without, and schedules the next.
@@ -250,7 +250,7 @@
 {
 	if (st->version > f->base)
 		f->base = st->version;
-	f->next = now + (st->nfound > 0 ? WATCH_PAUSE : 0);
+	f->next = now + (st->nitems > 0 ? WATCH_PAUSE : 0);
 }
 
 /* Handles a failed call: schedules a retry, with a longer delay each time. */
@@ -264,17 +264,18 @@
 		    "Store does not answer for %s: result %d, status %d, "
 		    "%zu bytes in %lld ms.",
 		    f->kind, st->result, st->status, st->body.n,
-		    (long long)(st->took / 1000));
+		    (long long)(st->duration / 1000));
 	f->backoff = f->backoff == 0 ? RETRY_MIN : f->backoff * 2;
 	if (f->backoff > RETRY_MAX)
 		f->backoff = RETRY_MAX;
 	f->next = now + f->backoff;
-	/* Ignore a call that was sent before MSG_BE_TOLD. */
+	/* Ignore a call that was sent before MSG_FOLLOW_CONTROLLER. */
 	if (!w->from_controller)
 		membership_store_failed(&w->membership, now);
 	set_fresh(s, 0);
 	if (f == &w->feeds[FEED_SITE])
-		msg_post(s->kernel, "control", MSG_SITE_UNREAD, NULL, NULL);
+		msg_post(
+		    s->kernel, "control", MSG_SITE_READ_FAILED, NULL, NULL);
 }
 
 /*
@@ -343,10 +344,10 @@
 	struct feed *f = &w->feeds[kind];
 	usec since = f->backoff == 0 ? now : 0;
 
-	if (st->gen != f->call_id)
+	if (st->generation != f->call_id)
 		return;
 	f->pending = 0;
-	if (st->result == STORE_FORGOTTEN) {
+	if (st->result == STORE_COMPACTED) {
 		log_line(LOG_NOTICE, "watch",
 		    "Store has dropped the history of %s, listing all.",
 		    f->kind);
@@ -402,7 +403,7 @@
 		    ? WATCH_EVACUATIONS_MS
 		    : WATCH_MS;
 	}
-	st->gen = ++f->call_id;
+	st->generation = ++f->call_id;
 	f->pending = 1;
 	store_send(s->kernel, st);
 }
@@ -452,10 +453,10 @@
 	struct watch *w = s->state;
 
 	switch (m->kind) {
-	case MSG_STORED:
+	case MSG_STORE_DONE:
 		call_done(s, m->data, now);
 		break;
-	case MSG_TOLD:
+	case MSG_SITE_RECEIVED:
 		watch_site_received(s, m->data);
 		m->data = NULL;
 		break;
@@ -466,16 +467,16 @@
 		feed_list(&w->feeds[FEED_TARGETS], now);
 		feed_list(&w->feeds[FEED_EVACUATIONS], now);
 		break;
-	case MSG_FOLLOW:
+	case MSG_FOLLOW_STORE:
 		w->from_controller = 0;
 		feed_list_all(s, now);
 		break;
-	case MSG_BE_TOLD:
+	case MSG_FOLLOW_CONTROLLER:
 		w->from_controller = 1;
 		reset_failures(w, now);
 		set_fresh(s, 0);
 		break;
-	case MSG_FLEET_TOLD:
+	case MSG_FLEET_RECEIVED:
 		membership_adopt(&w->membership, m->data, now);
 		break;
 	case MSG_QUIT:
--- a/gspard/watch.h
+++ b/gspard/watch.h
@@ -48,7 +48,7 @@
 void watch_cancel_list(struct feed *);
 
 /* watch_site.c */
-void watch_site_found(struct service *, const struct found *);
+void watch_site_found(struct service *, const struct store_item *);
 void watch_site_received(struct service *, struct site *);
 
 #endif
--- a/gspard/watch_site.c
+++ b/gspard/watch_site.c
@@ -32,7 +32,7 @@
 
 /* Handles an object of the configuration's kind. */
 void
-watch_site_found(struct service *s, const struct found *f)
+watch_site_found(struct service *s, const struct store_item *f)
 {
 	const char *why;
 	struct site *t;
--- a/regress/scenario/scen.c
+++ b/regress/scenario/scen.c
@@ -90,7 +90,7 @@
 static int
 l_http(lua_State *l)
 {
-	struct str body = {NULL, 0}, heads = {NULL, 0};
+	struct str body = {NULL, 0}, headers = {NULL, 0};
 	struct curl_slist *list = NULL;
 	CURL *c = curl_easy_init();
 	size_t n = 0;
@@ -117,16 +117,16 @@
 	curl_easy_setopt(c, CURLOPT_WRITEFUNCTION, on_data);
 	curl_easy_setopt(c, CURLOPT_WRITEDATA, &body);
 	curl_easy_setopt(c, CURLOPT_HEADERFUNCTION, on_data);
-	curl_easy_setopt(c, CURLOPT_HEADERDATA, &heads);
+	curl_easy_setopt(c, CURLOPT_HEADERDATA, &headers);
 	if (curl_easy_perform(c) == CURLE_OK)
 		curl_easy_getinfo(c, CURLINFO_RESPONSE_CODE, &status);
 	lua_pushinteger(l, status);
 	lua_pushlstring(l, body.p == NULL ? "" : body.p, body.n);
-	lua_pushlstring(l, heads.p == NULL ? "" : heads.p, heads.n);
+	lua_pushlstring(l, headers.p == NULL ? "" : headers.p, headers.n);
 	curl_slist_free_all(list);
 	curl_easy_cleanup(c);
 	str_free(&body);
-	str_free(&heads);
+	str_free(&headers);
 	return (3);
 }
 
@@ -266,9 +266,9 @@
 
 /* The value of a header, or NULL; heads end with an empty line. */
 static const char *
-head_value(const char *heads, const char *name)
+head_value(const char *headers, const char *name)
 {
-	const char *p = strcasestr(heads, name);
+	const char *p = strcasestr(headers, name);
 
 	return (p == NULL ? NULL : p + strlen(name));
 }
--- a/regress/unit/readers.c
+++ b/regress/unit/readers.c
@@ -81,14 +81,14 @@
 	st->op = op;
 	st->status = 200;
 	str_set(&st->body, p, n);
-	objects_form.answer(st);
-	for (i = 0; i < st->nfound; i++) {
-		if (decode_target(st->found[i].raw, st->found[i].name, &t) == 0)
+	objects_form.response(st);
+	for (i = 0; i < st->nitems; i++) {
+		if (decode_target(st->items[i].raw, st->items[i].name, &t) == 0)
 			require(t.slots >= 1 && t.service[0] != '\0');
-		site_free(decode_site_object(st->found[i].raw, &why));
+		site_free(decode_site_object(st->items[i].raw, &why));
 	}
 	json_decref(st->parsed);
-	free(st->found);
+	free(st->items);
 	str_free(&st->body);
 	free(st);
 }
@@ -176,10 +176,10 @@
 	struct str body = {(char *)p, n}, text = {NULL, 0};
 	struct control_record r, decoded;
 
-	if (record_read(&body, &r) != 0)
+	if (record_decode(&body, &r) != 0)
 		return;
-	record_write(&r, &text);
-	require(record_read(&text, &decoded) == 0);
+	record_encode(&r, &text);
+	require(record_decode(&text, &decoded) == 0);
 	require(memcmp(&r, &decoded, sizeof(r)) == 0);
 	str_free(&text);
 }
@@ -325,7 +325,7 @@
 		require(c.left_ms >= 0 && c.rule != NULL);
 		curl_slist_free_all(objects_target.request(&c, "i-1#17", 100));
 	}
-	str_free(&c.heads);
+	str_free(&c.headers);
 	free(text);
 	site_free(t);
 	json_decref(o);
--- a/regress/unit/t_callers.c
+++ b/regress/unit/t_callers.c
@@ -52,22 +52,22 @@
 	l = callers_new(lock);
 	CU_ASSERT_EQUAL_FATAL(socketpair(AF_UNIX, SOCK_STREAM, 0, sv), 0);
 	fd_now = sv[0];
-	callers_changed(l, NULL, &state_now, MHD_CONNECTION_NOTIFY_STARTED);
+	callers_on_notify(l, NULL, &state_now, MHD_CONNECTION_NOTIFY_STARTED);
 	/* A connection with a request running or arrived is not ended. */
-	CU_ASSERT(!callers_busy(l, NULL, 1));
+	CU_ASSERT(!callers_set_busy(l, NULL, 1));
 	callers_end_idle(l);
 	CU_ASSERT(!at_end(sv[0]));
-	CU_ASSERT(!callers_busy(l, NULL, 0));
+	CU_ASSERT(!callers_set_busy(l, NULL, 0));
 	CU_ASSERT_EQUAL(write(sv[1], "G", 1), 1);
 	callers_end_idle(l);
-	CU_ASSERT(!callers_busy(l, NULL, 1));
+	CU_ASSERT(!callers_set_busy(l, NULL, 1));
 	CU_ASSERT_EQUAL(read(sv[0], &fd_now, 1), 1);
-	CU_ASSERT(!callers_busy(l, NULL, 0));
+	CU_ASSERT(!callers_set_busy(l, NULL, 0));
 	/* An idle one is ended, and a request that arrives then learns it. */
 	callers_end_idle(l);
 	CU_ASSERT(at_end(sv[0]));
-	CU_ASSERT(callers_busy(l, NULL, 1));
-	callers_changed(l, NULL, &state_now, MHD_CONNECTION_NOTIFY_CLOSED);
+	CU_ASSERT(callers_set_busy(l, NULL, 1));
+	callers_on_notify(l, NULL, &state_now, MHD_CONNECTION_NOTIFY_CLOSED);
 	callers_free(l);
 	close(sv[0]);
 	close(sv[1]);
--- a/regress/unit/t_feature.c
+++ b/regress/unit/t_feature.c
@@ -160,8 +160,8 @@
 	memset(c, 0, sizeof(c));
 	for (i = 0; i < 3; i++) {
 		name_copy(c[i].dc, sizeof(c[i].dc), i == 0 ? "south" : "north");
-		c[i].who.host[0] = (char)('a' + i);
-		c[i].bears = 50 * (i + 1);
+		c[i].process.host[0] = (char)('a' + i);
+		c[i].max_hosts = 50 * (i + 1);
 	}
 	CU_ASSERT_EQUAL(features_off(""), 0);
 	standbys_pick(c, 3, "south", m);
--- a/regress/unit/t_platform.c
+++ b/regress/unit/t_platform.c
@@ -191,7 +191,7 @@
 free_call(struct store *st)
 {
 	json_decref(st->parsed);
-	free(st->found);
+	free(st->items);
 	str_free(&st->body);
 	free(st);
 }
@@ -233,7 +233,7 @@
 
 	st->status = status;
 	str_set(&st->body, body, strlen(body));
-	objects_form.answer(st);
+	objects_form.response(st);
 	return (st);
 }
 
@@ -243,8 +243,9 @@
 	static const struct {
 		int status;
 		enum store_result result;
-	} cases[] = {{409, STORE_CONFLICT}, {404, STORE_ABSENT},
-	    {410, STORE_FORGOTTEN}, {429, STORE_BUSY}, {503, STORE_DOWN}};
+	} cases[] = {{409, STORE_CONFLICT}, {404, STORE_NOT_FOUND},
+	    {410, STORE_COMPACTED}, {429, STORE_RATE_LIMITED},
+	    {503, STORE_REFUSED}};
 	struct store *st;
 	size_t i;
 
@@ -261,7 +262,7 @@
 	free_call(st);
 	/* Truncated: the outcome is unknown. */
 	st = decode_answer(STORE_PUT, 200, "{\"metadata\":{\"na");
-	CU_ASSERT_EQUAL(st->result, STORE_SILENT);
+	CU_ASSERT_EQUAL(st->result, STORE_NO_REPLY);
 	free_call(st);
 }
 
@@ -274,16 +275,16 @@
 	    "{\"items\":[{\"metadata\":{\"name\":\"a\",\"revision\":1}},"
 	    "{\"metadata\":{\"name\":\"b\",\"revision\":2}}],"
 	    "\"has_more\":true,\"current_rev\":44}");
-	CU_ASSERT_EQUAL(st->nfound, 2);
-	CU_ASSERT_STRING_EQUAL(st->found[1].name, "b");
+	CU_ASSERT_EQUAL(st->nitems, 2);
+	CU_ASSERT_STRING_EQUAL(st->items[1].name, "b");
 	CU_ASSERT(st->more);
 	CU_ASSERT_EQUAL(st->version, 44);
 	free_call(st);
 	st = decode_answer(STORE_WATCH, 200,
 	    "{\"events\":[{\"deleted\":true,\"object\":{\"metadata\":{"
 	    "\"name\":\"a\",\"revision\":50}}}],\"current_rev\":51}");
-	CU_ASSERT_EQUAL(st->nfound, 1);
-	CU_ASSERT(st->found[0].deleted);
+	CU_ASSERT_EQUAL(st->nitems, 1);
+	CU_ASSERT(st->items[0].deleted);
 	CU_ASSERT_EQUAL(st->version, 51);
 	free_call(st);
 }
@@ -309,9 +310,9 @@
 	struct store *st = decode_answer(STORE_LIST, 200, items);
 
 	CU_ASSERT_EQUAL(st->result, STORE_DONE);
-	CU_ASSERT_EQUAL_FATAL(st->nfound, 4);
-	CU_ASSERT_STRING_EQUAL(st->found[1].name, "b");
-	CU_ASSERT_STRING_EQUAL(st->found[3].name, "d");
+	CU_ASSERT_EQUAL_FATAL(st->nitems, 4);
+	CU_ASSERT_STRING_EQUAL(st->items[1].name, "b");
+	CU_ASSERT_STRING_EQUAL(st->items[3].name, "d");
 	CU_ASSERT(st->more);
 	CU_ASSERT_EQUAL(st->version, 44);
 	free_call(st);
@@ -321,23 +322,23 @@
 	    "\"object\":{\"metadata\":{\"name\":\"b\"}}}],"
 	    "\"current_rev\":51}");
 	CU_ASSERT_EQUAL(st->result, STORE_DONE);
-	CU_ASSERT_EQUAL_FATAL(st->nfound, 2);
-	CU_ASSERT_STRING_EQUAL(st->found[0].name, "a");
-	CU_ASSERT(!st->found[0].deleted && st->found[1].deleted);
+	CU_ASSERT_EQUAL_FATAL(st->nitems, 2);
+	CU_ASSERT_STRING_EQUAL(st->items[0].name, "a");
+	CU_ASSERT(!st->items[0].deleted && st->items[1].deleted);
 	CU_ASSERT_EQUAL(st->version, 51);
 	free_call(st);
 	/* A name with a NUL byte is not truncated to another object's name. */
 	st = decode_answer(STORE_LIST, 200,
 	    "{\"items\":[{\"metadata\":{\"name\":\"a\\u0000b\"}}],"
 	    "\"has_more\":false,\"current_rev\":44}");
-	CU_ASSERT_EQUAL(st->nfound, 0);
+	CU_ASSERT_EQUAL(st->nitems, 0);
 	free_call(st);
 	/* A truncated list is refused: what is missing from it is not
 	 * deleted. */
 	st = decode_answer(STORE_LIST, 200,
 	    "{\"items\":[{\"metadata\":{\"name\":\"a\"}},{\"metad");
-	CU_ASSERT_EQUAL(st->result, STORE_SILENT);
-	CU_ASSERT_EQUAL(st->nfound, 0);
+	CU_ASSERT_EQUAL(st->result, STORE_NO_REPLY);
+	CU_ASSERT_EQUAL(st->nitems, 0);
 	free_call(st);
 }
 
@@ -362,18 +363,18 @@
 	free_call(st);
 	st = decode_answer(STORE_GET, 200,
 	    "{\"spec\":\"\xff\",\"metadata\":{\"name\":\"main\",\"rev");
-	CU_ASSERT_EQUAL(st->result, STORE_SILENT);
+	CU_ASSERT_EQUAL(st->result, STORE_NO_REPLY);
 	free_call(st);
 	st = decode_answer(
 	    STORE_GET, 200, "{\"metadata\":{\"name\":\"main\",\"revision\":7}");
-	CU_ASSERT_EQUAL(st->result, STORE_SILENT);
+	CU_ASSERT_EQUAL(st->result, STORE_NO_REPLY);
 	free_call(st);
 	st = decode_answer(STORE_GET, 200, "[7]");
-	CU_ASSERT_EQUAL(st->result, STORE_SILENT);
+	CU_ASSERT_EQUAL(st->result, STORE_NO_REPLY);
 	free_call(st);
 	st =
 	    decode_answer(STORE_GET, 200, "{\"metadata\":{\"name\":\"\xff\"}}");
-	CU_ASSERT_EQUAL(st->result, STORE_SILENT);
+	CU_ASSERT_EQUAL(st->result, STORE_NO_REPLY);
 	free_call(st);
 }
 
@@ -427,7 +428,7 @@
 	CU_ASSERT_EQUAL(classify_lines(200, other_id), REPLY_FOREIGN);
 	CU_ASSERT_EQUAL(classify_lines(200, not_signed), REPLY_FOREIGN);
 	CU_ASSERT_EQUAL(classify_lines(503, refused), REPLY_REFUSED);
-	CU_ASSERT_EQUAL(classify_lines(421, not_signed), REPLY_MISSENT);
+	CU_ASSERT_EQUAL(classify_lines(421, not_signed), REPLY_NOT_OWNER);
 	/* A status that means "not run" is not forwarded without the
 	 * target's header. */
 	CU_ASSERT_EQUAL(classify_lines(503, complete), REPLY_FOREIGN);
--- a/regress/unit/t_standby.c
+++ b/regress/unit/t_standby.c
@@ -6,14 +6,14 @@
 
 /* Returns a host that could be a standby. */
 static struct candidate
-host(const char *name, const char *dc, int bears, int is_standby)
+host(const char *name, const char *dc, int max_hosts, int is_standby)
 {
 	struct candidate c;
 
 	memset(&c, 0, sizeof(c));
-	name_copy(c.who.host, sizeof(c.who.host), name);
+	name_copy(c.process.host, sizeof(c.process.host), name);
 	name_copy(c.dc, sizeof(c.dc), dc);
-	c.bears = bears;
+	c.max_hosts = max_hosts;
 	c.is_standby = is_standby;
 	return (c);
 }
@@ -77,7 +77,7 @@
 	CU_ASSERT(!larger_standby_ready(c, 3, 55, 40));
 	CU_ASSERT(!larger_standby_ready(c, 3, 0, 81));
 	/* A standby that is only a little larger does not take over. */
-	c[1].bears = 70;
+	c[1].max_hosts = 70;
 	CU_ASSERT(!larger_standby_ready(c, 3, 55, 81));
 }
 
