--- a/decide/entry.c
+++ b/decide/entry.c
@@ -139,7 +139,7 @@
 	read_name(c, o, path, "dc", t->dc);
 	v = json_object_get(o, "address");
 	if (!json_is_string(v) || json_string_length(v) >= sizeof(t->addr) ||
-	    addr_split(json_string_value(v), ip, sizeof(ip), &port) != 0)
+	    addr_parse(json_string_value(v), ip, sizeof(ip), &port) != 0)
 		reject(c, "%s.address: allowed: IP number, ':' and port", path);
 	else
 		name_copy(t->addr, sizeof(t->addr), json_string_value(v));
--- a/gspard/admin.c
+++ b/gspard/admin.c
@@ -71,7 +71,7 @@
 	uint64_t next;
 	char *text;
 
-	next = event_each(
+	next = event_foreach(
 	    from == NULL ? 0 : strtoull(from, NULL, 10), add_event, a);
 	o = json_pack("{s:s, s:I, s:o}", "host", kernel_conf(s->kernel)->host,
 	    "next", (json_int_t)next, "events", a);
@@ -160,7 +160,7 @@
 	a = calloc(1, sizeof(*a));
 	if (a == NULL)
 		return (-1);
-	addr_split(address, ip, sizeof(ip), &port);
+	addr_parse(address, ip, sizeof(ip), &port);
 	inet_pton(AF_INET, ip, &sin.sin_addr);
 	sin.sin_port = htons((uint16_t)port);
 	a->daemon = MHD_start_daemon(MHD_USE_THREAD_PER_CONNECTION |
--- a/gspard/bind.c
+++ b/gspard/bind.c
@@ -14,7 +14,7 @@
 	char ip[ADDR_MAX_GS];
 	int fd, port, six, on = 1, res;
 
-	addr_split(at, ip, sizeof(ip), &port);
+	addr_parse(at, ip, sizeof(ip), &port);
 	six = inet_pton(AF_INET, ip, &sin.sin_addr) != 1;
 	if (six)
 		inet_pton(AF_INET6, ip, &sin6.sin6_addr);
--- a/gspard/conn.c
+++ b/gspard/conn.c
@@ -131,26 +131,26 @@
 	size_t have = c->in.n - c->in_pos, n;
 	Gspar__Frame *f;
 
-	if (have < FRAME_HEAD)
+	if (have < FRAME_HEADER_SIZE)
 		return (0);
 	if (frame_size(p, &n) != 0) {
 		count_add(C_PEER_BAD, 1);
 		conn_fail(c, "frame length out of range");
 		return (0);
 	}
-	if (have < FRAME_HEAD + n)
+	if (have < FRAME_HEADER_SIZE + n)
 		return (0);
-	f = frame_unpack(p + FRAME_HEAD, n);
+	f = frame_unpack(p + FRAME_HEADER_SIZE, n);
 	if (f == NULL) {
 		count_add(C_PEER_BAD, 1);
 		conn_fail(c, "malformed frame or unknown kind");
 		return (0);
 	}
-	c->in_pos += FRAME_HEAD + n;
+	c->in_pos += FRAME_HEADER_SIZE + n;
 	count_add(C_PEER_IN, 1);
 	if (frame_is_control(f)) {
 		count_add(C_CONTROL_FRAMES, 1);
-		count_add(C_CONTROL_BYTES, FRAME_HEAD + n);
+		count_add(C_CONTROL_BYTES, FRAME_HEADER_SIZE + n);
 	}
 	fn(arg, c, f);
 	return (1);
--- a/gspard/ctl_cell.c
+++ b/gspard/ctl_cell.c
@@ -167,7 +167,7 @@
 	ask.stopping = ctl->stopping;
 	ask.boot = kernel_boot(c->s->kernel);
 	ask.dc = (char *)conf_of(c)->dc;
-	ask.addr = (char *)conf_of(c)->reached;
+	ask.addr = (char *)conf_of(c)->advertised;
 	ask.seq =
 	    hostlease_request(&c->lease, now, request_interval(conf_of(c)));
 	f.body_case = GSPAR__FRAME__BODY_LEASE_ASK;
--- a/gspard/ctl_view.c
+++ b/gspard/ctl_view.c
@@ -100,7 +100,7 @@
 	v.term = cell->term;
 	v.seq = cell->view_seq;
 	v.controller = (char *)kernel_conf(c->s->kernel)->host;
-	v.controller_addr = (char *)kernel_conf(c->s->kernel)->reached;
+	v.controller_addr = (char *)kernel_conf(c->s->kernel)->advertised;
 	v.services = svp;
 	v.dispatch = dvp;
 	for (i = 0; i < cell->nservices; i++) {
--- a/gspard/direct.c
+++ b/gspard/direct.c
@@ -292,7 +292,7 @@
 	d->by_id = apr_hash_make(d->pool);
 	d->conf.hosts = HOSTS_ASSUMED;
 	d->seed = kernel_boot(s->kernel);
-	ring_on_put(s->in, transfers_wake, d->multi);
+	ring_set_wake(s->in, transfers_wake, d->multi);
 	return (0);
 }
 
@@ -303,7 +303,7 @@
 	struct direct *d = s->state;
 	struct target_state *p;
 
-	ring_on_put(s->in, NULL, NULL);
+	ring_set_wake(s->in, NULL, NULL);
 	free(d->stop_plan);
 	while (d->nidle_easy > 0)
 		curl_easy_cleanup(d->idle_easy[--d->nidle_easy]);
--- a/gspard/dispatch.c
+++ b/gspard/dispatch.c
@@ -440,7 +440,7 @@
 	}
 	curl_multi_setopt(d->multi, CURLMOPT_MAXCONNECTS, 1024L);
 	s->state = d;
-	ring_on_put(s->in, transfers_wake, d->multi);
+	ring_set_wake(s->in, transfers_wake, d->multi);
 	return (0);
 }
 
@@ -453,7 +453,7 @@
 	struct job *j;
 	int i;
 
-	ring_on_put(s->in, NULL, NULL);
+	ring_set_wake(s->in, NULL, NULL);
 	while ((t = d->targets) != NULL) {
 		while (
 		    (j = queue_remove(&t->queue, run_match_any, NULL)) != NULL)
--- a/gspard/door.c
+++ b/gspard/door.c
@@ -131,7 +131,7 @@
 	uint32_t ms = 0;
 	int n;
 
-	if (result_again(a->code))
+	if (result_retryable(a->code))
 		ms = add_retry_jitter(
 		    a->retry_ms > 0 ? a->retry_ms : RETRY_DEFAULT_MS);
 	n = result_json(text, sizeof(text), a->code, a->outcome, ms);
@@ -187,7 +187,7 @@
 		status = c->answer.status;
 	} else {
 		r = error_response(d, c);
-		status = result_http(c->answer.code);
+		status = result_http_status(c->answer.code);
 	}
 	if (__atomic_load_n(&d->stopping, __ATOMIC_RELAXED))
 		MHD_add_response_header(r, "Connection", "close");
--- a/gspard/gspard.c
+++ b/gspard/gspard.c
@@ -281,7 +281,7 @@
 	int res = 1;
 
 	argp_parse(&argp, argc, argv, 0, NULL, NULL);
-	platform_settings();
+	settings_add_aliases();
 	if (conf_read(&conf, file, print_setting_error) != 0)
 		return (1);
 	if (check_only)
@@ -297,7 +297,7 @@
 		return (1);
 	/* No TLS: the daemon makes plain HTTP calls only. */
 	curl_global_init(CURL_GLOBAL_NOTHING);
-	if (event_open() != 0 || (k = kernel_new(&conf)) == NULL)
+	if (event_init() != 0 || (k = kernel_new(&conf)) == NULL)
 		goto out;
 	list = conf.form == FORM_OBJECTS ? objects_services : native_services;
 	for (; *list != NULL; list++) {
--- a/gspard/keeper.c
+++ b/gspard/keeper.c
@@ -426,7 +426,7 @@
 	k->controller_heard = clock_mono();
 	k->following = 1; /* as the watch service starts */
 	sitectl_term_init(k);
-	ring_on_put(s->in, transfers_wake, k->multi);
+	ring_set_wake(s->in, transfers_wake, k->multi);
 	return (0);
 }
 
@@ -436,7 +436,7 @@
 {
 	struct sitectl *k = s->state;
 
-	ring_on_put(s->in, NULL, NULL);
+	ring_set_wake(s->in, NULL, NULL);
 	orders_cancel(k);
 	sitectl_drop_keys(k);
 	if (k->pending_report != NULL)
--- a/gspard/keeper_report.c
+++ b/gspard/keeper_report.c
@@ -78,7 +78,7 @@
 	tlist = calloc((size_t)h->ntargets + 1, sizeof(*tlist));
 	buf = calloc((size_t)h->nkeys * HEAT_SAMPLE_MAX + 1, sizeof(*buf));
 	w.boot = kernel_boot(k->s->kernel);
-	w.addr = (char *)conf->reached;
+	w.addr = (char *)conf->advertised;
 	w.dc = (char *)conf->dc;
 	w.stopping = k->stopping;
 	w.bears = (uint32_t)sitectl_capacity(k);
--- a/gspard/keeper_spread.c
+++ b/gspard/keeper_spread.c
@@ -260,7 +260,7 @@
 	k->hosts_changed = 0;
 	w.hosts = list;
 	self.host = (char *)conf->host;
-	self.addr = (char *)conf->reached;
+	self.addr = (char *)conf->advertised;
 	self.dc = (char *)conf->dc;
 	self.boot = kernel_boot(k->s->kernel);
 	w.self = &self;
--- a/gspard/keeper_term.c
+++ b/gspard/keeper_term.c
@@ -115,7 +115,7 @@
 
 	memset(&tc, 0, sizeof(tc));
 	name_copy(tc.self.host, sizeof(tc.self.host), conf->host);
-	name_copy(tc.self.addr, sizeof(tc.self.addr), conf->reached);
+	name_copy(tc.self.addr, sizeof(tc.self.addr), conf->advertised);
 	tc.self.boot = kernel_boot(k->s->kernel);
 	tc.lease = MS(conf->control_lease_ms);
 	tc.renew = MS(conf->renew_ms);
--- a/gspard/msg.c
+++ b/gspard/msg.c
@@ -110,7 +110,8 @@
 		return;
 	}
 	if (strcmp(host, kernel_conf(k)->host) == 0) {
-		copy = frame_unpack(b.p + FRAME_HEAD, b.n - FRAME_HEAD);
+		copy = frame_unpack(
+		    b.p + FRAME_HEADER_SIZE, b.n - FRAME_HEADER_SIZE);
 		free(b.p);
 		if (copy != NULL)
 			deliver_frame(k, host, 0, copy);
--- a/gspard/peer.c
+++ b/gspard/peer.c
@@ -172,7 +172,7 @@
 	apr_status_t st;
 	int port;
 
-	if (at == NULL || addr_split(at, ip, sizeof(ip), &port) != 0 ||
+	if (at == NULL || addr_parse(at, ip, sizeof(ip), &port) != 0 ||
 	    attempted_recently(p, host, now))
 		return (NULL);
 	if (apr_pool_create(&pool, NULL) != APR_SUCCESS)
@@ -519,7 +519,7 @@
 	    apr_pollset_create(&p->set, CONNS_MAX, p->pool,
 		APR_POLLSET_WAKEABLE) != APR_SUCCESS)
 		goto bad;
-	addr_split(at, ip, sizeof(ip), &port);
+	addr_parse(at, ip, sizeof(ip), &port);
 	if (apr_sockaddr_info_get(&sa, ip, APR_UNSPEC, (apr_port_t)port, 0,
 		p->pool) != APR_SUCCESS ||
 	    apr_socket_create(&p->listener, sa->family, SOCK_STREAM,
@@ -536,7 +536,7 @@
 	p->listen_pfd.reqevents = APR_POLLIN;
 	p->listen_pfd.desc.s = p->listener;
 	apr_pollset_add(p->set, &p->listen_pfd);
-	ring_on_put(s->in, wake, p->set);
+	ring_set_wake(s->in, wake, p->set);
 	return (0);
 bad:
 	if (p->pool != NULL)
@@ -552,7 +552,7 @@
 	struct peer *p = s->state;
 	struct conn *c;
 
-	ring_on_put(s->in, NULL, NULL);
+	ring_set_wake(s->in, NULL, NULL);
 	while ((c = p->conns) != NULL) {
 		p->conns = c->next;
 		conn_free(c);
--- a/gspard/platform.c
+++ b/gspard/platform.c
@@ -310,7 +310,7 @@
 		return (-1);
 	}
 	s->state = p;
-	ring_on_put(s->in, transfers_wake, p->multi);
+	ring_set_wake(s->in, transfers_wake, p->multi);
 	return (0);
 }
 
@@ -320,7 +320,7 @@
 {
 	struct platform *p = s->state;
 
-	ring_on_put(s->in, NULL, NULL);
+	ring_set_wake(s->in, NULL, NULL);
 	while (p->calls != NULL) {
 		curl_multi_remove_handle(p->multi, p->calls->easy);
 		call_free(p->calls);
--- a/gspard/slow.c
+++ b/gspard/slow.c
@@ -106,7 +106,7 @@
 	    "HTTP/1.1 %d Request Timeout\r\nContent-Type: application/json\r\n"
 	    "Gspar-Error: %d\r\nConnection: close\r\nContent-Length: %zu\r\n"
 	    "\r\n%s",
-	    result_http(GS_SLOW), GS_SLOW, strlen(body), body);
+	    result_http_status(GS_SLOW), GS_SLOW, strlen(body), body);
 	send(c->fd, text, (size_t)n, MSG_DONTWAIT | MSG_NOSIGNAL);
 	shutdown(c->fd, SHUT_RDWR);
 	count_add(C_CALLER_BAD, 1);
--- a/lib/conf.c
+++ b/lib/conf.c
@@ -31,7 +31,7 @@
     {"host", "link_mbps", K_REAL, OFFSET(link_mbps), 0, 1000000},
     {"listen", "callers", K_ADDR, OFFSET(callers), 0, 0},
     {"listen", "peers", K_ADDR, OFFSET(peers), 0, 0},
-    {"listen", "reached", K_ADDR, OFFSET(reached), 0, 0},
+    {"listen", "reached", K_ADDR, OFFSET(advertised), 0, 0},
     {"listen", "admin", K_ADDR, OFFSET(admin), 0, 0},
     {"listen", "ready", K_ADDR, OFFSET(ready), 0, 0},
     {"platform", "address", K_ADDRS, OFFSET(platform), 0, 0},
@@ -68,7 +68,7 @@
 
 /* Sets the platform's names for the keys of section [bounds]. */
 void
-conf_aliases(const struct conf_alias *list, int n)
+conf_set_aliases(const struct conf_alias *list, int n)
 {
 	aliases = list;
 	naliases = n;
@@ -94,7 +94,7 @@
  * partition, when this host has to keep working.
  */
 int
-addr_split(const char *addr, char *ip, size_t ipsize, int *port)
+addr_parse(const char *addr, char *ip, size_t ipsize, int *port)
 {
 	struct in6_addr a6;
 	struct in_addr a4;
@@ -150,7 +150,7 @@
 	int port;
 
 	if (strlen(value) >= ADDR_MAX_GS ||
-	    addr_split(value, ip, sizeof(ip), &port) != 0) {
+	    addr_parse(value, ip, sizeof(ip), &port) != 0) {
 		report_error(r, r->line,
 		    "%s: '%s' is not an address; allowed: an IP number, "
 		    "':' and a port from 1 to 65535",
@@ -382,7 +382,7 @@
 	if (strcmp(k->section, "bounds") == 0 || k->offset == OFFSET(ready))
 		return (c->form == FORM_OBJECTS);
 	return (k->kind != K_INT && k->kind != K_FORM && k->kind != K_REAL &&
-	    k->offset != OFFSET(reached));
+	    k->offset != OFFSET(advertised));
 }
 
 /*
@@ -401,8 +401,8 @@
 			report_error(r, 0, "missing: %s in section [%s]",
 			    keys[i].name, keys[i].section);
 	}
-	if (c->reached[0] == '\0')
-		name_copy(c->reached, sizeof(c->reached), c->peers);
+	if (c->advertised[0] == '\0')
+		name_copy(c->advertised, sizeof(c->advertised), c->peers);
 	if (c->renew_ms * 3 > c->control_lease_ms ||
 	    c->renew_ms * 3 > c->grant_ms)
 		report_error(r, 0,
--- a/lib/conf.h
+++ b/lib/conf.h
@@ -43,7 +43,8 @@
 	double link_mbps; /* network bandwidth in Mbit/s; 0 if not set */
 	char callers[ADDR_MAX_GS];
 	char peers[ADDR_MAX_GS];
-	char reached[ADDR_MAX_GS]; /* peers' address as seen by other hosts */
+	char
+	    advertised[ADDR_MAX_GS]; /* peers' address as seen by other hosts */
 	char admin[ADDR_MAX_GS];
 	char platform[PLATFORMS_MAX][ADDR_MAX_GS];
 	int nplatforms;
@@ -59,8 +60,8 @@
 /* Reports an error with the values that are allowed; line is 0 if none. */
 typedef void (*conf_error_fn)(const char *file, int line, const char *msg);
 
-void conf_aliases(const struct conf_alias *, int n);
+void conf_set_aliases(const struct conf_alias *, int n);
 int conf_read(struct conf *, const char *file, conf_error_fn);
-int addr_split(const char *addr, char *ip, size_t ipsize, int *port);
+int addr_parse(const char *addr, char *ip, size_t ipsize, int *port);
 
 #endif
--- a/lib/event.c
+++ b/lib/event.c
@@ -16,7 +16,7 @@
 
 /* Initializes the log; call before starting threads.  Returns 0, or -1. */
 int
-event_open(void)
+event_init(void)
 {
 	if (apr_pool_create(&pool, NULL) != APR_SUCCESS)
 		return (-1);
@@ -59,7 +59,7 @@
 /* Calls fn for each event in the ring from number `from` on; returns the number
  * of the next event. */
 uint64_t
-event_each(uint64_t from, event_fn fn, void *arg)
+event_foreach(uint64_t from, event_fn fn, void *arg)
 {
 	uint64_t s, end;
 
--- a/lib/event.h
+++ b/lib/event.h
@@ -23,9 +23,9 @@
 /* Called for an event, with the lock held. */
 typedef void (*event_fn)(const struct event *, void *);
 
-int event_open(void);
+int event_init(void);
 uint64_t event_add(const char *part, uint64_t cause, const char *fmt, ...)
     __attribute__((format(printf, 3, 4)));
-uint64_t event_each(uint64_t from, event_fn, void *);
+uint64_t event_foreach(uint64_t from, event_fn, void *);
 
 #endif
--- a/lib/frame.c
+++ b/lib/frame.c
@@ -12,15 +12,15 @@
 	n = gspar__frame__get_packed_size(f);
 	if (n > FRAME_MAX)
 		return (-1);
-	b->p = malloc(FRAME_HEAD + n);
+	b->p = malloc(FRAME_HEADER_SIZE + n);
 	if (b->p == NULL)
 		return (-1);
-	b->n = FRAME_HEAD + n;
+	b->n = FRAME_HEADER_SIZE + n;
 	b->p[0] = (uint8_t)(n >> 24);
 	b->p[1] = (uint8_t)(n >> 16);
 	b->p[2] = (uint8_t)(n >> 8);
 	b->p[3] = (uint8_t)n;
-	gspar__frame__pack(f, b->p + FRAME_HEAD);
+	gspar__frame__pack(f, b->p + FRAME_HEADER_SIZE);
 	return (0);
 }
 
--- a/lib/frame.h
+++ b/lib/frame.h
@@ -8,7 +8,7 @@
 #include "gspar.pb-c.h"
 
 /* Size of the header in bytes. */
-#define FRAME_HEAD 4
+#define FRAME_HEADER_SIZE 4
 /* Maximum payload in bytes; must hold the largest body of an answer. */
 #define FRAME_MAX (17u * 1024 * 1024)
 /* Version of the peer protocol; since 2 views may carry differences only. */
--- a/lib/result.c
+++ b/lib/result.c
@@ -40,21 +40,21 @@
 
 /* Returns a short reason for humans. */
 const char *
-result_why(int code)
+result_reason(int code)
 {
 	return (find_row(code)->reason);
 }
 
 /* Returns the HTTP status that callers get with the code. */
 int
-result_http(int code)
+result_http_status(int code)
 {
 	return (find_row(code)->http);
 }
 
 /* True if the request may be retried later. */
 int
-result_again(int code)
+result_retryable(int code)
 {
 	return (find_row(code)->retry);
 }
@@ -88,6 +88,6 @@
 	return (snprintf(buf, size,
 	    "{\"code\": %d, \"name\": \"%s\", \"outcome\": \"%s\", "
 	    "\"reason\": \"%s\", \"retry_after_ms\": %u}\n",
-	    code, result_name(code), outcome_name(outcome), result_why(code),
+	    code, result_name(code), outcome_name(outcome), result_reason(code),
 	    ms));
 }
--- a/lib/result.h
+++ b/lib/result.h
@@ -56,9 +56,9 @@
 enum gs_outcome { OUT_NOT_RUN = 1, OUT_UNKNOWN = 2, OUT_RAN = 3 };
 
 const char *result_name(int);
-const char *result_why(int);
-int result_http(int);
-int result_again(int);
+const char *result_reason(int);
+int result_http_status(int);
+int result_retryable(int);
 enum gs_outcome result_outcome(int);
 const char *outcome_name(int);
 int result_json(char *buf, size_t size, int code, int outcome, uint32_t ms);
--- a/lib/ring.c
+++ b/lib/ring.c
@@ -51,7 +51,7 @@
 
 /* Sets how to wake the reader; NULL if it sleeps in ring_wait. */
 void
-ring_on_put(struct ring *r, ring_wake_fn wake, void *arg)
+ring_set_wake(struct ring *r, ring_wake_fn wake, void *arg)
 {
 	apr_thread_mutex_lock(r->lock);
 	r->wake = wake;
--- a/lib/ring.h
+++ b/lib/ring.h
@@ -11,7 +11,7 @@
 
 struct ring *ring_new(unsigned size);
 void ring_free(struct ring *);
-void ring_on_put(struct ring *, ring_wake_fn, void *);
+void ring_set_wake(struct ring *, ring_wake_fn, void *);
 int ring_put(struct ring *, void *);
 void *ring_get(struct ring *);
 void *ring_wait(struct ring *, int64_t wait_us);
--- a/regress/unit/readers.c
+++ b/regress/unit/readers.c
@@ -226,10 +226,11 @@
 {
 	size_t size;
 
-	if (n >= FRAME_HEAD && frame_size((const uint8_t *)p, &size) == 0 &&
-	    size <= n - FRAME_HEAD)
+	if (n >= FRAME_HEADER_SIZE &&
+	    frame_size((const uint8_t *)p, &size) == 0 &&
+	    size <= n - FRAME_HEADER_SIZE)
 		read_frame_body(
-		    frame_unpack((const uint8_t *)p + FRAME_HEAD, size));
+		    frame_unpack((const uint8_t *)p + FRAME_HEADER_SIZE, size));
 }
 
 static void
--- a/regress/unit/t_conf.c
+++ b/regress/unit/t_conf.c
@@ -97,7 +97,7 @@
 static void
 bounds(void)
 {
-	platform_settings();
+	settings_add_aliases();
 	CU_ASSERT_EQUAL(read_text(OBJECTS BOUNDS "config_apply=2s\n"), 0);
 	CU_ASSERT_EQUAL(c.form, FORM_OBJECTS);
 	CU_ASSERT_EQUAL(c.bounds.leave_ms, 2000);
@@ -115,7 +115,7 @@
 	    read_text(OBJECTS BOUNDS "config_apply=2s\n[platform]\nform=x\n"),
 	    -1);
 	CU_ASSERT_PTR_NOT_NULL(strstr(errors, "allowed: native, objects"));
-	conf_aliases(NULL, 0);
+	conf_set_aliases(NULL, 0);
 }
 
 static void
--- a/regress/unit/t_frame.c
+++ b/regress/unit/t_frame.c
@@ -18,8 +18,8 @@
 	f.cancel = &c;
 	CU_ASSERT_EQUAL_FATAL(frame_pack(&b, &f), 0);
 	CU_ASSERT_EQUAL(frame_size(b.p, &n), 0);
-	CU_ASSERT_EQUAL(n + FRAME_HEAD, b.n);
-	g = frame_unpack(b.p + FRAME_HEAD, n);
+	CU_ASSERT_EQUAL(n + FRAME_HEADER_SIZE, b.n);
+	g = frame_unpack(b.p + FRAME_HEADER_SIZE, n);
 	CU_ASSERT_PTR_NOT_NULL_FATAL(g);
 	CU_ASSERT_EQUAL(g->cancel->corr, c.corr);
 	CU_ASSERT(!frame_is_control(g));
--- a/standin/web.c
+++ b/standin/web.c
@@ -202,7 +202,7 @@
 	web_handler *fn_copy;
 	int port;
 
-	if (addr_split(addr, ip, sizeof(ip), &port) != 0)
+	if (addr_parse(addr, ip, sizeof(ip), &port) != 0)
 		return (NULL);
 	inet_pton(AF_INET, ip, &sin.sin_addr);
 	sin.sin_port = htons((uint16_t)port);
--- a/standin/wire.c
+++ b/standin/wire.c
@@ -107,7 +107,7 @@
 	char ip[ADDR_MAX_GS];
 	int port;
 
-	if (addr_split(at, ip, sizeof(ip), &port) != 0)
+	if (addr_parse(at, ip, sizeof(ip), &port) != 0)
 		errx(1, "invalid address %s", at);
 	inet_pton(AF_INET, ip, &sin.sin_addr);
 	sin.sin_port = htons((uint16_t)port);
@@ -165,16 +165,16 @@
 {
 	size_t at = 0, len;
 
-	while (n - at >= FRAME_HEAD) {
+	while (n - at >= FRAME_HEADER_SIZE) {
 		if (frame_size((const uint8_t *)p + at, &len) != 0)
 			return (-1);
-		if (n - at < FRAME_HEAD + len)
+		if (n - at < FRAME_HEADER_SIZE + len)
 			break;
-		if (send_repeated(
-			fd, p + at, FRAME_HEAD + len, *first ? 1 : 2) != 0)
+		if (send_repeated(fd, p + at, FRAME_HEADER_SIZE + len,
+			*first ? 1 : 2) != 0)
 			return (-1);
 		*first = 0;
-		at += FRAME_HEAD + len;
+		at += FRAME_HEADER_SIZE + len;
 	}
 	return ((ssize_t)at);
 }
@@ -185,13 +185,13 @@
 {
 	struct direction *w = arg;
 	struct link *l = w->link;
-	char *buf = malloc(FRAME_HEAD + FRAME_MAX);
+	char *buf = malloc(FRAME_HEADER_SIZE + FRAME_MAX);
 	size_t have = 0;
 	ssize_t n;
 	int first = 1;
 
 	while ((n = recv(l->fd[w->from], buf + have,
-		    FRAME_HEAD + FRAME_MAX - have, 0)) > 0) {
+		    FRAME_HEADER_SIZE + FRAME_MAX - have, 0)) > 0) {
 		have += (size_t)n;
 		n = forward_frames(l->fd[!w->from], buf, have, &first);
 		if (n < 0)
