--- a/gspard/direct.c
+++ b/gspard/direct.c
@@ -12,7 +12,7 @@
 #include "digest.h"
 #include "direct.h"
 #include "hist.h"
-#include "keeper.h"
+#include "sitectl.h"
 #include "target.h"
 
 /* Longest wait for events, with requests pending and without. */
--- a/gspard/heat_report.c
+++ b/gspard/router_report.c
@@ -2,7 +2,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-#include "keeper.h"
+#include "sitectl.h"
 
 #define TARGETS_MAX 1024
 
--- a/gspard/keeper.c
+++ b/gspard/sitectl.c
@@ -5,7 +5,7 @@
 #include <apr_general.h>
 
 #include "decode.h"
-#include "keeper.h"
+#include "sitectl.h"
 #include "target.h"
 #include "transfer.h"
 
--- a/gspard/keeper.h
+++ b/gspard/sitectl.h
@@ -169,7 +169,7 @@
 	int stop;
 };
 
-/* keeper.c */
+/* sitectl.c */
 struct sitectl_host *sitectl_host(struct sitectl *, const char *name);
 const char *sitectl_self(const struct sitectl *);
 const struct site *sitectl_site(const struct sitectl *);
@@ -179,7 +179,7 @@
     int stopping, usec now);
 void sitectl_publish_peers(struct sitectl *);
 
-/* keeper_term.c */
+/* sitectl_term.c */
 void sitectl_term_init(struct sitectl *);
 int sitectl_is_standby(const struct sitectl *);
 void sitectl_choose_standbys(struct sitectl *, usec now);
@@ -199,7 +199,7 @@
 void sitectl_keys_done(struct sitectl *, const struct store *, usec now);
 enum put_result sitectl_put_result(const struct store *);
 
-/* keeper_order.c */
+/* sitectl_order.c */
 void order_send(
     struct sitectl *, const char *service, const struct key_order *);
 void orders_reap(struct sitectl *, usec now);
@@ -216,12 +216,12 @@
 size_t fleet_fill_evacuations(const struct evacuations *, Gspar__Evacuation *,
     Gspar__Evacuation **, usec now);
 
-/* keeper_relay.c */
+/* sitectl_relay.c */
 int relay_due(const struct sitectl *, usec now);
 void relay_tick(struct sitectl *, usec now);
 void relay_receive(struct sitectl *, const Gspar__StoreNews *, usec now);
 
-/* keeper_spread.c */
+/* sitectl_broadcast.c */
 uint64_t owners_number(const struct sitectl *);
 void broadcast_tick(struct sitectl *, usec now);
 void broadcast_resignation(struct sitectl *, usec now);
@@ -230,7 +230,7 @@
 void report_receive(
     struct sitectl *, const char *host, const Gspar__HostReport *, usec now);
 
-/* keeper_quarantine.c */
+/* sitectl_quarantine.c */
 #define QUARANTINE_TAG "quarantine"
 void quarantine_add_seen(
     struct sitectl *, const struct crash_report *, usec now);
@@ -252,7 +252,7 @@
 void site_tick(struct sitectl *, usec now);
 void site_receive(struct sitectl *, const Gspar__SiteTold *);
 
-/* keeper_hear.c */
+/* sitectl_receive.c */
 void broadcast_receive(struct sitectl *, const Gspar__Owners *, usec now);
 
 #endif
--- a/gspard/keeper_spread.c
+++ b/gspard/sitectl_broadcast.c
@@ -4,7 +4,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-#include "keeper.h"
+#include "sitectl.h"
 #include "standby.h"
 
 /* Interval of the controller's heartbeats. */
--- a/gspard/keeper_site.c
+++ b/gspard/sitectl_config.c
@@ -6,7 +6,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-#include "keeper.h"
+#include "sitectl.h"
 #include "site_change.h"
 #include "site_frame.h"
 
--- a/gspard/keeper_fleet.c
+++ b/gspard/sitectl_fleet.c
@@ -2,7 +2,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-#include "keeper.h"
+#include "sitectl.h"
 
 /*
  * A change reaches hosts in a frame, and hosts report their digest every 200
--- a/gspard/keeper_keys.c
+++ b/gspard/sitectl_keys.c
@@ -7,7 +7,7 @@
 #include <string.h>
 
 #include "decode.h"
-#include "keeper.h"
+#include "sitectl.h"
 
 /*
  * Duration of a grant of keys, which is renewed after a third of it.  The keys
--- a/gspard/keeper_order.c
+++ b/gspard/sitectl_order.c
@@ -6,7 +6,7 @@
 #include <sys/socket.h>
 
 #include "hist.h"
-#include "keeper.h"
+#include "sitectl.h"
 #include "transfer.h"
 
 /*
--- a/gspard/keeper_quarantine.c
+++ b/gspard/sitectl_quarantine.c
@@ -12,7 +12,7 @@
 
 #include "decode.h"
 #include "incarnation.h"
-#include "keeper.h"
+#include "sitectl.h"
 #include "quarantine_text.h"
 
 #define QUARANTINE_PATH KIND_QUARANTINE "/main"
--- a/gspard/keeper_hear.c
+++ b/gspard/sitectl_receive.c
@@ -5,7 +5,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-#include "keeper.h"
+#include "sitectl.h"
 
 /*
  * If a heartbeat says that the controller cannot reach the store, a host waits
--- a/gspard/keeper_relay.c
+++ b/gspard/sitectl_relay.c
@@ -6,7 +6,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-#include "keeper.h"
+#include "sitectl.h"
 #include "standby.h"
 
 /* Interval of the broadcast; other hosts poll the store after three missed. */
--- a/gspard/keeper_report.c
+++ b/gspard/sitectl_report.c
@@ -6,7 +6,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-#include "keeper.h"
+#include "sitectl.h"
 
 /*
  * The store counts as reachable for this long after it answered: a standby
--- a/gspard/keeper_term.c
+++ b/gspard/sitectl_term.c
@@ -7,7 +7,7 @@
 
 #include "decode.h"
 #include "hearing.h"
-#include "keeper.h"
+#include "sitectl.h"
 #include "record.h"
 #include "standby.h"
 
--- a/regress/soak/mutants.sh
+++ b/regress/soak/mutants.sh
@@ -59,9 +59,9 @@
 mutant leaving-targets-used calm=1 gspard/direct_pick.c \
     's/p->dest.leaving = t->leaving;/p->dest.leaving = 0;/'
 # What is not told is read from the store 0.4 s later: one of the two is enough.
-mutant configurations-not-told calm=1 gspard/keeper_site.c \
+mutant configurations-not-told calm=1 gspard/sitectl_config.c \
     's/if (t != NULL \&\& told->version <= t->version)/if (t != NULL)/'
-mutant configurations-not-told-nor-read calm=1 gspard/keeper_site.c \
+mutant configurations-not-told-nor-read calm=1 gspard/sitectl_config.c \
     's/if (t != NULL \&\& told->version <= t->version)/if (t != NULL)/' \
     decide/behind.c 's/if (now >= b->read_at) {/if (0) {/'
 mutant no-budget-of-repeats "more=1 calm=1" decide/budget.c \
