--- a/regress/unit/t_platform.c
+++ b/regress/unit/t_platform.c
@@ -398,7 +398,7 @@
 	parse_lines(&r, lines);
 	r.status = status;
 	k = objects_target.kind(&r, &c);
-	str_free(&r.heads);
+	str_free(&r.headers);
 	return (k);
 }
 
@@ -444,12 +444,12 @@
 	struct reply r;
 
 	parse_lines(&r, lines);
-	CU_ASSERT_STRING_EQUAL(r.heads.p, "Content-Type: text/plain\r\n");
+	CU_ASSERT_STRING_EQUAL(r.headers.p, "Content-Type: text/plain\r\n");
 	CU_ASSERT(r.load.reported);
 	CU_ASSERT_EQUAL(r.load.running, 3);
 	CU_ASSERT_EQUAL(r.load.waiting, 2);
 	CU_ASSERT(r.closes);
-	str_free(&r.heads);
+	str_free(&r.headers);
 }
 
 /* The load that a target reports: two to four numbers. */
@@ -477,14 +477,14 @@
 		parse_lines(&r, lines);
 		CU_ASSERT_EQUAL(
 		    memcmp(&r.load, &cases[i].load, sizeof(r.load)), 0);
-		str_free(&r.heads);
+		str_free(&r.headers);
 	}
 	CU_ASSERT_EQUAL(count_get(C_LOAD_BAD), bad + 4);
 	/* An answer that reports no load. */
 	lines[1] = NULL;
 	parse_lines(&r, lines);
 	CU_ASSERT(!r.load.reported);
-	str_free(&r.heads);
+	str_free(&r.headers);
 }
 
 /* The rate limit that a target reports; an invalid number counts as none. */
@@ -507,8 +507,8 @@
 		lines[1] = cases[i].line;
 		parse_lines(&r, lines);
 		CU_ASSERT_DOUBLE_EQUAL(r.limit, cases[i].limit, 0);
-		CU_ASSERT(r.heads.n == 0);
-		str_free(&r.heads);
+		CU_ASSERT(r.headers.n == 0);
+		str_free(&r.headers);
 	}
 }
 
