--- a/bench/ablate.sh
+++ b/bench/ablate.sh
@@ -1,15 +1,16 @@
 #!/bin/sh
-# Leaves out one mechanism of lib/feature.h at a time and plays the same days and
-# seeds with and without it: what is each of them worth?
+# Measures what each mechanism of lib/feature.h is worth: turns one off at a
+# time and plays the same days and seeds with and without it.
 #
 # ablate.sh TOOL OUT SITE...
 #
-# TOOL is the users' bench, OUT a folder for trees and for what each play printed,
-# SITE a site file.  DAYS and SEEDS are played on each site, JOBS plays at once
-# (3).  FEATURES are left out, one by one (all); "none" leaves nothing out, and shows
-# by how much two plays of the same differ.  A run that was stopped goes on:
-# what the journal has of this commit is not played again.  All entries are put
-# into the journal.  Prints a table, and draws PLOT where it is set.
+# TOOL is the users' bench, OUT a folder for trees and for the output of each
+# play, SITE a site file.  DAYS and SEEDS are played on each site, JOBS plays at
+# once (default 3).  FEATURES (default all) are turned off one by one; "none"
+# turns nothing off and shows how much two equal plays differ.  An interrupted
+# run continues: plays of this commit that are in the journal are not repeated.
+# All entries are put into the journal.  Prints a table, and draws PLOT if it is
+# set.
 [ $# -ge 3 ] || {
 	echo "usage: ablate.sh TOOL OUT SITE..." >&2
 	exit 2
@@ -24,7 +25,8 @@
     "$here/lib/feature.c")}
 commit=$(git -C "$here" rev-parse --short HEAD)
 
-# tree NAME: a copy of this commit that leaves the mechanism out; "all" is whole.
+# tree NAME: makes a copy of this commit with that mechanism off; "all" has all
+# on.
 tree() {
 	[ -d "$out/trees/$1" ] && return
 	if [ "$1" = all ]; then
@@ -40,14 +42,14 @@
 	mv "$out/trees/.$1" "$out/trees/$1"
 }
 
-# keep: puts new entries of all trees into the journal.
-keep() {
+# keep_entries: copies new journal entries of all trees into the journal.
+keep_entries() {
 	for t in "$out"/trees/*; do
 		cp -rn "$t/journal/." "$here/journal/"
 	done
 }
 
-# restore SITE: what the journal has of earlier runs on this commit.
+# restore SITE: restores the output of plays of this commit from the journal.
 restore() {
 	grep -l "\"why\":\"ablation $1 $commit: " "$here"/journal/*.json 2>/dev/null |
 	    while read -r f; do
@@ -75,7 +77,7 @@
 	JOBS=${JOBS:-3} WHY="ablation $site $commit" sh "$here/bench/pair.sh" \
 	    "$tool" "$(realpath "$s")" "$out/$site" "$days" "$seeds" $trees \
 	    >"$out/$site.txt"
-	keep
+	keep_entries
 	sites="$sites $site"
 done
 # shellcheck disable=SC2086
--- a/bench/ablation_table.sh
+++ b/bench/ablation_table.sh
@@ -1,19 +1,20 @@
 #!/bin/sh
-# The table of an ablation, from what bench/pair.sh printed for each site, in the
-# files SITE.txt of this folder: ablation_table.sh SITE...
+# Prints the table of an ablation from the output of bench/pair.sh for each
+# site, in the files SITE.txt of the current folder: ablation_table.sh SITE...
 #
-# A row for each mechanism, the one worth most on the mean of the sites first.
-# For each site: worth with it less worth without it, with the standard error of
-# that; and how much more is served, refused and late with it, in hundredths of
-# all.  Plays with a rule broken and plays without a result follow.  Draws PLOT,
-# an SVG file, where it is set.
+# One row for each mechanism, ordered by its worth averaged over the sites, the
+# highest first.  For each site: worth with the mechanism minus worth without
+# it, with the standard error of the difference; and how much more is served,
+# refused and late with it, in percentage points.  Plays with a broken rule and
+# plays without a result follow.  Draws PLOT, an SVG file, if it is set.
 work=$(mktemp -d) || exit 1
 trap 'rm -rf "$work"' EXIT
 for s in "$@"; do
 	sed -n 's/[:,()]//g; s/^all to //p' "$s.txt" | sed "s/^/$s /"
 done >"$work/rows"
-# Of a row: site, mechanism, days; without less with, its standard error; with
-# and without, in pairs: served, refused, failed, late.
+# Fields used of a row: 1 site, 2 mechanism, 3 days; 9 worth without minus worth
+# with it, 10 its standard error; then with and without it: 12 and 14 served, 16
+# and 18 refused, 24 and 26 late.
 awk '
 { sum[$2] -= $9 }
 END {
@@ -21,14 +22,14 @@
 		print sum[f], f
 }' "$work/rows" | sort -rn | cut -d' ' -f2 >"$work/order"
 awk -v sites="$*" -v plot="$work/plot" '
-function more(with, without) {
+function points(with, without) {
 	return sprintf("%+.1f", 100 * (with - without))
 }
 FILENAME ~ /rows$/ {
 	days[$1] = $3
 	worth[$2, $1] = sprintf("%+.4f (%.4f)", 0 - $9, $10)
 	bar[$2, $1] = (0 - $9) " " $10
-	shares[$2, $1] = more($12, $14) ", " more($16, $18) ", " more($24, $26)
+	shares[$2, $1] = points($12, $14) ", " points($16, $18) ", " points($24, $26)
 	next
 }
 FNR == 1 {
@@ -66,7 +67,7 @@
 	    "$(echo "$k" | awk '{ print 0.2 * $1 }')" $((2 + 2 * k)) \
 	    $((3 + 2 * k)) "$s"
 	k=$((k + 1))
-done >"$work/what"
+done >"$work/plots"
 gnuplot <<-P
 	set terminal svg size 900,420
 	set output "$PLOT"
@@ -80,5 +81,5 @@
 	}' "$work/plot"))
 	set style data yerrorbars
 	set pointsize 0.5
-	$(cat "$work/what")
+	$(cat "$work/plots")
 P
--- a/bench/account.sh
+++ b/bench/account.sh
@@ -1,13 +1,14 @@
 #!/bin/sh
-# Says for what reason requests got no answer of a target, by service and span
-# of seconds, from the daemons' own log lines: account.sh [SPAN] <log
-# Lines may have something before them, as a number of seconds first, which is
-# then the time that counts; else the time of the line is.
+# Counts why requests got no answer from a target, by service and by span of
+# seconds, from the log lines of the daemons: account.sh [SPAN] <log
+# A line may have a prefix that begins with a number of seconds, which is then
+# used instead of the time in the line.
 #
-# Causes: no owner (nobody owned the key, or its owner was not reached), hot key
-# (too late, and one key has a fifth or more of such lines of its span), queue
-# (other requests too late for a slot), full (the target refused), deadline (sent,
-# no answer in time), broke (no whole answer, it may have run), stopping.
+# Causes: no owner (no target owned the key, or its owner was not reached), hot
+# key (too late, and one key has at least ten and at least a fifth of such lines
+# of its service and span), queue (other requests too late for a slot), full
+# (the target refused), deadline (sent, no answer in time), broke (no complete
+# answer, the request may have run), stopping.
 span=${1:-4}
 exec awk -v span="$span" 'BEGIN { low = 0; high = 0 }
 function field(name, text,    i, s) {
@@ -32,26 +33,26 @@
 			first = at
 		at -= first
 	}
-	w = int(at / span) * span
+	from = int(at / span) * span
 	n++
-	win[n] = w
+	start[n] = from
 	codes[n] = code
 	service[n] = field("service", text)
 	key[n] = field("key", text)
 	if (code == "GS_TOO_LATE") {
-		late[w, service[n]]++
-		one[w, service[n], key[n]]++
+		late[from, service[n]]++
+		same_key[from, service[n], key[n]]++
 	}
-	if (w < low)
-		low = w
-	if (w > high)
-		high = w
+	if (from < low)
+		low = from
+	if (from > high)
+		high = from
 }
-function cause(i,    all, mine) {
+function cause(i,    total, same) {
 	if (codes[i] == "GS_TOO_LATE") {
-		all = late[win[i], service[i]]
-		mine = one[win[i], service[i], key[i]]
-		return key[i] >= 0 && mine >= 10 && mine * 5 >= all ? \
+		total = late[start[i], service[i]]
+		same = same_key[start[i], service[i], key[i]]
+		return key[i] >= 0 && same >= 10 && same * 5 >= total ? \
 		    "hot key" : "queue"
 	}
 	if (codes[i] == "GS_NO_OWNER") return "no owner"
@@ -64,7 +65,7 @@
 	causes = split("no owner,hot key,queue,full,deadline,broke,stopping", c, ",")
 	for (i = 1; i <= n; i++) {
 		sum[service[i], cause(i)]++
-		part[win[i], cause(i)]++
+		part[start[i], cause(i)]++
 		names[service[i]] = 1
 	}
 	printf "%-12s", "service"
@@ -77,10 +78,10 @@
 			printf " %9d", sum[s, c[k]]
 		printf "\n"
 	}
-	for (w = low; w <= high; w += span) {
-		printf "%-12s", "from " w " s"
+	for (from = low; from <= high; from += span) {
+		printf "%-12s", "from " from " s"
 		for (k = 1; k <= causes; k++)
-			printf " %9d", part[w, c[k]]
+			printf " %9d", part[from, c[k]]
 		printf "\n"
 	}
 }'
--- a/bench/balance.c
+++ b/bench/balance.c
@@ -1,8 +1,8 @@
 /*
- * Balance of one service in virtual time: 240 shards on 15 targets, Zipf load
- * whose hot shards change every 60 s, an hour in steps of a second.  The
- * policy of decide/ with each weighing, against plain hashing (never move)
- * and against moving without a tolerance or a budget.
+ * Simulates the balancing of one service: 240 shards on 15 targets, Zipf load
+ * whose hot shards change every 60 s, one hour in steps of a second.  Compares
+ * the algorithm of decide/ under both balance policies with plain hashing,
+ * which never moves a shard, and with moving without tolerance or budget.
  */
 #include <math.h>
 #include <stdio.h>
@@ -14,17 +14,19 @@
 #define TARGETS 15
 #define SLOTS 4
 #define SHARDS 240
-#define SECONDS 3600
-#define CHANGE 60
-#define BUSY 30.0 /* slots busy in all, of 60 */
-/* What one move keeps a shard from being served, in seconds: measured by
- * regress/scenario/drain.lua's kind of move, one round of renewal. */
-#define MOVE_COST 0.05
+#define DURATION_S 3600
+#define CHANGE_INTERVAL_S 60
+#define BUSY_SLOTS 30.0 /* busy slots of all targets together, of 60 */
+/*
+ * Seconds that a shard is not served because of one move: one round of renewal,
+ * for a move as in regress/scenario/drain.lua.
+ */
+#define MOVE_OUTAGE_S 0.05
 
 struct policy {
 	const char *name;
 	double tolerance;
-	double per_second;
+	double moves_per_s;
 	double burst;
 };
 
@@ -35,11 +37,11 @@
     {"weigh unavailable", 1.5, 0.25, 4},
 };
 
-static double load[SHARDS], smooth[SHARDS];
+static double load[SHARDS], smoothed[SHARDS];
 
-/* Gives the shards their true loads for a while. */
+/* Sets the true loads of the shards until the next change. */
 static void
-heat(double skew)
+set_loads(double skew)
 {
 	double w[SHARDS], sum = 0;
 	int rank[SHARDS], i, k, x;
@@ -57,59 +59,59 @@
 		sum += w[i];
 	}
 	for (i = 0; i < SHARDS; i++)
-		load[i] = w[i] / sum * BUSY;
+		load[i] = w[i] / sum * BUSY_SLOTS;
 }
 
-/* Sums the targets' loads from the shards'. */
+/* Sums up the load and the number of shards of each target. */
 static void
-fill(struct place_target *t, const int *owner, const double *of)
+sum_loads(struct place_target *t, const int *owner, const double *loads)
 {
 	int i;
 
 	for (i = 0; i < TARGETS; i++)
 		t[i] = (struct place_target){1, SLOTS, 0, 0};
 	for (i = 0; i < SHARDS; i++) {
-		t[owner[i]].load += of[i];
+		t[owner[i]].load += loads[i];
 		t[owner[i]].shards++;
 	}
 }
 
-/* Runs one policy at one skew. */
+/* Simulates one policy at one skew and prints the result. */
 static void
 run(const struct policy *p, double skew)
 {
 	struct place_target t[TARGETS];
 	struct place_move moves[64];
 	uint8_t fixed[SHARDS] = {0};
-	int owner[SHARDS], i, n, s, room;
-	double budget = 0, sum = 0, worst = 0, now;
+	int owner[SHARDS], i, n, s, max_moves;
+	double budget = 0, sum = 0, worst = 0, imbalance;
 	long moved = 0;
 
 	srandom(11);
-	memset(smooth, 0, sizeof(smooth));
+	memset(smoothed, 0, sizeof(smoothed));
 	for (i = 0; i < SHARDS; i++)
 		owner[i] = i % TARGETS;
-	for (s = 0; s < SECONDS; s++) {
-		if (s % CHANGE == 0)
-			heat(skew);
+	for (s = 0; s < DURATION_S; s++) {
+		if (s % CHANGE_INTERVAL_S == 0)
+			set_loads(skew);
 		for (i = 0; i < SHARDS; i++)
-			smooth[i] +=
+			smoothed[i] +=
 			    (load[i] *
 				    (0.9 + 0.2 * (double)random() / RAND_MAX) -
-				smooth[i]) *
+				smoothed[i]) *
 			    0.3;
-		fill(t, owner, load);
-		now = place_imbalance(t, TARGETS);
-		sum += now;
-		if (now > worst)
-			worst = now;
-		budget = fmin(budget + p->per_second, p->burst);
-		room = (int)fmin(budget, 64);
-		if (room == 0)
+		sum_loads(t, owner, load);
+		imbalance = place_imbalance(t, TARGETS);
+		sum += imbalance;
+		if (imbalance > worst)
+			worst = imbalance;
+		budget = fmin(budget + p->moves_per_s, p->burst);
+		max_moves = (int)fmin(budget, 64);
+		if (max_moves == 0)
 			continue;
-		fill(t, owner, smooth);
-		n = place_balance(t, TARGETS, owner, smooth, fixed, SHARDS,
-		    p->tolerance, moves, room);
+		sum_loads(t, owner, smoothed);
+		n = place_balance(t, TARGETS, owner, smoothed, fixed, SHARDS,
+		    p->tolerance, moves, max_moves);
 		for (i = 0; i < n; i++)
 			owner[moves[i].shard] = moves[i].to;
 		budget -= n;
@@ -117,8 +119,8 @@
 	}
 	printf("skew %.1f  %-24s imbalance mean %.2f worst %.2f  moves/min %.1f"
 	       "  shard-s not served %.0f\n",
-	    skew, p->name, sum / SECONDS, worst, (double)moved * 60 / SECONDS,
-	    (double)moved * MOVE_COST);
+	    skew, p->name, sum / DURATION_S, worst,
+	    (double)moved * 60 / DURATION_S, (double)moved * MOVE_OUTAGE_S);
 }
 
 int
--- a/bench/control.lua
+++ b/bench/control.lua
@@ -1,6 +1,6 @@
--- What control costs at rest: frames and bytes between hosts, processor time
--- and memory of each host, calls to the platform.  ARG is
--- "HOSTS TARGETS SHARDS"; one cell, 8 s at rest.
+-- Measures the cost of control of an idle cell for 8 s: frames and bytes
+-- between hosts, processor time and memory of each host, calls to the platform.
+-- ARG is "HOSTS TARGETS SHARDS".
 local hosts, targets, shards = ARG:match("(%d+) (%d+) (%d+)")
 local f = standard_fleet { dcs = { { "aarhus", tonumber(hosts),
 	tonumber(targets) } }, entry = { shards = tonumber(shards) } }
@@ -27,8 +27,8 @@
 local b = sample()
 local secs = (b.at - a.at) / 1000
 
--- TCP/IP: 52 bytes of head on each frame, and one bare acknowledgement for
--- it; both are counted at both ends.
+-- Adds the TCP/IP overhead: 52 bytes of headers for each frame and 52 for its
+-- acknowledgement.  Both ends count both.
 local function wire(n)
 	local x, y = a.host[n], b.host[n]
 	local frames = (y.frames - x.frames) / secs
--- a/bench/hotkeys.c
+++ b/bench/hotkeys.c
@@ -1,7 +1,7 @@
 /*
- * Whether to split hot keys out of their shards, or to have more shards.  One
- * service in virtual time, Zipf load over keys; the hottest 23 keys are others
- * every two minutes.  "Split out" is as good as it can be: the hot keys are
+ * Compares splitting hot keys out of their shards with having more shards.
+ * Simulates one service with Zipf load over keys, whose hottest 23 keys change
+ * every two minutes.  Splitting is simulated at its best: the hot keys are
  * known at once, and each moves as a shard of its own.
  */
 #include <math.h>
@@ -13,88 +13,89 @@
 #include "shard.h"
 
 #define KEYS 200000
-#define HOT 23
+#define HOT_KEYS 23
 #define SHARDS_MAX 4096
 #define TARGETS_MAX 25
 #define SLOTS 4
-#define SECONDS 1800
-#define CHANGE 120
-#define SETTLED 30 /* seconds after a change, for the second figure */
-#define FULLNESS 0.5
+#define DURATION_S 1800
+#define CHANGE_INTERVAL_S 120
+#define SETTLE_TIME_S 30 /* seconds after a change, for the second mean */
+#define UTILISATION 0.5
 #define TOLERANCE 1.15
 #define MOVES_PER_S 2.0
 #define BURST 16
 
-static uint32_t home[KEYS];
-static double weight[KEYS], cold[SHARDS_MAX];
-static double load[SHARDS_MAX + HOT], smooth[SHARDS_MAX + HOT];
-static int owner[SHARDS_MAX + HOT], hot[HOT];
+static uint32_t key_shard[KEYS];
+static double weight[KEYS], cold_load[SHARDS_MAX];
+static double load[SHARDS_MAX + HOT_KEYS], smoothed[SHARDS_MAX + HOT_KEYS];
+static int owner[SHARDS_MAX + HOT_KEYS], hot_keys[HOT_KEYS];
 static struct place_target t[TARGETS_MAX];
 
-/* Spreads all keys but the hottest ranks over the shards. */
+/* Sets the load of each rank, and of each shard without the hottest ranks. */
 static void
-spread(int shards, double skew, double busy)
+hash_keys(int shards, double skew, double busy)
 {
 	char key[32];
 	double sum = 0;
 	int i, n;
 
-	memset(cold, 0, sizeof(cold));
+	memset(cold_load, 0, sizeof(cold_load));
 	for (i = 0; i < KEYS; i++)
 		sum += weight[i] = 1 / pow(i + 1, skew);
 	for (i = 0; i < KEYS; i++) {
 		weight[i] *= busy / sum;
 		n = snprintf(key, sizeof(key), "key-%d", i);
-		home[i] = shard_of("lookup", key, (size_t)n, (uint32_t)shards);
-		if (i >= HOT)
-			cold[home[i]] += weight[i];
+		key_shard[i] =
+		    shard_of("lookup", key, (size_t)n, (uint32_t)shards);
+		if (i >= HOT_KEYS)
+			cold_load[key_shard[i]] += weight[i];
 	}
 }
 
-/* Makes other keys the hottest; where split, each is a shard of its own. */
+/* Chooses other keys as the hottest; if split, each is a shard of its own. */
 static void
-heat(int shards, int split)
+change_hot_keys(int shards, int split)
 {
 	int i;
 
-	memcpy(load, cold, sizeof(cold));
-	for (i = 0; i < HOT; i++) {
-		hot[i] = (int)(random() % KEYS);
+	memcpy(load, cold_load, sizeof(cold_load));
+	for (i = 0; i < HOT_KEYS; i++) {
+		hot_keys[i] = (int)(random() % KEYS);
 		if (!split) {
-			load[home[hot[i]]] += weight[i];
+			load[key_shard[hot_keys[i]]] += weight[i];
 			continue;
 		}
 		load[shards + i] = weight[i];
-		smooth[shards + i] = weight[i];
-		owner[shards + i] = owner[home[hot[i]]];
+		smoothed[shards + i] = weight[i];
+		owner[shards + i] = owner[key_shard[hot_keys[i]]];
 	}
 }
 
-/* Sums the targets' loads from the shards'. */
+/* Sums up the load and the number of shards of each target. */
 static void
-fill(int targets, int n, const double *of)
+sum_loads(int targets, int n, const double *loads)
 {
 	int i;
 
 	for (i = 0; i < targets; i++)
 		t[i] = (struct place_target){1, SLOTS, 0, 0};
 	for (i = 0; i < n; i++) {
-		t[owner[i]].load += of[i];
+		t[owner[i]].load += loads[i];
 		t[owner[i]].shards++;
 	}
 }
 
-/* One second of the controller's balancing. */
+/* Balances as the controller does in a second; returns the number of moves. */
 static int
-balance(int targets, int n, double *budget)
+balance_once(int targets, int n, double *budget)
 {
-	static uint8_t fixed[SHARDS_MAX + HOT];
+	static uint8_t fixed[SHARDS_MAX + HOT_KEYS];
 	struct place_move moves[BURST];
 	int i, k;
 
 	*budget = fmin(*budget + MOVES_PER_S, BURST);
-	fill(targets, n, smooth);
-	k = place_balance(t, targets, owner, smooth, fixed, (uint32_t)n,
+	sum_loads(targets, n, smoothed);
+	k = place_balance(t, targets, owner, smoothed, fixed, (uint32_t)n,
 	    TOLERANCE, moves, (int)*budget);
 	for (i = 0; i < k; i++)
 		owner[moves[i].shard] = moves[i].to;
@@ -102,39 +103,39 @@
 	return (k);
 }
 
-/* Runs one choice, and prints what it came to. */
+/* Simulates one variant and prints the result. */
 static void
 run(int targets, double skew, int shards, int split)
 {
-	int i, s, n = shards + (split ? HOT : 0);
-	double sum = 0, settled = 0, budget = 0, now;
-	long moved = 0, late = 0;
+	int i, s, n = shards + (split ? HOT_KEYS : 0);
+	double sum = 0, settled = 0, budget = 0, imbalance;
+	long moved = 0, nsettled = 0;
 
 	srandom(7);
-	spread(shards, skew, FULLNESS * targets * SLOTS);
+	hash_keys(shards, skew, UTILISATION * targets * SLOTS);
 	for (i = 0; i < n; i++) {
 		owner[i] = i % targets;
-		smooth[i] = 0;
+		smoothed[i] = 0;
 	}
-	for (s = 0; s < SECONDS; s++) {
-		if (s % CHANGE == 0)
-			heat(shards, split);
+	for (s = 0; s < DURATION_S; s++) {
+		if (s % CHANGE_INTERVAL_S == 0)
+			change_hot_keys(shards, split);
 		for (i = 0; i < n; i++)
-			smooth[i] += (load[i] - smooth[i]) * 0.3;
-		moved += balance(targets, n, &budget);
-		fill(targets, n, load);
-		now = place_imbalance(t, targets);
-		sum += now;
-		if (s % CHANGE >= SETTLED) {
-			settled += now;
-			late++;
+			smoothed[i] += (load[i] - smoothed[i]) * 0.3;
+		moved += balance_once(targets, n, &budget);
+		sum_loads(targets, n, load);
+		imbalance = place_imbalance(t, targets);
+		sum += imbalance;
+		if (s % CHANGE_INTERVAL_S >= SETTLE_TIME_S) {
+			settled += imbalance;
+			nsettled++;
 		}
 	}
 	printf("targets %2d skew %.2f shards %4d%s  imbalance mean %.2f, "
 	       "30 s after a change %.2f  moves/min %.1f\n",
 	    targets, skew, shards, split ? " + 23 split" : "           ",
-	    sum / SECONDS, settled / (double)late,
-	    (double)moved * 60 / SECONDS);
+	    sum / DURATION_S, settled / (double)nsettled,
+	    (double)moved * 60 / DURATION_S);
 }
 
 int
--- a/bench/inforce.lua
+++ b/bench/inforce.lua
@@ -1,4 +1,4 @@
--- Time from an accepted catalogue edit until every host has it in force.
+-- Measures the time from an accepted catalogue edit until all hosts apply it.
 -- ARG is "HOSTS EDITS".
 local hosts, edits = ARG:match("(%d+) (%d+)")
 local f = standard_fleet { dcs = { { "aarhus", tonumber(hosts), 2 } } }
--- a/bench/load.lua
+++ b/bench/load.lua
@@ -1,5 +1,6 @@
--- What the router costs: the same load on a target directly and through a
--- host, local (its own target) and relayed (another host's).
+-- Measures the cost of the router: the same load on a target directly and
+-- through two hosts, which send requests to their own targets or relay them to
+-- each other.
 local f = standard_fleet { dcs = { { "aarhus", 2, 2 } }, target = { slots = 64,
 	work = 0, unchecked = true }, entry = { queue = 1000 } }
 sleep_ms(1000)
--- a/bench/losses.lua
+++ b/bench/losses.lua
@@ -1,5 +1,6 @@
--- Time until a key is served again after a loss, over and over.
--- ARG is "KIND COUNT": target, host, controller or dc (killed whole).
+-- Measures the time until a key is served again after a failure, COUNT times.
+-- ARG is "KIND COUNT"; KIND, what is killed, is target, host, controller or dc
+-- (all its hosts and targets).
 local kind, count = ARG:match("(%a+) (%d+)")
 count = tonumber(count)
 local f
@@ -11,7 +12,8 @@
 end
 local cell = kind == "dc" and "falaj+souq" or "aarhus"
 
-local function live()
+-- Returns the last host that is alive.
+local function live_host()
 	for i = #f.order, 1, -1 do
 		if not f.hosts[f.order[i]].dead then
 			return f.order[i]
@@ -19,11 +21,11 @@
 	end
 end
 
--- A key that a target owns, or that a host dispatches for.
-local function key_of(what, who)
+-- Returns a key whose target or dispatcher (role) has that name.
+local function key_of(role, name)
 	for i = 1, 500 do
-		local o = f:owner("lookup", "key-" .. i, live())
-		if o and o[what] == who then
+		local o = f:owner("lookup", "key-" .. i, live_host())
+		if o and o[role] == name then
 			return "key-" .. i
 		end
 	end
@@ -70,8 +72,8 @@
 				return (f:plain_dispatcher(cell))
 			end)
 		end
-		-- A controller that dispatches for nobody interrupts nobody:
-		-- then the time is any key's.
+		-- The loss of a controller that dispatches no shard interrupts
+		-- no key, so any key is measured.
 		key = key_of("dispatcher", n) or "key-1"
 		f:kill_host(n)
 		undo = function()
@@ -79,7 +81,7 @@
 		end
 	end
 	local from = now_ms()
-	local via = live()
+	local via = live_host()
 	while f:get(via, "lookup", key, { "Gspar-Deadline-Ms: 300" }) ~= 200 do
 		check(now_ms() - from < 20000, "not served again")
 		sleep_ms(5)
--- a/bench/moves.lua
+++ b/bench/moves.lua
@@ -1,6 +1,7 @@
--- What moves cost in control traffic: a target of four is lost and comes back,
--- and is filled up again for 20 s, a move or two at a time; then it leaves.
--- ARG is "HOSTS SHARDS"; bytes are payloads sent, per host beside the sender.
+-- Measures the control traffic of moves: one of four targets is killed and
+-- comes back, is given shards again for 20 s, one or two at a time, and then
+-- leaves.  ARG is "HOSTS SHARDS".  Bytes are payload, for each host other than
+-- the sender.
 local hosts, shards = ARG:match("(%d+) (%d+)")
 hosts, shards = tonumber(hosts), tonumber(shards)
 local f = standard_fleet { dcs = { { "aarhus", hosts, 4 } },
--- a/bench/pair.sh
+++ b/bench/pair.sh
@@ -1,17 +1,19 @@
 #!/bin/sh
-# Plays the same days and seeds with several trees and compares them in pairs.
+# Plays the same days and seeds with several trees and compares the trees in
+# pairs.
 #
 # pair.sh TOOL SITE OUT "DAYS" "SEEDS" NAME=TREE NAME=TREE ...
 #
-# TOOL is the users' bench, SITE a site file, OUT a folder that keeps what each
-# play printed: what is there already is not played again, so a run that was
-# stopped goes on.  The first tree is what the others are compared with.  Each
-# day and seed is played with all trees one after the other, JOBS plays at once
-# (4): whatever else the machine does falls on both sides of a pair.  WHY goes
-# into each journal entry, with the tree's name.  The table gives for each tree
-# the days in both, the mean worth of the first and of it, the mean of the
-# differences with its standard error, and shares served, refused, failed and
-# late; a line more for each play with a rule broken, or without a result.
+# TOOL is the users' bench, SITE a site file, OUT a folder that keeps the output
+# of each play: a play whose output exists is not repeated, so an interrupted
+# run continues.  All trees are compared with the first.  Each day and seed is
+# played with all trees one after the other, JOBS plays at once (default 4), so
+# that other load on the machine affects both plays of a pair.  WHY goes into
+# each journal entry, with the tree's name.  The table has for each tree the
+# number of days played with both, the mean worth of the first tree and of this
+# one, the mean difference with its standard error, and the shares served,
+# refused, failed and late.  A further line names each play that broke a rule or
+# has no result.
 [ $# -ge 6 ] || {
 	echo "usage: pair.sh TOOL SITE OUT \"DAYS\" \"SEEDS\" NAME=TREE ..." >&2
 	exit 2
--- a/bench/plot.sh
+++ b/bench/plot.sh
@@ -1,11 +1,12 @@
 #!/bin/sh
-# Draws the slopes of bench/results/control.txt into docs/plots/.
+# Draws plots of bench/results/control.txt in docs/plots/.
 cd "$(dirname "$0")/.." || exit 1
 mkdir -p docs/plots
 work=$(mktemp -d) || exit 1
 trap 'rm -rf "$work"' EXIT
 
-# column NAME FILTER FIELD-OF-X: x, controller's and other hosts' bytes.
+# column NAME FILTER FIELD-OF-X: writes x and the bytes a second of the
+# controller and of another host, for the matching lines.
 column() {
 	grep -E "$2" bench/results/control.txt |
 	    sed 's/[:;,]//g' |
@@ -18,7 +19,7 @@
 	gnuplot <<-P
 	set terminal svg size 640,400
 	set output "docs/plots/control-$n.svg"
-	set title "Control traffic at rest against $n, TCP/IP heads included"
+	set title "Control traffic at rest against $n, TCP/IP headers included"
 	set xlabel "$n"
 	set ylabel "bytes a second"
 	set yrange [0:*]
--- a/regress/fuzz.c
+++ b/regress/fuzz.c
@@ -1,6 +1,7 @@
 /*
- * The readers under a coverage-guided fuzzer: FUZZ_READER names the one.  Built
- * and run by regress/fuzz.sh, which needs clang with its fuzzer library.
+ * Runs one of the readers, named by FUZZ_READER, under a coverage-guided
+ * fuzzer. Built and run by regress/fuzz.sh, which needs clang with its fuzzer
+ * library.
  */
 #include <stdint.h>
 #include <stdlib.h>
@@ -13,7 +14,7 @@
 int LLVMFuzzerInitialize(int *, char ***);
 int LLVMFuzzerTestOneInput(const uint8_t *, size_t);
 
-/* Finds the reader. */
+/* Selects the reader that FUZZ_READER names. */
 int
 LLVMFuzzerInitialize(int *argc, char ***argv)
 {
@@ -27,7 +28,7 @@
 	return (0);
 }
 
-/* Gives it bytes. */
+/* Passes one input to the reader. */
 int
 LLVMFuzzerTestOneInput(const uint8_t *p, size_t n)
 {
--- a/regress/soak/run.sh
+++ b/regress/soak/run.sh
@@ -1,6 +1,7 @@
 #!/bin/bash
-# Plays seeds of the soak: run.sh FIRST [LAST [SECS [more words for soak.lua]]].
-# Prints a line for each seed; keeps the work folder of one that failed.
+# Runs seeds of the soak: run.sh FIRST [LAST [SECS [more arguments of
+# soak.lua]]].  Prints a line for each seed and keeps the work folder of each
+# that failed.
 cd "$(dirname "$0")/../.." || exit 1
 first=${1:-1} last=${2:-${1:-1}} secs=${3:-20}
 shift 3 2>/dev/null || shift $#
