--- a/Makefile
+++ b/Makefile
@@ -1,9 +1,9 @@
 # make          build everything
-# make check    set up, build, lint and run every test
-# make soak     play a seed of the fault soak: SEED, SECS, HOSTS
-# make fuzz     fuzz the readers of bytes from outside: SECS a reader
+# make check    install dependencies, build, lint and run every test
+# make soak     run a seed of the fault soak: SEED, SECS, HOSTS
+# make fuzz     fuzz the parsers of external input: SECS for each
 # make demo     start a small fleet, serve requests through it, stop it
-# make bench    run the measurements that docs/CAPACITY-NATIVE.md cites
+# make bench    run the measurements cited in docs/CAPACITY-NATIVE.md
 SHELL =		/bin/bash
 LIBS =		proto lib decide platform
 PROGS =		gspard gsparctl standin
@@ -14,18 +14,19 @@
 	@for d in $(LIBS); do $(MAKE) -s -C $$d BUILD=$(BUILD) || exit 1; done
 	@$(MAKE) -s -j4 progs
 
-# The daemon alone, for the machines of the platform: target/gspard.
+# Only the daemon, for the hosts of the platform: target/gspard.
 fleet:
 	@for d in $(LIBS) gspard; do \
 	    $(MAKE) -s -C $$d BUILD=$(BUILD) || { \
-		echo "Where a header is missing: make deps installs it." >&2; \
+		echo "If a header is missing, run make deps." >&2; \
 		exit 1; \
 	    }; done
 	@mkdir -p target
 	@cp build/$(BUILD)/gspard/gspard target/.gspard.new
 	@mv -f target/.gspard.new target/gspard
 
-# The daemon with switches, to measure what a mechanism is worth.
+# The daemon with switches that turn single mechanisms off, to measure their
+# effect.
 ablation:
 	@$(MAKE) -s BUILD=ablation fleet
 
@@ -43,14 +44,14 @@
 	    $(MAKE) -s -C $$d BUILD=ablation || exit 1; done
 	@bash regress/run.sh
 
-# One seed of the soak: make soak SEED=7 SECS=60 HOSTS=5
+# Runs one seed of the soak: make soak SEED=7 SECS=60 HOSTS=5
 SEED ?=		1
 SECS ?=		20
 HOSTS ?=	4
 soak: all
 	@bash regress/soak/run.sh $(SEED) $(SEED) $(SECS) hosts=$(HOSTS)
 
-# The readers of bytes from outside, guided by coverage: make fuzz SECS=60
+# Fuzzes the parsers of external input, guided by coverage: make fuzz SECS=60
 fuzz: deps
 	@sh regress/fuzz.sh $(SECS)
 
--- a/regress/ablate.sh
+++ b/regress/ablate.sh
@@ -1,7 +1,8 @@
 #!/bin/sh
-# bench/pair.sh and the ablation around it, with a tool that prints made-up days:
-# each day is played with all trees, a stopped run goes on, also from the journal,
-# the table has signs the right way round, and a broken rule is not lost in it.
+# Tests bench/pair.sh and bench/ablate.sh with a tool that prints made-up
+# results: each day is played with all trees, an interrupted run continues, also
+# from the journal alone, the signs in the table are right, and broken rules are
+# listed.
 cd "$(dirname "$0")/.." || exit 1
 here=$(pwd)
 work=$(mktemp -d) || exit 1
@@ -11,8 +12,8 @@
 	exit 1
 }
 
-# A tool whose days are worth more with all mechanisms than without far ones, as
-# the settings in the tree say; its second play of `cold` breaks a rule.
+# A tool that reports a higher worth with all mechanisms than without `far`, as
+# the settings in the tree say.  The play of `cold` with seed 20 breaks a rule.
 cat >"$work/tool" <<'EOT'
 #!/bin/sh
 [ "$1" = build ] && exit 0
@@ -37,7 +38,7 @@
 chmod +x "$work/tool"
 export PLAYED="$work/played"
 
-# pair.sh alone, over two trees.
+# pair.sh alone, with two trees.
 for t in all far; do
 	mkdir -p "$work/$t/deploy" "$work/$t/journal"
 done
@@ -52,20 +53,20 @@
 all to far: 4 days, worth 0.8000 to 0.7300, -0.0700 (0.0058), served 0.9000 to 0.9000, refused 0.0500 to 0.0500, failed 0.0500 to 0.0500, late 0.1000 to 0.1000
 EOT
 diff "$work/want" "$work/got" || fail "pairs"
-# Both sides of a pair one after the other.
+# Both plays of a pair are run one after the other.
 sed -n 1,2p "$PLAYED" >"$work/two"
 printf ' d1 20 1\nfar d1 20 1\n' | diff - "$work/two" || fail "batches"
-# Played again, nothing is; what is missing, alone.
+# A second run plays only what is missing.
 rm "$work/out/far/d2-40"
 : >"$PLAYED"
-pair | diff "$work/want" - || fail "pairs after a stop"
+pair | diff "$work/want" - || fail "pairs after an interrupted run"
 [ "$(cat "$PLAYED")" = "far d2 40 1" ] || fail "played again"
-# A play that gave nothing is told, and not taken for worth 0.
+# A play without a result is reported and does not count as worth 0.
 echo nothing >"$work/out/far/d2-40"
-pair | grep -q '^all to far: 3 days, .*' || fail "a play without a result"
-pair | grep -q '^no result: far d2-40$' || fail "no result not told"
+pair | grep -q '^all to far: 3 days, .*' || fail "a play without a result is counted"
+pair | grep -q '^no result: far d2-40$' || fail "a play without a result is not reported"
 
-# The ablation, in a repository of its own.
+# ablate.sh, in a repository of its own.
 mkdir "$work/repo"
 git ls-files -z Makefile rules.mk lib bench/pair.sh bench/ablate.sh \
     bench/ablation_table.sh deploy | xargs -0 cp --parents -t "$work/repo"
@@ -89,14 +90,14 @@
 | cold | +0.0000 (0.0000) | +0.0, +0.0, +0.0 |
 s1: rule broken: cold d1-20
 EOT
-diff "$work/want" "$work/got" || fail "the table"
+diff "$work/want" "$work/got" || fail "table"
 [ "$(wc -l <"$PLAYED")" -eq 8 ] || fail "not eight plays"
-[ "$(ls journal | grep -c json)" -eq 8 ] || fail "journal not kept"
+[ "$(ls journal | grep -c json)" -eq 8 ] || fail "journal entries not kept"
 grep -q svg "$work/plot.svg" || fail "no plot"
-# In another folder, as after a new checkout: from the journal, nothing played.
+# In another folder, as after a new checkout, all results come from the journal.
 : >"$PLAYED"
 ablate "$work/again" | head -5 >"$work/got"
-head -5 "$work/want" | diff - "$work/got" || fail "not restored"
-[ ! -s "$PLAYED" ] || fail "played again in spite of the journal"
+head -5 "$work/want" | diff - "$work/got" || fail "not restored from the journal"
+[ ! -s "$PLAYED" ] || fail "played again although it is in the journal"
 cd "$here" || exit 1
 echo "pairs and ablations as expected"
--- a/regress/account.sh
+++ b/regress/account.sh
@@ -1,6 +1,7 @@
 #!/bin/sh
-# What bench/account.sh makes of a few lines: each cause once, the hot key told
-# from others that are too late, times with and without seconds in front.
+# Tests bench/account.sh with a few log lines: each cause once, a hot key apart
+# from other requests that are too late, lines with and without seconds in
+# front.
 cd "$(dirname "$0")/.." || exit 1
 work=$(mktemp -d) || exit 1
 trap 'rm -rf "$work"' EXIT
--- a/regress/demo.sh
+++ b/regress/demo.sh
@@ -1,10 +1,11 @@
 #!/bin/bash
-# A small fleet on loopback: platform, two data centres, requests, a stop.
+# Runs a small fleet on loopback: a platform, two data centres, requests, a
+# stop.
 cd "$(dirname "$0")/.." || exit 1
 work=$(mktemp -d) || exit 1
 trap 'rm -rf "$work"' EXIT
-exec_scen() {
+run_demo() {
 	build/plain/scenario/scen build/plain "$work" \
 	    regress/scenario/lib.lua regress/demo.lua
 }
-exec_scen || { tail -n 5 "$work"/*.log; exit 1; }
+run_demo || { tail -n 5 "$work"/*.log; exit 1; }
--- a/regress/deps.sh
+++ b/regress/deps.sh
@@ -1,5 +1,5 @@
 #!/bin/sh
-# Installs what is missing of the packages that building and testing need.
+# Installs the missing packages that the build and the tests need.
 packages="gcc make pkg-config libapr1-dev libaprutil1-dev libprotobuf-c-dev
 libmicrohttpd-dev libcurl4-openssl-dev libjansson-dev libinih-dev
 libxxhash-dev libcunit1-dev liblua5.4-dev clang-format cppcheck mandoc spin
--- a/regress/errors.sh
+++ b/regress/errors.sh
@@ -1,5 +1,5 @@
 #!/bin/sh
-# The codes in lib/result.h and the table in docs/ERRORS.md must agree.
+# Checks that the codes in lib/result.h and the table in docs/ERRORS.md agree.
 cd "$(dirname "$0")/.." || exit 1
 code=$(tr '\n' ' ' <lib/result.h |
     grep -o 'X(GS_[A-Z_]*, [0-9]*, [0-9]*, OUT_[A-Z_]*' |
--- a/regress/examples.sh
+++ b/regress/examples.sh
@@ -1,6 +1,6 @@
 #!/bin/sh
-# The examples in etc/ are what a newcomer starts from: each settings file and
-# each catalogue entry must pass the checks of this version.
+# Checks that each settings file and each catalogue entry in etc/, which new
+# users start from, is valid for this version.
 cd "$(dirname "$0")/.." || exit 1
 res=0
 for f in etc/*/*.conf; do
@@ -9,11 +9,11 @@
 for f in etc/*/*.json; do
 	build/plain/gsparctl/gsparctl catalogue check "$f" || res=1
 done
-# A check that cannot fail would be none.
+# The check itself must reject an invalid entry.
 sed 's/"shards"/"shard"/' etc/kragelund/lookup.json >"${TMPDIR:-/tmp}/bad.$$"
 if build/plain/gsparctl/gsparctl catalogue check "${TMPDIR:-/tmp}/bad.$$" \
     >/dev/null 2>&1; then
-	echo "a bad entry passed"
+	echo "an invalid entry passed the check"
 	res=1
 fi
 rm -f "${TMPDIR:-/tmp}/bad.$$"
--- a/regress/fuzz.sh
+++ b/regress/fuzz.sh
@@ -1,7 +1,7 @@
 #!/bin/sh
-# Fuzzes each reader for some seconds, guided by coverage: fuzz.sh [SECS [READER]].
-# What fails is left in build/fuzz; keep it in regress/unit/corpus, its name
-# beginning with the reader's.
+# Fuzzes each reader for some seconds, guided by coverage: fuzz.sh [SECS
+# [READER]].  Inputs that fail are left in build/fuzz.  Add them to
+# regress/unit/corpus under a name that begins with the reader's.
 cd "$(dirname "$0")/.." || exit 1
 secs=${1:-60}
 mkdir -p build/fuzz
--- a/regress/run.sh
+++ b/regress/run.sh
@@ -1,6 +1,6 @@
 #!/bin/bash
-# Runs every test; each prints one line, the last line sums them up.  Tests in
-# KNOWN-RED.txt may fail: they are run and printed, but do not fail the whole.
+# Runs every test.  Prints one line for each; the last line sums them up.  Tests
+# in KNOWN-RED.txt may fail: they are run and printed, but do not fail the run.
 cd "$(dirname "$0")/.." || exit 1
 work=$(mktemp -d) || exit 1
 trap 'rm -rf "$work"' EXIT
@@ -33,33 +33,34 @@
 	result "$name" $? "$work/log"
 }
 
-# scenario BUILD NAME: runs one script and compares its golden file.
+# scenario BUILD NAME: runs one script, compares its output with its golden
+# file.
 scenario() {
 	local dir=$work/$1-$2
 	mkdir -p "$dir"
 	timeout 300 build/plain/scenario/scen "build/$1" "$dir" \
 	    regress/scenario/lib.lua "regress/scenario/$2.lua" \
 	    >"$dir/out" 2>"$dir/err" </dev/null
-	local st=$?
+	local status=$?
 	cat "$dir/err" "$dir/out" >"$dir/all"
-	if [ $st -eq 0 ] && ! diff "regress/scenario/golden/$2.out" \
+	if [ $status -eq 0 ] && ! diff "regress/scenario/golden/$2.out" \
 	    "$dir/out" >>"$dir/all"; then
-		st=1
+		status=1
 	fi
-	# A sanitizer's report in any log fails the scenario.
+	# A sanitizer report in any log fails the scenario.
 	if grep -l -E 'ERROR: (Address|Leak|Thread)|WARNING: Thread|runtime error' \
 	    "$dir"/*.log >>"$dir/all" 2>/dev/null; then
 		grep -h -A25 -E 'ERROR: |WARNING: Thread|runtime error' \
 		    "$dir"/*.log | head -50 >>"$dir/all"
-		st=1
+		status=1
 	fi
-	if [ $st -ne 0 ]; then
+	if [ $status -ne 0 ]; then
 		tail -n 12 "$dir"/*.log >>"$dir/all" 2>/dev/null
 	fi
-	echo $st >"$dir/status"
+	echo $status >"$dir/status"
 }
 
-# scenarios BUILD NAME...: three at a time, told in order.
+# scenarios BUILD NAME...: runs three at a time, prints the results in order.
 scenarios() {
 	local build=$1 n
 	shift
@@ -105,7 +106,7 @@
 	scenarios asan path door site_path site_door site_answers
 	scenarios tsan path site_path
 fi
-# A short soak; seeds that ever failed are played again whole.
+# A short soak; seeds that failed once are run again in full.
 run soak-short bash regress/soak/run.sh 1 2 8
 run soak-again bash regress/soak/run.sh 301 302 8 again=1
 run soak-large bash regress/soak/run.sh 501 502 8 routes=3000
--- a/regress/safeguards.sh
+++ b/regress/safeguards.sh
@@ -1,10 +1,10 @@
 #!/bin/bash
-# Removes one safeguard at a time from a copy of decide/ and checks that the unit
-# test that covers it fails.  A safeguard whose removal no test notices is not
-# tested.  The safeguards of control are removed by model/control.sh, those that
-# need processes by regress/soak/mutants.sh.
-# Run by hand, takes minutes; with names as arguments, only those are tried.
-# Prints a line for each; the last line sums them up.
+# Removes one safeguard at a time from a copy of decide/ and checks that the
+# unit test that covers it fails.  A safeguard whose removal no test notices is
+# not tested.  The safeguards of control are removed by model/control.sh, those
+# that need processes by regress/soak/mutants.sh.  Run by hand, takes minutes;
+# with names as arguments, only those are tried.  Prints a line for each; the
+# last line sums them up.
 cd "$(dirname "$0")/.." || exit 1
 work=$(mktemp -d) || exit 1
 trap 'rm -rf "$work"' EXIT
@@ -23,7 +23,8 @@
 	make -s -C "$work/original/$d" || exit 1
 done
 
-# without NAME UNIT FILE SED: the unit test must fail with this change to a file.
+# without NAME UNIT FILE SED: the unit test must fail with this change to a
+# file.
 without() {
 	local tree=$work/$1
 	case " $only " in
--- a/regress/words.sh
+++ b/regress/words.sh
@@ -1,16 +1,16 @@
 #!/bin/sh
-# The platform's names stand in platform/ alone: elsewhere they would spread,
-# and a change of its interface would be a change of the product.
+# Checks that the platform's names (headers, settings, paths) occur in platform/
+# only, so that a change of its interface needs changes in that directory alone.
 cd "$(dirname "$0")/.." || exit 1
-words='X-Request-Id|X-Deadline-Ms|X-Response-Signature|X-Expected-Instance'
-words="$words|X-Server-Load|X-Not-Executed|X-Instance-Id|X-Shard-Key"
-words="$words|X-Handover|Server-Limit|hold_time|path_prefix|traffic_split|target_latency"
-words="$words|max_attempts|cold_left|current_rev|has_more|serializable"
-words="$words|health_path|idle_timeout|header_timeout|budget_slack"
-words="$words|budget_window|config_apply|readyz|healthz|max_hold|draining\""
-words="$words|wait_ms=|\"sharded|\"spec|\"metadata|/objects/%s\\?"
-if grep -nE "$words" decide/*.[ch] gspard/*.[ch58] lib/*.[ch] gsparctl/*.[ch8] \
+names='X-Request-Id|X-Deadline-Ms|X-Response-Signature|X-Expected-Instance'
+names="$names|X-Server-Load|X-Not-Executed|X-Instance-Id|X-Shard-Key"
+names="$names|X-Handover|Server-Limit|hold_time|path_prefix|traffic_split|target_latency"
+names="$names|max_attempts|cold_left|current_rev|has_more|serializable"
+names="$names|health_path|idle_timeout|header_timeout|budget_slack"
+names="$names|budget_window|config_apply|readyz|healthz|max_hold|draining\""
+names="$names|wait_ms=|\"sharded|\"spec|\"metadata|/objects/%s\\?"
+if grep -nE "$names" decide/*.[ch] gspard/*.[ch58] lib/*.[ch] gsparctl/*.[ch8] \
     proto/*.proto; then
-	echo "The platform's words, outside platform/."
+	echo "The names above belong to the platform and may occur in platform/ only."
 	exit 1
 fi
--- a/rules.mk
+++ b/rules.mk
@@ -1,4 +1,4 @@
-# Shared by each directory: set PROG or LIB (or PROGS), SRCS and NEED, then
+# Rules shared by all directories: set PROG, LIB or PROGS, SRCS and NEED, then
 # include this file.  BUILD=asan and BUILD=tsan build with a sanitizer,
 # BUILD=ablation with the switches of lib/feature.h.
 CC =		cc
@@ -45,6 +45,6 @@
 	$(CC) $(CFLAGS) -MMD -MP -c -o $@ $<
 $(OBJ):
 	@mkdir -p $@
-# A header that was removed must not stop a build that still has it listed.
+# A removed header must not stop a build whose dependency files still list it.
 %.h: ;
 -include $(wildcard $(OBJ)/*.d)
