--- a/model/control.pml
+++ b/model/control.pml
@@ -1,26 +1,27 @@
 /*
- * Control of one cell in discrete time: the platform's record, a holder H,
- * its listed standby S, a standby T that H may list instead, a host X that is
- * not listed, and a dispatcher D that serves a shard under a lease from H.
+ * Model of the control of one cell in discrete time: the control record in the
+ * platform's store, a holder H, its listed standby S, a standby T that H may
+ * list instead, a host X that is not listed, and a dispatcher D that serves a
+ * shard under a lease from H.
  *
- * Any process may do nothing for as long as it likes (a pause, a cut, an
- * outage, a lost answer are all "nothing more happens"); time goes on.
+ * Each process may be idle for any time, which covers pauses, network
+ * partitions, outages and lost replies.  Time goes on.
  *
- * Three configurations keep the search small: with T, (-DWITH_X) with X, or
- * (-DWITH_LEFT) with X and a standby that may stop for good.
+ * Three configurations keep the search small: with T, with X (-DWITH_X), or
+ * with X and a standby that may stop for good (-DWITH_STOP).
  *
- * The claim: once a taker counts D's lease as lapsed and gives the shard to
- * another ("moved"), D no longer serves.  Each -D below takes out one
- * safeguard; model/control.sh shows that each is needed.
+ * The property: once a successor takes D's lease as lapsed and gives the shard
+ * to another dispatcher ("moved"), D no longer serves.  Each other -D below
+ * removes one safeguard; model/control.sh shows that each is needed.
  */
-#ifdef WITH_LEFT
+#ifdef WITH_STOP
 #define WITH_X
 #endif
-#define L 2	/* control lease, promises */
-#define HL 2	/* host lease */
-#define LL 4	/* the promise of a standby that stops for good */
-/* Versions of the record in one run. */
-#if defined(WITH_X) && !defined(WITH_LEFT)
+#define CONTROL_LEASE 2	/* of the holder; also the duration of a promise */
+#define HOST_LEASE 2	/* of a dispatcher */
+#define FINAL_PROMISE 4	/* of a standby that stops for good */
+/* Number of the last version of the record in one run. */
+#if defined(WITH_X) && !defined(WITH_STOP)
 #define PUTS 4
 #else
 #define PUTS 3
@@ -32,198 +33,207 @@
 #define T 3
 #define X 4
 
-/* The record. */
-byte ver = 1, holder = H, list = S;
+/* The control record. */
+byte version = 1, holder = H, listed = S;
 
-/* H: its lease and what it has in flight. */
-byte h_lease = L, h_prom_s, h_prom_t;
-bool h_stopped;			/* knows that it is not holder, or resigned */
-byte h_ver = 1, h_list = S;	/* as H last knew them */
+/* H: its lease, the promises that it holds, and its pending write. */
+byte h_lease = CONTROL_LEASE, h_promise_s, h_promise_t;
+bool h_stopped;			/* knows that it lost or released control */
+byte h_version = 1, h_listed = S;	/* as H last knew the record */
 byte put = 0;			/* 0 none, 1 sent, 2 took effect */
-byte put_age, put_base, put_list;
-bool put_resign;
+byte put_age, put_base, put_listed;
+bool put_release;
 
-/* Promises on their way: 0 none, 1 asked, 2 answered, 3 by one that stops. */
-byte ask_s, ask_s_age, ask_t, ask_t_age;
+/*
+ * Promise requests: 0 none, 1 sent, 2 answered, 3 answered by a standby that
+ * stops.
+ */
+byte req_s, req_s_age, req_t, req_t_age;
 
-/* S, T, X: record as read, for how long unchanged, promise, own write. */
-byte s_ver, s_unch, s_prom, t_ver, t_unch, t_prom, x_ver, x_unch;
-bool s_put, t_put, x_put, s_gone, t_gone, s_left, t_left;
-byte s_base, t_base, x_base, x_from;
-byte wait_settle;		/* taker: until it may count lapses */
-byte taker = NONE;
-bool x_waits, moved;
+/*
+ * S, T, X: the version last read and for how long it has been unchanged, the
+ * promise given, and the pending write with the version that it replaces.
+ */
+byte s_version, s_unchanged, s_promise, t_version, t_unchanged, t_promise;
+byte x_version, x_unchanged;
+bool s_put, t_put, x_put, s_withdrawn, t_withdrawn, s_stopping, t_stopping;
+byte s_base, t_base, x_base, x_previous;
+byte lapse_wait;		/* time until earlier leases have lapsed */
+byte successor = NONE;
+bool x_waiting, moved;
 
-/* D: asks H, H has checked, D hears. */
-byte d_ask, d_ask_age, d_lease = HL;
+/* D: lease request, 0 none, 1 sent, 2 granted by H; and its lease. */
+byte d_req, d_req_age, d_lease = HOST_LEASE;
 
 #ifdef SINGLE_LIST
-#define PROMISED ((h_list == S && h_prom_s) || (h_list == T && h_prom_t))
+#define HAS_PROMISE ((h_listed == S && h_promise_s) || (h_listed == T && h_promise_t))
 #else
-#define PROMISED (((h_list == S && h_prom_s) || (h_list == T && h_prom_t)) && \
-    (put == 0 || (put_list == S && h_prom_s) || (put_list == T && h_prom_t)))
+#define HAS_PROMISE (((h_listed == S && h_promise_s) || (h_listed == T && h_promise_t)) && \
+    (put == 0 || (put_listed == S && h_promise_s) || (put_listed == T && h_promise_t)))
 #endif
-#ifdef RESIGN_RENEWS
-#define MAY_RENEW (!h_stopped && (h_lease || PROMISED))
+#ifdef RELEASE_RENEWS
+#define MAY_RENEW (!h_stopped && (h_lease || HAS_PROMISE))
 #else
-#define MAY_RENEW (!h_stopped && !(put && put_resign) && (h_lease || PROMISED))
+#define MAY_RENEW (!h_stopped && !(put && put_release) && (h_lease || HAS_PROMISE))
 #endif
 
 #define DEC(t) if :: t > 0 -> t-- :: else fi
 #define INC(t, m) if :: t < m -> t++ :: else fi
 
-#define AGED(on, t) if :: on && t < AGE -> t++ :: else fi
+#define INC_AGE(on, t) if :: on && t < AGE -> t++ :: else fi
 
-/* Longest that any age matters. */
-#ifdef WITH_LEFT
+/* The largest age that makes a difference. */
+#ifdef WITH_STOP
 #define AGE 4
 #else
 #define AGE 2
 #endif
 
-/* The claim, looked at in every state by the search. */
-proctype Claim()
+/* The property, checked in every state. */
+proctype Property()
 {
 	atomic { moved && d_lease > 0 -> assert(false) }
 }
 
 #ifdef WITH_X
-#define AGING INC(s_unch, L); INC(x_unch, L)
+#define INC_UNCHANGED INC(s_unchanged, CONTROL_LEASE); INC(x_unchanged, CONTROL_LEASE)
 #else
-#define AGING INC(t_unch, L)
+#define INC_UNCHANGED INC(t_unchanged, CONTROL_LEASE)
 #endif
 
 proctype Clock()
 {
 	do
 	:: d_step {
-		DEC(h_lease); DEC(h_prom_s); DEC(h_prom_t);
-		DEC(s_prom); DEC(t_prom); DEC(d_lease); DEC(wait_settle);
-		AGED(put, put_age); AGED(ask_s, ask_s_age);
-		AGED(ask_t, ask_t_age); AGED(d_ask, d_ask_age);
-		if :: taker == NONE -> AGING
-		:: else -> s_unch = 0; t_unch = 0; x_unch = 0 fi
+		DEC(h_lease); DEC(h_promise_s); DEC(h_promise_t);
+		DEC(s_promise); DEC(t_promise); DEC(d_lease); DEC(lapse_wait);
+		INC_AGE(put, put_age); INC_AGE(req_s, req_s_age);
+		INC_AGE(req_t, req_t_age); INC_AGE(d_req, d_req_age);
+		if :: successor == NONE -> INC_UNCHANGED
+		:: else -> s_unchanged = 0; t_unchanged = 0; x_unchanged = 0 fi
 	   }
 	od
 }
 
-/* What is left of a span counted from asking. */
-#define LEFT(span, age) (age < span -> span - age : 0)
+/* Remaining time of a span that is counted from the request. */
+#define REMAINING(span, age) (age < span -> span - age : 0)
 
 proctype Holder()
 {
 	do
-	/* Renew, perhaps changing the list, perhaps giving control back. */
-	:: atomic { !h_stopped && put == 0 && ver < PUTS ->
-		put = 1; put_age = 0; put_base = h_ver; put_resign = false;
-		if :: put_list = h_list
+	/* Renew, possibly list another standby or release control. */
+	:: atomic { !h_stopped && put == 0 && version < PUTS ->
+		put = 1; put_age = 0; put_base = h_version; put_release = false;
+		if :: put_listed = h_listed
 #ifndef WITH_X
-		:: put_list = S + T - h_list
+		:: put_listed = S + T - h_listed
 #endif
-#if defined(WITH_X) && !defined(WITH_LEFT)
-		:: put_list = h_list; put_resign = true
+#if defined(WITH_X) && !defined(WITH_STOP)
+		:: put_listed = h_listed; put_release = true
 #endif
 		fi }
-	:: atomic { put == 1 && ver == put_base && ver < PUTS ->
-		ver++; list = put_list; put = 2;
-		if :: put_resign -> holder = NONE :: else fi }
-	/* The answer; without it the write stays open. */
+	:: atomic { put == 1 && version == put_base && version < PUTS ->
+		version++; listed = put_listed; put = 2;
+		if :: put_release -> holder = NONE :: else fi }
+	/* The reply; without it the write stays pending. */
 	:: atomic { put == 2 ->
-		put = 0; h_ver = put_base + 1; h_list = put_list;
+		put = 0; h_version = put_base + 1; h_listed = put_listed;
 		put_base = 0;
-		if :: put_resign -> h_stopped = true
+		if :: put_release -> h_stopped = true
 		:: else ->
-#ifdef LEASE_FROM_ANSWER
-			h_lease = L
+#ifdef LEASE_FROM_REPLY
+			h_lease = CONTROL_LEASE
 #else
-			h_lease = LEFT(L, put_age)
+			h_lease = REMAINING(CONTROL_LEASE, put_age)
 #endif
 		fi;
-		put_age = 0; put_list = 0; put_resign = false }
-	/* A read tells that another holds it. */
+		put_age = 0; put_listed = 0; put_release = false }
+	/* A read shows another holder. */
 	:: atomic { !h_stopped && holder != H && holder != NONE -> h_stopped = true }
-	/* Ask for promises. */
-	:: atomic { !h_stopped && ask_s == 0 -> ask_s = 1; ask_s_age = 0 }
+	/* Request promises. */
+	:: atomic { !h_stopped && req_s == 0 -> req_s = 1; req_s_age = 0 }
 #ifndef WITH_X
-	:: atomic { !h_stopped && ask_t == 0 -> ask_t = 1; ask_t_age = 0 }
+	:: atomic { !h_stopped && req_t == 0 -> req_t = 1; req_t_age = 0 }
 #endif
-	:: atomic { ask_s == 2 -> ask_s = 0;
+	:: atomic { req_s == 2 -> req_s = 0;
 #ifdef PROMISE_FROM_ARRIVAL
-		h_prom_s = L
+		h_promise_s = CONTROL_LEASE
 #else
-		h_prom_s = LEFT(L, ask_s_age)
+		h_promise_s = REMAINING(CONTROL_LEASE, req_s_age)
 #endif
-		; ask_s_age = 0
+		; req_s_age = 0
 	   }
-	/* What a standby that stops promised; never less than what it had. */
-	:: atomic { ask_s == 3 -> ask_s = 0;
-		if :: LEFT(LL, ask_s_age) > h_prom_s ->
-			h_prom_s = LEFT(LL, ask_s_age) :: else fi;
-		ask_s_age = 0 }
-	:: atomic { ask_t == 2 -> ask_t = 0; h_prom_t = LEFT(L, ask_t_age);
-		ask_t_age = 0 }
-	/* Check, then give D its lease some time later. */
-	:: atomic { d_ask == 1 && MAY_RENEW -> d_ask = 2 }
+	/* A final promise never shortens an earlier one. */
+	:: atomic { req_s == 3 -> req_s = 0;
+		if :: REMAINING(FINAL_PROMISE, req_s_age) > h_promise_s ->
+			h_promise_s = REMAINING(FINAL_PROMISE, req_s_age) :: else fi;
+		req_s_age = 0 }
+	:: atomic { req_t == 2 -> req_t = 0; h_promise_t = REMAINING(CONTROL_LEASE, req_t_age);
+		req_t_age = 0 }
+	/* Check now; D receives its lease some time later. */
+	:: atomic { d_req == 1 && MAY_RENEW -> d_req = 2 }
 	od
 }
 
 proctype Dispatcher()
 {
 	do
-	:: atomic { d_ask == 0 -> d_ask = 1; d_ask_age = 0 }
-	:: atomic { d_ask == 2 -> d_ask = 0;
-#ifdef HOST_LEASE_FROM_ANSWER
-		d_lease = HL
+	:: atomic { d_req == 0 -> d_req = 1; d_req_age = 0 }
+	:: atomic { d_req == 2 -> d_req = 0;
+#ifdef HOST_LEASE_FROM_REPLY
+		d_lease = HOST_LEASE
 #else
-		if :: LEFT(HL, d_ask_age) > d_lease -> d_lease = LEFT(HL, d_ask_age)
+		if :: REMAINING(HOST_LEASE, d_req_age) > d_lease ->
+			d_lease = REMAINING(HOST_LEASE, d_req_age)
 		:: else fi
 #endif
-		; d_ask_age = 0
+		; d_req_age = 0
 	   }
-	/* What was asked is lost. */
-	:: atomic { d_ask == 1 -> d_ask = 0; d_ask_age = 0 }
+	/* The request is lost. */
+	:: atomic { d_req == 1 -> d_req = 0; d_req_age = 0 }
 	od
 }
 
-#ifdef NO_SETTLE
-#define SETTLE 0
+#ifdef NO_LAPSE_WAIT
+#define LAPSE_WAIT 0
 #else
-#define SETTLE HL
+#define LAPSE_WAIT HOST_LEASE
 #endif
 
-/* A standby: n its letter. */
-#define STANDBY(me, n_ver, n_unch, n_prom, n_put, n_base, n_gone, n_left, n_ask, n_ask_age) \
+/* A standby; n_ stands for the prefix of its variables. */
+#define STANDBY(me, n_version, n_unchanged, n_promise, n_put, n_base,		\
+    n_withdrawn, n_stopping, n_req, n_req_age)					\
 	do									\
-	:: atomic { n_ver != ver && taker == NONE ->				\
-		n_ver = ver; n_unch = 0 }					\
-	:: atomic { n_ask == 1 && !n_left && CAN_PROMISE(n_put, n_gone) ->	\
-		n_ask = 2; n_prom = L }						\
-	:: atomic { n_ask == 1 && n_left && CAN_PROMISE(n_put, n_gone) ->	\
-		n_ask = 3 }							\
-	:: atomic { MAY_LEAVE && !n_left && !n_put && taker != me -> n_left = true }	\
-	:: atomic { n_ask == 1 -> n_ask = 0; n_ask_age = 0 }			\
-	:: atomic { taker == NONE && !n_put && STAYS(n_left) &&			\
-		n_ver == ver && list == me &&					\
-		((n_unch == L && PROMISE_OVER(n_prom)) || holder == NONE) ->	\
-		n_put = true; n_base = n_ver }					\
-	:: atomic { n_put && taker == NONE && ver == n_base ->			\
-		ver++; holder = me; taker = me; wait_settle = SETTLE }		\
-	:: atomic { n_put && ver != n_base && taker != me -> n_put = false }	\
-	:: atomic { taker == me && wait_settle == 0 -> moved = true }		\
+	:: atomic { n_version != version && successor == NONE ->		\
+		n_version = version; n_unchanged = 0 }				\
+	:: atomic { n_req == 1 && !n_stopping && CAN_PROMISE(n_put, n_withdrawn) ->\
+		n_req = 2; n_promise = CONTROL_LEASE }				\
+	:: atomic { n_req == 1 && n_stopping && CAN_PROMISE(n_put, n_withdrawn) ->\
+		n_req = 3 }							\
+	:: atomic { MAY_STOP && !n_stopping && !n_put && successor != me -> n_stopping = true }\
+	:: atomic { n_req == 1 -> n_req = 0; n_req_age = 0 }			\
+	:: atomic { successor == NONE && !n_put && CAN_TAKE_CONTROL(n_stopping) &&\
+		n_version == version && listed == me &&				\
+		((n_unchanged == CONTROL_LEASE && PROMISE_OVER(n_promise)) || holder == NONE) ->\
+		n_put = true; n_base = n_version }				\
+	:: atomic { n_put && successor == NONE && version == n_base ->		\
+		version++; holder = me; successor = me; lapse_wait = LAPSE_WAIT }\
+	:: atomic { n_put && version != n_base && successor != me -> n_put = false }\
+	:: atomic { successor == me && lapse_wait == 0 -> moved = true }	\
 	od
 
-/* One that stops never takes control again. */
-#ifdef LEFT_TAKES
-#define STAYS(l) (true)
+/* A standby that stops never takes control again. */
+#ifdef STOPPED_TAKES_CONTROL
+#define CAN_TAKE_CONTROL(l) (true)
 #else
-#define STAYS(l) (!l)
+#define CAN_TAKE_CONTROL(l) (!l)
 #endif
-#ifdef WITH_LEFT
-#define MAY_LEAVE (true)
+#ifdef WITH_STOP
+#define MAY_STOP (true)
 #else
-#define MAY_LEAVE (false)
+#define MAY_STOP (false)
 #endif
-#ifdef UNRESOLVED_PROMISES
+#ifdef PROMISES_DURING_WRITE
 #define CAN_PROMISE(p, g) (!g)
 #else
 #define CAN_PROMISE(p, g) (!p && !g)
@@ -234,55 +244,58 @@
 #define PROMISE_OVER(p) (p == 0)
 #endif
 
-/* With T about, S only promises: its taking over is searched with X. */
+/* In the configuration with T, S only promises; with X it may take control. */
 proctype StandbyS()
 {
 #ifdef WITH_X
-	STANDBY(S, s_ver, s_unch, s_prom, s_put, s_base, s_gone, s_left, ask_s, ask_s_age)
+	STANDBY(S, s_version, s_unchanged, s_promise, s_put, s_base, s_withdrawn,
+	    s_stopping, req_s, req_s_age)
 #else
 	do
-	:: atomic { ask_s == 1 -> ask_s = 2 }
-	:: atomic { ask_s == 1 -> ask_s = 0; ask_s_age = 0 }
+	:: atomic { req_s == 1 -> req_s = 2 }
+	:: atomic { req_s == 1 -> req_s = 0; req_s_age = 0 }
 	od
 #endif
 }
 
 proctype StandbyT()
 {
-	STANDBY(T, t_ver, t_unch, t_prom, t_put, t_base, t_gone, t_left, ask_t, ask_t_age)
+	STANDBY(T, t_version, t_unchanged, t_promise, t_put, t_base, t_withdrawn,
+	    t_stopping, req_t, req_t_age)
 }
 
-#ifdef LEFT_NOT_WAITED
-#define LEFT_OVER (L + HL)
+#ifdef FINAL_PROMISE_NOT_WAITED
+#define FINAL_WAIT (CONTROL_LEASE + HOST_LEASE)
 #else
-#define LEFT_OVER (LL + HL)
+#define FINAL_WAIT (FINAL_PROMISE + HOST_LEASE)
 #endif
 #ifdef WITHDRAWAL_AT_ONCE
-#define WITHDRAWN HL
+#define WITHDRAWAL_WAIT HOST_LEASE
 #else
-#define WITHDRAWN (L + HL)
+#define WITHDRAWAL_WAIT (CONTROL_LEASE + HOST_LEASE)
 #endif
 
 proctype Unlisted()
 {
 	do
-	:: atomic { x_ver != ver && taker == NONE -> x_ver = ver; x_unch = 0 }
-	:: atomic { taker == NONE && x_ver == ver && x_unch == L &&
-		ver == x_ver ->
-		x_from = list; ver++; holder = X; taker = X; x_waits = true;
-		wait_settle = SETTLE }
-	/* The listed standby withdraws: no more promises to H. */
-	:: atomic { taker == X && x_waits && x_from == S && !s_left ->
-		s_gone = true; x_waits = false; wait_settle = WITHDRAWN }
-	/* It stopped, and says so or is replaced: it may have left a promise. */
-	:: atomic { taker == X && x_waits && x_from == S && s_left ->
-		s_gone = true; x_waits = false; wait_settle = LEFT_OVER }
-	:: atomic { taker == X && x_waits && x_from == T ->
-		t_gone = true; x_waits = false; wait_settle = WITHDRAWN }
+	:: atomic { x_version != version && successor == NONE ->
+		x_version = version; x_unchanged = 0 }
+	:: atomic { successor == NONE && x_version == version && x_unchanged == CONTROL_LEASE &&
+		version == x_version ->
+		x_previous = listed; version++; holder = X; successor = X; x_waiting = true;
+		lapse_wait = LAPSE_WAIT }
+	/* The listed standby withdraws: it promises H nothing more. */
+	:: atomic { successor == X && x_waiting && x_previous == S && !s_stopping ->
+		s_withdrawn = true; x_waiting = false; lapse_wait = WITHDRAWAL_WAIT }
+	/* It stopped, and reports that or is replaced: its final promise may last. */
+	:: atomic { successor == X && x_waiting && x_previous == S && s_stopping ->
+		s_withdrawn = true; x_waiting = false; lapse_wait = FINAL_WAIT }
+	:: atomic { successor == X && x_waiting && x_previous == T ->
+		t_withdrawn = true; x_waiting = false; lapse_wait = WITHDRAWAL_WAIT }
 #ifdef UNLISTED_BY_TIME
-	:: atomic { taker == X && wait_settle == 0 -> moved = true }
+	:: atomic { successor == X && lapse_wait == 0 -> moved = true }
 #else
-	:: atomic { taker == X && !x_waits && wait_settle == 0 -> moved = true }
+	:: atomic { successor == X && !x_waiting && lapse_wait == 0 -> moved = true }
 #endif
 	od
 }
@@ -290,8 +303,8 @@
 init
 {
 	atomic {
-		s_ver = 0; t_ver = 0; x_ver = 0;
-		run Claim(); run Clock(); run Holder(); run Dispatcher();
+		s_version = 0; t_version = 0; x_version = 0;
+		run Property(); run Clock(); run Holder(); run Dispatcher();
 		run StandbyS();
 #ifdef WITH_X
 		run Unlisted()
@@ -301,5 +314,3 @@
 
 	}
 }
-
-
--- a/model/control.sh
+++ b/model/control.sh
@@ -1,15 +1,15 @@
 #!/bin/sh
-# Checks the model of control; then takes each safeguard out and expects two
-# owners: a safeguard whose loss goes unnoticed is not modelled, or not needed.
+# Checks the model of control, then removes each safeguard and expects the
+# search to find two owners: otherwise it is not modelled or not needed.
 cd "$(dirname "$0")" || exit 1
 work=$(mktemp -d) || exit 1
 trap 'rm -rf "$work"' EXIT
-# Each safeguard with the configuration that shows its loss.
-safeguards="LEASE_FROM_ANSWER:T PROMISE_FROM_ARRIVAL:WITH_X
-HOST_LEASE_FROM_ANSWER:T SINGLE_LIST:T RESIGN_RENEWS:WITH_X NO_SETTLE:T
-UNRESOLVED_PROMISES:WITH_X NO_PROMISE_WAIT:WITH_X UNLISTED_BY_TIME:WITH_X
-WITHDRAWAL_AT_ONCE:WITH_X LEFT_TAKES:WITH_LEFT
-LEFT_NOT_WAITED:WITH_LEFT"
+# Each safeguard with the configuration in which its removal is found.
+safeguards="LEASE_FROM_REPLY:T PROMISE_FROM_ARRIVAL:WITH_X
+HOST_LEASE_FROM_REPLY:T SINGLE_LIST:T RELEASE_RENEWS:WITH_X NO_LAPSE_WAIT:T
+PROMISES_DURING_WRITE:WITH_X NO_PROMISE_WAIT:WITH_X UNLISTED_BY_TIME:WITH_X
+WITHDRAWAL_AT_ONCE:WITH_X STOPPED_TAKES_CONTROL:WITH_STOP
+FINAL_PROMISE_NOT_WAITED:WITH_STOP"
 
 # errors SAFEGUARD CONFIGURATION: prints how many errors the search finds.
 errors() {
@@ -26,12 +26,12 @@
 }
 
 res=0
-errors WHOLE T >"$work/t" &
-errors WHOLE WITH_X >"$work/x" &
-errors WHOLE WITH_LEFT >"$work/l" &
+errors COMPLETE T >"$work/t" &
+errors COMPLETE WITH_X >"$work/x" &
+errors COMPLETE WITH_STOP >"$work/l" &
 wait
 all="$(cat "$work/t") $(cat "$work/x") $(cat "$work/l")"
-echo "whole model: $all errors"
+echo "complete model: $all errors"
 [ "$all" = "0 0 0" ] || res=1
 for d in $safeguards; do
 	n=$(errors "${d%:*}" "${d#*:}")
