--- a/model/control.pml
+++ b/model/control.pml
@@ -53,6 +53,7 @@
 /*
  * S, T, X: the version last read and for how long it has been unchanged, the
  * promise given, and the pending write with the version that it replaces.
+ * x_previous is the standby that was listed before X took control.
  */
 byte s_version, s_unchanged, s_promise, t_version, t_unchanged, t_promise;
 byte x_version, x_unchanged;
