--- a/regress/account.sh
+++ b/regress/account.sh
@@ -1,7 +1,6 @@
 #!/bin/sh
 # Tests bench/account.sh with a few log lines: each cause once, a hot key apart
-# from other requests that are too late, lines with and without seconds in
-# front.
+# from other late requests, lines with and without a time in front.
 cd "$(dirname "$0")/.." || exit 1
 work=$(mktemp -d) || exit 1
 trap 'rm -rf "$work"' EXIT
--- a/regress/demo.sh
+++ b/regress/demo.sh
@@ -1,6 +1,5 @@
 #!/bin/bash
-# Runs a small fleet on loopback: a platform, two data centres, requests, a
-# stop.
+# Runs a small fleet on loopback: platform, two data centres, requests, a stop.
 cd "$(dirname "$0")/.." || exit 1
 work=$(mktemp -d) || exit 1
 trap 'rm -rf "$work"' EXIT
--- a/regress/fuzz.sh
+++ b/regress/fuzz.sh
@@ -1,6 +1,6 @@
 #!/bin/sh
-# Fuzzes each reader for some seconds, guided by coverage: fuzz.sh [SECS
-# [READER]].  Inputs that fail are left in build/fuzz.  Add them to
+# fuzz.sh [SECS [READER]]: fuzzes each reader for SECS seconds, guided by
+# coverage.  Inputs that fail are left in build/fuzz.  Add them to
 # regress/unit/corpus under a name that begins with the reader's.
 cd "$(dirname "$0")/.." || exit 1
 secs=${1:-60}
