--- a/regress/safeguards.sh
+++ b/regress/safeguards.sh
@@ -76,7 +76,8 @@
 without grants-read-late keys keys_grant.c \
     's/? until + KEYS_READ_DELAY/? until/'
 without clock-drift keys keys.h 's/KEYS_CLOCK_DRIFT 1.02/KEYS_CLOCK_DRIFT 1.0/'
-without network-delay-of-orders keys keys.h 's/KEYS_NETWORK_DELAY MS(150)/KEYS_NETWORK_DELAY MS(0)/'
+without network-delay-of-orders keys keys.h \
+    's/KEYS_NETWORK_DELAY MS(150)/KEYS_NETWORK_DELAY MS(0)/'
 without no-renewal-while-releasing keys keys_grant.c \
     's/return (!r->releasing \&\& /return (/'
 without fence-stored-before-grant keys keys_grant.c \
@@ -112,7 +113,8 @@
     's/k->top_fence = k->term << FENCE_TERM_SHIFT;/;/'
 without one-move-at-a-time keys keys_plan.c \
     's/ || r->releasing || r->next != NO_TARGET)/)/'
-without restarted-owner-keeps-grants keys keys_grant.c 's/if (!r->owner_restarted) {/if (1) {/'
+without restarted-owner-keeps-grants keys keys_grant.c \
+    's/if (!r->owner_restarted) {/if (1) {/'
 without reused-addresses keys keys.c \
     '/strcmp(t->id, f->id) != 0)/{n;s/t->listed = 0/;/}'
 without joined-ranges-keep-grants keys keys.c \
@@ -121,10 +123,12 @@
     's/started_at(later) > started_at(earlier)/started_at(later) != started_at(earlier)/'
 
 # No new requests to a leaving target.
-without announced-leave-stays membership membership.c 's/e->t.leaving |= e->leave_announced;/;/'
+without announced-leave-stays membership membership.c \
+    's/e->t.leaving |= e->leave_announced;/;/'
 without superseded-incarnations-ignored membership membership.c \
     's/^	if (is_superseded(k, t->id))/	if (0)/'
-without earlier-incarnation-ends membership membership.c 's/^	end_earlier(k, t->id, now);/;/'
+without earlier-incarnation-ends membership membership.c \
+    's/^	end_earlier(k, t->id, now);/;/'
 without missing-in-a-complete-list membership membership.c \
     's/for (i = 0; f->whole \&\& i < k->n; i++)/for (i = 0; 0; i++)/'
 without doubt-window-ends membership membership.c \
@@ -158,7 +162,8 @@
     's/if (version <= own || version <= b->wanted)/if (version <= own)/'
 without requested-once behind behind.c 's/ || now < b->ask_at)/)/'
 without pace-of-copies pace pace.c 's/return (now >= p->free_at);/return (1);/'
-without pace-of-pushes pace pace.c 's/ <= link_bytes(link_mbps) \* PUSH_TIME_MAX_S/ >= 0/'
+without pace-of-pushes pace pace.c \
+    's/ <= link_bytes(link_mbps) \* PUSH_TIME_MAX_S/ >= 0/'
 without retry-budget route budget.c 's/if (b->tokens < 1)/if (0)/'
 without end-of-a-stopping-host stop_plan stop_plan.c \
     's/return (deadline < l->end ? deadline : l->end);/return (deadline);/'
@@ -166,10 +171,12 @@
     's/return (now < l->accept_all_until || deadline <= l->end);/return (1);/'
 
 # Limits of targets.
-without limit-shared-by-hosts rate rate.c 's/r->turns.hosts \* US_PER_SEC/US_PER_SEC/'
+without limit-shared-by-hosts rate rate.c \
+    's/r->turns.hosts \* US_PER_SEC/US_PER_SEC/'
 without turns-lie-apart rate rate.c 's/r->turns.rank \* (/0 * (/'
 without turns-not-saved-up rate rate.c 's/if (lost <= 0)/if (1)/'
-without turns-not-postponed rate rate.c 's/if (was != 0 \&\& was < r->next)/if (0)/'
+without turns-not-postponed rate rate.c \
+    's/if (was != 0 \&\& was < r->next)/if (0)/'
 without rate-change-gives-no-turn rate rate.c \
     's/if (r->last_sent != 0 \&\& r->last_sent + r->interval > from)/if (0)/'
 
