--- a/regress/scenario/lib_site.lua
+++ b/regress/scenario/lib_site.lua
@@ -1,9 +1,9 @@
--- Words for scenarios on the platform of objects: a store, targets that know
--- grants, hosts that send to them themselves.
+-- Library of the scenarios on the platform of objects: a store, targets that
+-- take grants, and hosts that send to the targets themselves.
 Site = {}
 Site.__index = Site
 
--- What is the same on every platform.
+-- Functions that are the same on every platform.
 Site.port = Fleet.port
 Site.fault = Fleet.fault
 Site.metric = Fleet.metric
@@ -13,7 +13,7 @@
 function Site.new(opt)
 	local s = setmetatable({ hosts = {}, order = {}, servers = {},
 	    sorder = {}, opt = opt, next = opt.next or 2, version = 0,
-	    asked = 0 }, Site)
+	    request_count = 0 }, Site)
 	s.store, s.platctl = s:port(), s:port()
 	spawn(path("store.log"), BUILD .. "/standin/store", "-l", s.store, "-c",
 	    s.platctl)
@@ -23,7 +23,9 @@
 	return s
 end
 
--- Writes a configuration: routes is a list of JSON texts by name.
+-- Writes a configuration and returns its version.  routes and services are
+-- lists of JSON members; where one is nil, that of the last configuration is
+-- used.
 function Site:configure(routes, services, limits)
 	self.version = self.version + 3
 	self.routes = routes or self.routes
@@ -43,15 +45,16 @@
 	return self.version
 end
 
-function route(name, prefix, kind, service, more)
+-- Returns a route as a JSON member; opt may set timeout, priority and split.
+function route(name, prefix, kind, service, opt)
 	return string.format('"%s":{"host":"a.example","path_prefix":"%s",' ..
 	    '"kind":"%s","timeout":"%s","target_latency":"300ms",' ..
 	    '"priority":%d,%s,"max_attempts":2}', name, prefix, kind,
-	    more and more.timeout or "1500ms", more and more.priority or 1,
-	    more and more.split or '"service":"' .. service .. '"')
+	    opt and opt.timeout or "1500ms", opt and opt.priority or 1,
+	    opt and opt.split or '"service":"' .. service .. '"')
 end
 
--- The routes that there are and n more, as the platform writes them.
+-- Returns the routes of the site and n more, as the platform writes them.
 function Site:many_routes(n)
 	local all = {}
 	for i = 1, n do
@@ -67,6 +70,7 @@
 	return all
 end
 
+-- Starts the process of a target and waits until it answers.
 function Site:start_server(t)
 	local args = { "-l", t.at, "-n", t.id, "-j", path(t.id .. ".journal"),
 	    "-s", tostring(t.opt.slots or 4), "-w", tostring(t.opt.work or 5) }
@@ -84,6 +88,8 @@
 	end)
 end
 
+-- Starts a new target, behind a proxy of its own with server_wires, and
+-- registers it.
 function Site:add_server(service, dc, opt)
 	opt = opt or {}
 	local n = #self.sorder + 1
@@ -106,7 +112,7 @@
 	return t
 end
 
--- A target that would serve whoever asks, and that no good entry names.
+-- Starts a target that serves every request but has no valid entry.
 function Site:add_stranger()
 	local t = { id = "x-1", addr = self:port(), opt = {} }
 	t.at = t.addr
@@ -114,7 +120,7 @@
 	self:start_server(t)
 end
 
--- A target's entry, as the target itself would write it.
+-- Returns a target's entry as the target itself would write it.
 local function entry(t, state, seq)
 	return string.format('{"metadata":{"name":"%s"},"spec":{"address":"%s",' ..
 	    '%s"info":{"service":"%s","version":"v1","zone":"%s","slots":%d}},' ..
@@ -137,7 +143,7 @@
 	self:write_entry(id, "draining", 2)
 end
 
--- A target that has ended starts again under its id, at its address or another.
+-- Restarts a target that has ended, under its id, at its address or another.
 function Site:revive_server(id, addr)
 	local t = self.servers[id]
 	t.died = nil
@@ -153,7 +159,7 @@
 	self:revive_server(id, addr)
 end
 
--- Starts targets again that have ended by themselves.
+-- Restarts all targets that have ended by themselves.
 function Site:revive_ended()
 	for _, id in ipairs(self.sorder) do
 		local t = self.servers[id]
@@ -165,9 +171,10 @@
 	end
 end
 
--- When targets crashed, in order, and when requests of some ids came to them.
+-- Returns the times at which targets crashed, in order, and those at which
+-- requests with one of the ids arrived at targets.
 function Site:crashes(ids)
-	local ends, came = {}, {}
+	local ends, arrivals = {}, {}
 	for _, id in ipairs(self.sorder) do
 		for l in read_file(id .. ".journal"):gmatch("[^\n]+") do
 			local e = l:match("^crash (%d+)")
@@ -175,26 +182,27 @@
 			if e then
 				table.insert(ends, tonumber(e) / 1000)
 			elseif at and ids[rid] then
-				table.insert(came, tonumber(at) / 1000)
+				table.insert(arrivals, tonumber(at) / 1000)
 			end
 		end
 	end
 	table.sort(ends)
-	table.sort(came)
-	return ends, came
+	table.sort(arrivals)
+	return ends, arrivals
 end
 
--- A target is cold for so many ms; when the store has it.
-function Site:chill(id, ms)
+-- Marks a target as cold for `ms`; returns the time when the store has that.
+function Site:set_cold(id, ms)
 	local t = self.servers[id]
 	t.cold = ms
-	t.chilled = (t.chilled or 10) + 1
-	self:write_entry(id, "ready", t.chilled)
+	t.cold_sequence = (t.cold_sequence or 10) + 1
+	self:write_entry(id, "ready", t.cold_sequence)
 	t.cold = nil
 	return now_ms()
 end
 
--- Evacuates a data centre, or takes that back; when the store has said so.
+-- Evacuates a data centre, or cancels that; returns the time when the store
+-- has that.
 function Site:evacuate(dc, on)
 	local kind = "http://" .. self.store .. "/objects/evacuations"
 	local st
@@ -208,9 +216,9 @@
 	return now_ms()
 end
 
--- How many requests began to run at targets of a data centre between two
--- moments.
-function Site:ran_in(dc, from, to)
+-- Counts the requests that began to run at targets of a data centre within
+-- [from, to).
+function Site:count_runs(dc, from, to)
 	local n = 0
 	for _, id in ipairs(self.sorder) do
 		if self.servers[id].dc == dc then
@@ -230,6 +238,8 @@
 	http("DELETE", "http://" .. self.store .. "/objects/servers/" .. id)
 end
 
+-- Sets faults of a target, such as "fail=1&lose=3"; returns how many requests
+-- it has run so far.
 function Site:server_fault(id, q)
 	local _, n = http("POST", "http://" .. self.servers[id].at ..
 	    "/_fault?" .. q, "")
@@ -263,7 +273,7 @@
 	end
 	local link = self.opt.links and self.opt.links[name]
 	if link then
-		-- All that this host hears from hosts and the store shares it.
+		-- All that hosts and the store send to this host shares it.
 		h.reached, h.store, h.link = self:port(), self:port(), self:port()
 		spawn(path(name .. ".link.log"), BUILD .. "/standin/wire",
 		    "-l", h.reached, "-t", h.peers, "-l", h.store, "-t",
@@ -324,36 +334,39 @@
 	    nil, nil, 500) == 200
 end
 
--- One request through a host; heads is a list of more header lines.
-function Site:ask(name, p, heads, method, body)
-	self.asked = self.asked + 1
-	local all = { "Host: a.example", "X-Request-Id: q" .. self.asked,
+-- Sends one request through a host; headers is a list of further header lines.
+-- Returns the status, body and header of the answer, and the request id.
+function Site:ask(name, p, headers, method, body)
+	self.request_count = self.request_count + 1
+	local all = { "Host: a.example",
+	    "X-Request-Id: q" .. self.request_count,
 	    "X-Deadline-Ms: 1400" }
-	for _, h in ipairs(heads or {}) do
+	for _, h in ipairs(headers or {}) do
 		table.insert(all, h)
 	end
-	local st, text, head = http(method or "GET", "http://" ..
+	local st, text, header = http(method or "GET", "http://" ..
 	    self.hosts[name].callers .. p, body, all, 4000)
-	return st, text, head, "q" .. self.asked
+	return st, text, header, "q" .. self.request_count
 end
 
--- Sends a request whose answer is read later: the oldest once `most` are open.
--- What was answered is counted by kind and status.
-function Site:send_unread(name, kind, p, more, most)
+-- Sends a request whose answer is read later: that of the oldest request once
+-- more than `max` are pending.  Answers are counted by kind and status.
+function Site:send_async(name, kind, p, headers, max)
 	local c = dial(self.hosts[name].callers)
-	self.asked = self.asked + 1
-	self.open = self.open or {}
+	self.request_count = self.request_count + 1
+	self.pending = self.pending or {}
 	send(c, string.format("GET %s HTTP/1.1\r\nHost: a.example\r\n" ..
 	    "X-Request-Id: q%d\r\nX-Deadline-Ms: 1000\r\n%s" ..
-	    "Connection: close\r\n\r\n", p, self.asked, more or ""))
-	table.insert(self.open, { conn = c, kind = kind })
-	if #self.open > (most or 300) then
-		self:read_unread()
+	    "Connection: close\r\n\r\n", p, self.request_count, headers or ""))
+	table.insert(self.pending, { conn = c, kind = kind })
+	if #self.pending > (max or 300) then
+		self:read_oldest()
 	end
 end
 
-function Site:read_unread()
-	local o = table.remove(self.open, 1)
+-- Reads the answer of the oldest pending request.
+function Site:read_oldest()
+	local o = table.remove(self.pending, 1)
 	local st = (read_all(o.conn) or ""):match("^HTTP/1.1 (%d+)") or "none"
 	hang_up(o.conn)
 	self.answers = self.answers or {}
@@ -361,9 +374,9 @@
 	self.answers[key] = (self.answers[key] or 0) + 1
 end
 
--- The most requests that began to run at a target in a second between two
--- moments, and how many in all.
-function Site:worst_second(id, from, to)
+-- Returns the largest number of requests that began to run at a target in any
+-- one second within [from, to), and their number in all.
+function Site:max_per_second(id, from, to)
 	local all, most, first = {}, 0, 1
 	for l in read_file(id .. ".journal"):gmatch("[^\n]+") do
 		local at = l:match("^run %S+ (%d+)")
@@ -385,13 +398,13 @@
 	return self:ask(name, "/k/" .. key, { "X-Shard-Key: " .. key })
 end
 
--- Cuts a host off from the store, or no more; needs store_wires.
+-- Cuts a host off from the store, or ends that; needs store_wires.
 function Site:cut_store(name, on)
 	http("POST", "http://" .. self.hosts[name].wire .. "/fault?cut=" ..
 	    (on and "*" or ""), "")
 end
 
--- The control record in the store, or nil.
+-- Returns the control record in the store, or nil.
 function Site:record()
 	local st, text = http("GET", "http://" .. self.store ..
 	    "/objects/gspar-control/main")
@@ -399,13 +412,13 @@
 	return r and r.spec
 end
 
--- The host that controls, by the record in the store.
+-- Returns the host that controls, by the record in the store.
 function Site:controller()
 	local r = self:record()
 	return r and r.holder and r.holder.host
 end
 
--- Waits until keys all over are served through every host.
+-- Waits until keys of the whole key range are served through every host.
 function Site:await_keys(ms)
 	await("all keys served", ms or 12000, function()
 		for _, n in ipairs(self.order) do
@@ -420,8 +433,8 @@
 	end)
 end
 
--- A site with one service without keys, one with, and hosts in two data centres,
--- or in those that are named.
+-- Returns a site with a service without keys, a keyed service, and hosts in two
+-- data centres or in opt.centres, once all hosts serve.
 function standard_site(opt)
 	opt = opt or {}
 	local s = Site.new(opt)
@@ -456,12 +469,14 @@
 	return s
 end
 
--- Asks over and over for a while, through hosts that live, of all kinds; the
--- number of answers other than 200 by kind, and the longest time without any
--- answer for keyed requests.
+-- Sends requests of all kinds for `ms` through the hosts that are up, one after
+-- the other.  Returns the number of requests, the number of answers other than
+-- 200 by kind, the ids of refused POST requests, and the status and time of the
+-- last failed keyed request.  each(n) is called before round n.
 function Site:load(ms, each)
 	local till, n = now_ms() + ms, 0
-	local r = { asked = 0, any = 0, once = 0, key = 0, gap = 0, runs = {} }
+	local r = { requests = 0, any = 0, once = 0, key = 0, gap = 0,
+	    refused = {} }
 	local last = {}
 	while now_ms() < till do
 		n = n + 1
@@ -470,14 +485,14 @@
 		end
 		local h = self.order[n % #self.order + 1]
 		if not self.hosts[h].dead then
-			r.asked = r.asked + 3
+			r.requests = r.requests + 3
 			local st = self:ask(h, "/any/" .. n)
 			r.any = r.any + (st == 200 and 0 or 1)
 			local st2, _, _, id = self:ask(h, "/once/" .. n, nil,
 			    "POST", "body " .. n)
 			r.once = r.once + (st2 == 200 and 0 or 1)
 			if st2 == 503 or st2 == 429 then
-				r.runs[id] = true
+				r.refused[id] = true
 			end
 			local key = n * 5003 % 65536
 			local st3 = self:ask_key(h, key)
@@ -489,8 +504,8 @@
 	return r
 end
 
--- True where a life of a server that took a grant ended before another moment.
-function Site:ended(id, from, to)
+-- True if an incarnation of a target ended within [from, to), in microseconds.
+function Site:ended_between(id, from, to)
 	for _, at in ipairs(self.servers[id].ends or {}) do
 		if at * 1000 >= from and at * 1000 < to then
 			return true
@@ -499,8 +514,8 @@
 	return false
 end
 
--- Reads all journals: no two servers that lived held one key at one time, no
--- request that may run once ran twice, and none that was said not to have run.
+-- Checks all journals: no two running targets held a key at the same time, no
+-- request that may run only once ran twice, and none of those in `refused` ran.
 function Site:journals_ok(refused)
 	local all, seen, doubles = {}, {}, 0
 	for _, id in ipairs(self.sorder) do
@@ -516,7 +531,7 @@
 			if rid and method == "POST" then
 				check(not seen[rid], "%s ran twice", rid)
 				check(not (refused and refused[rid]),
-				    "%s ran, its caller was told it had not",
+				    "%s ran, its caller was told it did not",
 				    rid)
 				seen[rid] = true
 			end
@@ -529,13 +544,13 @@
 		local held = {}
 		for _, e in ipairs(all) do
 			if e.from <= key and key <= e.to then
-				-- One whose time was over when it was carried
-				-- out gives no key.
+				-- A grant that had expired when the target
+				-- applied it gives no key.
 				if e.what == "grant" and e.till > e.at then
 					for id, h in pairs(held) do
 						if id ~= e.id and h.till > e.at and
-						    not self:ended(id, h.at,
-						    e.at) then
+						    not self:ended_between(id,
+						    h.at, e.at) then
 							doubles = doubles + 1
 						end
 					end
@@ -548,15 +563,17 @@
 			end
 		end
 	end
-	check(doubles == 0, "keys held by two at once: %d times", doubles)
+	check(doubles == 0, "keys held by two targets at once: %d times",
+	    doubles)
 end
 
--- Sends a request that crashes the targets that run it over and over, through
--- one host after the other, also after all hosts were lost; where it is said,
--- the controller is lost after the second crash and after the third.  Checks that it
--- reaches no target more than `most` times once three have ended under it and
--- `stable` ms have passed, and that all else is served.
-function Site:play_poison(p, heads, stable, most, lose_controller)
+-- Sends a request that crashes each target that runs it over and over, through
+-- one host after the other, also after a restart of all hosts; with
+-- lose_controller, the controller is killed and started again after the second
+-- crash and after the third.  Checks that the request is sent to targets at
+-- most `max_sends` times from `stable` ms after the third crash on, and that
+-- all other requests are served.
+function Site:run_poison(p, headers, stable, max_sends, lose_controller)
 	local ids, n = {}, 0
 	local function send_poison()
 		n = n + 1
@@ -564,56 +581,56 @@
 		if self.hosts[h].dead then
 			return
 		end
-		local st, _, _, id = self:ask(h, p, heads)
+		local st, _, _, id = self:ask(h, p, headers)
 		ids[id] = true
-		check(st ~= 200, "%s answered", p)
+		check(st ~= 200, "%s got 200", p)
 		sleep_ms(200)
 		self:revive_ended()
 	end
-	local function rest_is_served()
+	local function check_others_served()
 		self:await_keys(8000)
 		for _, h in ipairs(self.order) do
 			check(self.hosts[h].dead or
 			    self:ask(h, "/any/other") == 200,
-			    "%s refuses another", h)
+			    "%s refuses another request", h)
 			check(self.hosts[h].dead or
 			    self:ask_key(h, 700) == 200,
-			    "%s refuses a key", h)
+			    "%s refuses another request for the key", h)
 		end
 	end
-	local function crash(count)
+	local function await_crashes(count)
 		return await(count .. " crashes", 20000, function()
 			send_poison()
 			return #self:crashes(ids) >= count and now_ms()
 		end)
 	end
-	local function lose()
+	local function restart_controller()
 		if lose_controller then
 			local h = self:controller()
 			self:kill_host(h)
 			self:start_host(h)
 		end
 	end
-	crash(2)
-	lose()
-	local third = crash(3)
-	lose()
+	await_crashes(2)
+	restart_controller()
+	local third = await_crashes(3)
+	restart_controller()
 	while now_ms() < third + stable + 7000 do
 		send_poison()
 	end
-	rest_is_served()
+	check_others_served()
 	self:restart_all()
-	rest_is_served()
+	check_others_served()
 	for _ = 1, 9 do
 		send_poison()
 	end
-	local ends, came = self:crashes(ids)
+	local ends, arrivals = self:crashes(ids)
 	local late = 0
-	for _, at in ipairs(came) do
+	for _, at in ipairs(arrivals) do
 		late = late + (at > ends[3] + stable and 1 or 0)
 	end
-	check(late <= most, "sent %d times more after its third target, %d " ..
-	    "ended in all", late, #ends)
+	check(late <= max_sends, "sent %d more times after the third crash, " ..
+	    "%d crashes in all", late, #ends)
 end
 
 function Site:stop_all()
--- a/regress/scenario/site_budget.lua
+++ b/regress/scenario/site_budget.lua
@@ -1,8 +1,9 @@
--- All targets of a service fail each request, just after a host was lost.  Each
--- host sends part of them once more: over all hosts a fifth of the requests,
--- and 60.  The lost one may be cut off only, and go on sending: if the others
--- divided the 60 among themselves at once, both sides of a cut would use all
--- of it, and the targets get more than they were promised.
+-- All targets of a service fail every request, just after a host was lost.
+-- Each host retries some of them: at most a fifth of the requests over all
+-- hosts, plus 60.  The lost host may only be cut off, and still send: if the
+-- others divided the 60 among themselves at once, both sides of a partition
+-- would use all of it, and the targets would get more than the budget
+-- allows.
 dofile("regress/scenario/lib_site.lua")
 local s = standard_site { plain = 3 }
 local function runs()
@@ -11,7 +12,7 @@
 end
 local lost = s:controller() == "h3" and "h2" or "h3"
 s:kill_host(lost)
--- Long enough for the others to miss it, and to spread that they do.
+-- Long enough for the others to detect the loss and broadcast it.
 s:load(4500)
 s:drain("i-4")
 s:load(1500)
@@ -23,9 +24,9 @@
 		end
 	end
 end
-local again = runs() - before - 200
-check(again <= 40 + 40, "%d repeats of 200 requests by two hosts of three",
-    again)
-check(again >= 20, "no repeats: %d", again)
+local retries = runs() - before - 200
+check(retries <= 40 + 40, "%d retries of 200 requests by two hosts of three",
+    retries)
+check(retries >= 20, "too few retries: %d", retries)
 s:stop_all()
-say("repeats within the budget of all hosts")
+say("retries stay within the budget of all hosts")
--- a/regress/scenario/site_door.lua
+++ b/regress/scenario/site_door.lua
@@ -1,46 +1,49 @@
--- What strangers send.  Each is refused or its connection closed in time, and
--- nobody else notices.
+-- Malformed requests and slow clients.  Each is refused, or its connection is
+-- closed in time, and other callers are not affected.
 dofile("regress/scenario/lib_site.lua")
 local s = standard_site { hosts = 1 }
 local at = s.hosts.h1.callers
 
-local function answer(name, bytes, want)
+local function check_answer(name, bytes, want)
 	local text = raw(at, bytes)
 	check(text:match(want), "%s: %s", name, text:sub(1, 60))
-	check(not text:match("HTTP/1.1 %d+.*\nHTTP/1.1 200"), "%s: a second",
-	    name)
+	check(not text:match("HTTP/1.1 %d+.*\nHTTP/1.1 200"),
+	    "%s: a second answer", name)
 	say("%s", name)
 end
 local get = "GET /any/1 HTTP/1.1\r\n"
-answer("no host", get .. "X-Request-Id: a1\r\n\r\n", "^HTTP/1.1 400")
-answer("two ways to say the length", "POST /once/1 HTTP/1.1\r\n" ..
+check_answer("no Host header", get ..
+    "X-Request-Id: a1\r\n\r\n", "^HTTP/1.1 400")
+check_answer("both Content-Length and Transfer-Encoding",
+    "POST /once/1 HTTP/1.1\r\n" ..
     "Host: a.example\r\nX-Request-Id: a2\r\nContent-Length: 4\r\n" ..
     "Transfer-Encoding: chunked\r\n\r\n0\r\n\r\n" ..
     "GET /any/2 HTTP/1.1\r\nHost: a.example\r\n\r\n", "^HTTP/1.1 400")
-answer("head too large", get .. "Host: a.example\r\nX-Big: " ..
+check_answer("header too large", get .. "Host: a.example\r\nX-Big: " ..
     ("x"):rep(60000) .. "\r\n\r\n", "^HTTP/1.1 4[13][31]")
-answer("body too large", "POST /once/1 HTTP/1.1\r\nHost: a.example\r\n" ..
+check_answer("body too large", "POST /once/1 HTTP/1.1\r\nHost: a.example\r\n" ..
     "X-Request-Id: a3\r\nContent-Length: 70000\r\n\r\n" ..
     ("x"):rep(70000), "^HTTP/1.1 413")
-answer("deadline that is no number", get .. "Host: a.example\r\n" ..
+check_answer("deadline that is not a number", get .. "Host: a.example\r\n" ..
     "X-Request-Id: a4\r\nX-Deadline-Ms: soon\r\n\r\n", "^HTTP/1.1 400")
-answer("no HTTP at all", "\0\1\2\r\n\r\n", "^$")
+check_answer("not HTTP", "\0\1\2\r\n\r\n", "^$")
 
--- One that sends its head a byte at a time, and one that says nothing.
+-- A client that never completes its header, and one that sends nothing.
 local c, idle = dial(at), dial(at)
 send(c, get)
 local from = now_ms()
 local text = read_all(c)
-check(now_ms() - from < 9000, "a slow head was held for %.0f ms",
+check(now_ms() - from < 9000, "an incomplete header was kept for %.0f ms",
     now_ms() - from)
-check(text == "" or text:match("^HTTP/1.1 408"), "slow: %s", text)
+check(text == "" or text:match("^HTTP/1.1 408"), "incomplete header: %s", text)
 read_all(idle)
-check(now_ms() - from < 12000, "an idle connection was held")
-say("slow and idle ones closed")
-check(s:ask("h1", "/any/1") == 200, "others are hurt")
--- Of what was refused nothing ran.
+check(now_ms() - from < 12000, "an idle connection was kept")
+say("slow and idle connections closed")
+check(s:ask("h1", "/any/1") == 200, "other callers are not served")
+-- None of the refused requests ran.
 for _, id in ipairs(s.sorder) do
-	check(not read_file(id .. ".journal"):match(" a%d "), "%s ran one", id)
+	check(not read_file(id .. ".journal"):match(" a%d "),
+	    "%s ran a refused request", id)
 end
 s:stop_all()
-say("nothing of it ran")
+say("no refused request ran")
--- a/regress/scenario/site_farewell.lua
+++ b/regress/scenario/site_farewell.lua
@@ -1,7 +1,7 @@
--- Hosts that do not control are stopped one after the other, as in a rolling
--- upgrade.  Callers see nothing; but each of them used to say that control was
--- free, so every other host asked the store for all it knows, at each stop, and
--- told nobody of its load for up to 300 ms.
+-- Hosts without control are stopped one after the other, as in a rolling
+-- upgrade.  Callers see no failure; but each of them used to report on its
+-- stop that control was vacant, so every other host read the whole store again
+-- and sent no load reports for up to 300 ms.
 dofile("regress/scenario/lib_site.lua")
 local s = standard_site { hosts = 6 }
 local r = await("two standbys", 8000, function()
@@ -19,14 +19,14 @@
 	return n
 end
 
--- All have learnt that the controller follows the store for them.
+-- Wait until all know that the controller follows the store for them.
 local before = follows()
-await("told", 5000, function()
+await("no more hosts follow the store", 5000, function()
 	local n = follows()
-	local still = n == before
+	local unchanged = n == before
 	before = n
 	sleep_ms(1200)
-	return still
+	return unchanged
 end)
 local stops = 0
 for _, name in ipairs(s.order) do
@@ -44,4 +44,4 @@
     follows() - before)
 s:stop_all()
 s:journals_ok()
-say("nobody asked the store anew")
+say("no host read the store again")
--- a/regress/scenario/site_larger.lua
+++ b/regress/scenario/site_larger.lua
@@ -1,10 +1,10 @@
--- A small host starts alone and takes control; then two large ones come, and a
--- fourth host.  The small one cannot bear so many: it gives control to a large
--- one that stands by, in good order.  Callers notice nothing: every key keeps
--- its owner, and nothing is refused.
+-- A small host starts alone and takes control; then two large hosts and a
+-- fourth one join.  The small host is overloaded by so many and hands control
+-- over to a large standby.  Every key keeps its owner, and no request is
+-- refused.
 dofile("regress/scenario/lib_site.lua")
 local s = standard_site { hosts = 1, size = { h1 = "cores = 0.1\nlink_mbps = 0.4" } }
-check(s:controller() == "h1", "not controlled by h1")
+check(s:controller() == "h1", "h1 is not the controller")
 s:add_host("h2", "north")
 s:add_host("h3", "south")
 s:add_host("h4", "north")
@@ -23,11 +23,11 @@
 	end
 	return s:controller() ~= "h1" and s:controller()
 end)
-check(s:controller() ~= "", "control is free")
+check(s:controller() ~= "", "control is vacant")
 local l = s:load(1500)
 check(r.any + r.once + r.key + l.any + l.once + l.key == 0,
     "failed: %d %d %d, then %d %d %d", r.any, r.once, r.key, l.any, l.once,
     l.key)
-say("control is at a large host, nobody noticed")
+say("control moved to a large host, no request failed")
 s:stop_all()
 s:journals_ok()
--- a/regress/scenario/site_late.lua
+++ b/regress/scenario/site_late.lua
@@ -1,8 +1,9 @@
--- Requests that meet a stopping host late.  One is sent whole only 4.8 s after
--- the order to stop, with time to wait beyond the host's end: it is refused at
--- once, truly, for it could be cut at work.  One that was taken earlier and is
--- never answered by its target gets its answer before the host ends; before,
--- both connections ended with no answer when the process was killed.
+-- Requests at a host that is stopping.  One is complete only 4.8 s after the
+-- order to stop, with a deadline beyond the host's end: the end could cut it
+-- off while it runs, so it is refused at once and does not run.  One that began
+-- earlier and that its target does not answer gets its answer before the host
+-- ends.  Both connections used to end without an answer when the process was
+-- killed.
 dofile("regress/scenario/lib_site.lua")
 local s = standard_site()
 s:configure({ s.routes[1], s.routes[2], s.routes[3],
@@ -19,7 +20,7 @@
 	return c
 end
 local function until_stopped_for(ms)
-	await("its time", ms + 1000, function()
+	await("time since the stop", ms + 1000, function()
 		return now_ms() - h.stopped > ms
 	end)
 end
@@ -35,16 +36,16 @@
 	send(slow, "x")
 end
 local from = now_ms()
-local st, body, heads = answer(slow, 2000)
+local st, body, headers = answer(slow, 2000)
 check(st == 503, "late request: %s %s", st, body)
 check(now_ms() - from < 200, "refused after %.0f ms", now_ms() - from)
-check(heads:lower():match("retry%-after"), "not told when to come back")
+check(headers:lower():match("retry%-after"), "no Retry-After")
 st, body = answer(early, 2000)
-check(st == 504, "request at work: %s %s", st, body)
+check(st == 504, "running request: %s %s", st, body)
 check(now_ms() - h.stopped < 5700, "answered after %.0f ms",
     now_ms() - h.stopped)
 check(wait(h.pid) == 0, "h1 did not stop well")
 check(now_ms() - h.stopped < 6000, "h1 took %.0f ms", now_ms() - h.stopped)
 h.dead = true
 s:journals_ok({ slow = true })
-say("late: refused at once; at work: answered before the end")
+say("late request refused at once, running request answered before the end")
--- a/regress/scenario/site_leave.lua
+++ b/regress/scenario/site_leave.lua
@@ -1,6 +1,6 @@
--- Targets leave in planned work: one says so, one's entry is just gone.  Two
--- seconds later neither gets new work, the keys of both have gone over to
--- others, and no caller saw a failure.
+-- Targets leave in planned work: some announce it, the entries of others are
+-- just removed.  Two seconds later none of them gets new requests, their keys
+-- have moved to other targets, and no caller saw a failure.
 dofile("regress/scenario/lib_site.lua")
 local s = standard_site { keyed = 4, plain = 4 }
 local since = {}
@@ -20,9 +20,10 @@
 for id, at in pairs(since) do
 	for t in read_file(id .. ".journal"):gmatch("run %S+ (%d+)") do
 		check(tonumber(t) / 1000 < at + 2000,
-		    "%s got new work %.0f ms after it left", id, tonumber(t) / 1000 - at)
+		    "%s got a new request %.0f ms after it left", id,
+		    tonumber(t) / 1000 - at)
 	end
 end
 s:stop_all()
 s:journals_ok()
-say("none failed, none came late")
+say("no request failed, none was sent late")
--- a/regress/scenario/site_leftwait.lua
+++ b/regress/scenario/site_leftwait.lua
@@ -1,4 +1,7 @@
--- Keys stay without owner while a promise is waited for that nobody needs.
+-- Both standbys are stopped while the controller is cut off from the store, so
+-- they leave it long final promises, and another host takes control.  Keys were
+-- left without an owner while it waited for these promises to expire, though
+-- the earlier controller already followed it and could not use them.
 dofile("regress/scenario/lib_site.lua")
 local s = standard_site { hosts = 5, store_wires = true }
 local r = await("two standbys", 8000, function()
@@ -18,7 +21,8 @@
 	    c ~= r.standbys[2].host
 end)
 local taken = now_ms()
--- Keys that nobody serves, as a host sees it that was there all along.
+-- The longest time without an answer for keys, seen from a host that was up
+-- throughout.
 local longest, since, key = 0, nil, 0
 while now_ms() < taken + 16000 do
 	key = (key + 5003) % 65536
@@ -30,8 +34,9 @@
 	end
 	sleep_ms(20)
 end
--- Nothing is lost here; after a loss a key is to be served again within 3 s.
-check(longest <= 3000, "keys without owner for %.0f ms", longest)
+-- No target is lost here; even after a loss a key must be served again within
+-- 3 s.
+check(longest <= 3000, "keys without an owner for %.0f ms", longest)
 s:stop_all()
 s:journals_ok()
-say("who says that it has lost control is not waited for")
+say("no wait for a controller that reports its loss of control")
--- a/regress/scenario/site_limit.lua
+++ b/regress/scenario/site_limit.lua
@@ -1,45 +1,47 @@
--- Targets that name a limit are sent more by all hosts together.
+-- All hosts together must not send a target more than the limit that it
+-- reports.  The limit is used, not just kept, and lifted once the target no
+-- longer reports one.
 dofile("regress/scenario/lib_site.lua")
 local s = standard_site { hosts = 4 }
--- A second; and what a target may get in so many ms, from so long after it has
--- named its limit.
+-- The limit in requests per second; the time in ms after which hosts must keep
+-- it; and the window in ms in which a target may get at most MAX_IN_WINDOW.
 local LIMIT, STABLE_WINDOW, WINDOW = 3, 3000, 4000
-local MOST = 1.5 * LIMIT * WINDOW / 1000 + 5
+local MAX_IN_WINDOW = 1.5 * LIMIT * WINDOW / 1000 + 5
 local limited = { "i-1", "i-4", "i-5", "i-6" }
 
--- Requests for keys that nobody has read the answers of yet, oldest first.
-local open = {}
+-- Connections of keyed requests whose answers have not been read, oldest first.
+local pending = {}
 
-local function ask_unread(h, key)
+local function send_async(h, key)
 	local c = dial(s.hosts[h].callers)
-	s.asked = s.asked + 1
+	s.request_count = s.request_count + 1
 	send(c, string.format("GET /k/%d HTTP/1.1\r\nHost: a.example\r\n" ..
 	    "X-Request-Id: q%d\r\nX-Deadline-Ms: 1000\r\nX-Shard-Key: %d\r\n" ..
-	    "Connection: close\r\n\r\n", key, s.asked, key))
-	table.insert(open, c)
-	-- The oldest of so many have been answered.
-	if #open > 200 then
-		read_all(open[1])
-		hang_up(table.remove(open, 1))
+	    "Connection: close\r\n\r\n", key, s.request_count, key))
+	table.insert(pending, c)
+	-- The oldest of so many must have been answered.
+	if #pending > 200 then
+		read_all(pending[1])
+		hang_up(table.remove(pending, 1))
 	end
 end
 
--- Callers press for so long; how many requests without a key failed, and how
--- long the slowest refusal took.
-local function press(ms)
+-- Sends load for `ms`; returns how many requests without a key failed, and the
+-- duration in ms of the slowest refusal.
+local function send_load(ms)
 	local failed, slowest = 0, 0
 	local till, n = now_ms() + ms, 0
 	while now_ms() < till do
 		n = n + 1
 		local h = s.order[n % #s.order + 1]
 		failed = failed + (s:ask(h, "/any/" .. n) == 200 and 0 or 1)
-		ask_unread(h, n * 5003 % 65536)
+		send_async(h, n * 5003 % 65536)
 		sleep_ms(4)
 		if n % 50 == 0 then
 			local from = now_ms()
-			local st, _, head = s:ask_key(h, n * 5003 % 65536)
-			check(st ~= 503 or head:match("Retry%-After"),
-			    "no time to come back")
+			local st, _, headers = s:ask_key(h, n * 5003 % 65536)
+			check(st ~= 503 or headers:match("Retry%-After"),
+			    "no Retry-After")
 			slowest = math.max(slowest,
 			    st == 503 and now_ms() - from or 0)
 		end
@@ -47,15 +49,15 @@
 	return failed, slowest
 end
 
-local function limit(a_second)
+local function set_limit(per_second)
 	for _, id in ipairs(limited) do
-		s:server_fault(id, "limit=" .. a_second * 100)
+		s:server_fault(id, "limit=" .. per_second * 100)
 	end
 	return now_ms()
 end
 
--- When requests came to a target between two moments.
-local function came(id, from, to)
+-- Returns the times at which requests arrived at a target within [from, to).
+local function arrivals(id, from, to)
 	local all = {}
 	for l in read_file(id .. ".journal"):gmatch("[^\n]+") do
 		local at = tonumber(l:match("^came (%d+)"))
@@ -66,40 +68,41 @@
 	return all
 end
 
-press(500)
-local named = limit(LIMIT)
-press(1000)
--- One begins to fail, and says nothing of its limit with that.
+send_load(500)
+local limited_at = set_limit(LIMIT)
+send_load(1000)
+-- One target begins to fail; its error answers do not report the limit.
 s:server_fault("i-6", "fail=1")
-local failed, slowest = press(STABLE_WINDOW + 3 * WINDOW)
+local failed, slowest = send_load(STABLE_WINDOW + 3 * WINDOW)
 s:server_fault("i-6", "fail=0")
-local lifted = limit(0)
-check(failed == 0, "%d refused while others have room", failed)
+local lifted_at = set_limit(0)
+check(failed == 0, "%d refused while other targets have capacity", failed)
 check(slowest < 1000, "a refusal took %.0f ms", slowest)
 for _, id in ipairs(limited) do
-	local all = came(id, named + STABLE_WINDOW, lifted)
+	local all = arrivals(id, limited_at + STABLE_WINDOW, lifted_at)
 	for i, from in ipairs(all) do
 		local n = 0
 		while all[i + n] and all[i + n] < from + WINDOW do
 			n = n + 1
 		end
-		check(n <= MOST, "%s got %d requests in %d ms, %.0f allowed",
-		    id, n, WINDOW, MOST)
+		check(n <= MAX_IN_WINDOW,
+		    "%s got %d requests in %d ms, %.0f allowed",
+		    id, n, WINDOW, MAX_IN_WINDOW)
 	end
 end
 for _, id in ipairs({ "i-4", "i-5", "i-6" }) do
-	local n = #came(id, named + STABLE_WINDOW, lifted)
+	local n = #arrivals(id, limited_at + STABLE_WINDOW, lifted_at)
 	check(n > LIMIT * 3 * WINDOW / 1000 / 2,
 	    "%s got %d requests, less than half of its limit", id, n)
 end
--- A host hears of the end with its next request there.
+-- A host learns that the limit is lifted with its next request to the target.
 await("limits lifted", 20000, function()
 	local from, all = now_ms(), true
-	press(1000)
+	send_load(1000)
 	for _, id in ipairs(limited) do
-		all = all and #came(id, from, now_ms()) > 2 * LIMIT
+		all = all and #arrivals(id, from, now_ms()) > 2 * LIMIT
 	end
 	return all
 end)
 s:stop_all()
-say("limits kept, and used; lifted where no longer named")
+say("limits kept and used, and lifted once no longer reported")
--- a/regress/scenario/site_outage_stop.lua
+++ b/regress/scenario/site_outage_stop.lua
@@ -1,8 +1,8 @@
--- The store is away, and hosts are stopped and started meanwhile: a standby
--- first, then the controller itself.  Nobody can take control without the
--- store, so the controller goes on as long as it may, by the promise that the
--- standby left, and every key keeps its owner; before, all keys were without
--- one from 3 s after the stop of either until the store was back.
+-- The store is away while hosts are stopped and started: first a standby, then
+-- the controller itself.  No host can take control without the store, so the
+-- controller continues for as long as it may, by the final promise of the
+-- standby, and every key keeps its owner.  All keys used to be without an owner
+-- from 3 s after either stop until the store was back.
 dofile("regress/scenario/lib_site.lua")
 local s = standard_site { hosts = 4 }
 local r = await("controller and standbys", 8000, function()
@@ -36,14 +36,14 @@
 local stopped = term(ctl)
 load_until(11000)
 check(wait(s.hosts[ctl].pid) == 0, "%s did not stop well", ctl)
-check(sum.any + sum.once + sum.key == 0, "failed while away: %d %d %d",
+check(sum.any + sum.once + sum.key == 0, "failed during the outage: %d %d %d",
     sum.any, sum.once, sum.key)
 s:fault("down=0")
 load_until(13500)
-check(sum.any + sum.once + sum.key == 0, "failed at its return: %d %d %d",
-    sum.any, sum.once, sum.key)
+check(sum.any + sum.once + sum.key == 0,
+    "failed after the store returned: %d %d %d", sum.any, sum.once, sum.key)
 s.hosts[standby].dead = nil
-say("store away, standby and controller stopped: none failed")
+say("store away, standby and controller stopped: no request failed")
 s:start_host(ctl)
 s.hosts[ctl].dead = nil
 s:await_keys()
--- a/regress/scenario/site_path.lua
+++ b/regress/scenario/site_path.lua
@@ -1,30 +1,33 @@
--- The whole path on the platform of objects: a caller asks any host, a target
--- answers, the answer comes back whole with its signature.  Keys are served by
--- one target each, the same through every host.
+-- The whole request path on the platform of objects: a caller sends to any
+-- host, a target answers, and the answer comes back complete with its
+-- signature.  Each key is served by one target, the same through every host.
 dofile("regress/scenario/lib_site.lua")
 local s = standard_site()
 
 for _, n in ipairs(s.order) do
-	local st, body, head, id = s:ask(n, "/any/x%2fy?q=1&r=%20")
+	local st, body, headers, id = s:ask(n, "/any/x%2fy?q=1&r=%20")
 	check(st == 200, "%s answered %d", n, st)
 	check(body:match("^i%-%d+ /any/x%%?2?f?/?y " .. id), "body: %s", body)
-	check(head:match("X%-Response%-Signature: i%-%d"), "no signature")
+	check(headers:match("X%-Response%-Signature: i%-%d"),
+	    "answer without a signature")
 	st, body = s:ask(n, "/once/1", { "Content-Type: text/plain" }, "POST",
 	    "some text")
 	check(st == 200 and body:match("some text"), "%d %s", st, body)
-	check(s:ask(n, "/none/") == 404, "no route is no 404")
-	check(s:ask(n, "/k/5", { "X-Shard-Key: x" }) == 400, "bad key")
-	check(s:ask(n, "/k/5", { "X-Shard-Key: 70000" }) ~= 200, "far key")
+	check(s:ask(n, "/none/") == 404, "no 404 for a path without a route")
+	check(s:ask(n, "/k/5", { "X-Shard-Key: x" }) == 400,
+	    "a key that is not a number was not refused")
+	check(s:ask(n, "/k/5", { "X-Shard-Key: 70000" }) ~= 200,
+	    "a key out of range was served")
 end
-say("answers whole, through every host")
+say("complete answers through every host")
 for key = 17, 65535, 4001 do
 	local first
 	for _, n in ipairs(s.order) do
 		local st, body = s:ask_key(n, key)
 		check(st == 200, "key %d through %s: %d", key, n, st)
-		local who = body:match("^(%S+)")
-		first = first or who
-		check(who == first, "two owners: %s and %s", who, first)
+		local owner = body:match("^(%S+)")
+		first = first or owner
+		check(owner == first, "two owners: %s and %s", owner, first)
 	end
 end
 say("one owner for each key")
@@ -33,4 +36,4 @@
 check(text:match('gspar_request_seconds_bucket{le="0.1"} %d'), "no histogram")
 s:stop_all()
 s:journals_ok()
-say("stopped in order")
+say("stopped cleanly")
--- a/regress/scenario/site_reborn.lua
+++ b/regress/scenario/site_reborn.lua
@@ -1,8 +1,8 @@
 -- A target that owns keys crashes and starts again under its id: at its address,
--- then at another, then twice in a row.  It knows nothing of its keys, and its
--- callers wait only until its next life is granted them; waiting for the last
--- grants of the life that is over would take three seconds more.  A target that
--- had said it leaves and starts again gets work again.
+-- at another, then twice in a row.  It has lost its grants, and callers wait
+-- only until its new incarnation gets them; waiting until the grants of the
+-- earlier one expire would take three seconds more.  A target that had
+-- announced that it leaves and starts again gets requests again.
 dofile("regress/scenario/lib_site.lua")
 local s = standard_site()
 local id = "i-4"
@@ -16,7 +16,7 @@
 	end
 	return keys
 end
-local function served_again(what, ms)
+local function await_served(what, ms)
 	local from = now_ms()
 	await(what, ms, function()
 		for _, key in ipairs(own) do
@@ -28,22 +28,22 @@
 	end)
 end
 own = own_keys()
-check(#own > 3, "%s owns %d keys that are looked at", id, #own)
+check(#own > 3, "%s owns only %d of the keys tried", id, #own)
 s:restart_server(id)
-served_again("served at the same address", 2200)
+await_served("served at the same address", 2200)
 s:restart_server(id, s:port())
-served_again("served at another address", 2600)
+await_served("served at another address", 2600)
 s:restart_server(id)
 s:restart_server(id)
-served_again("served after two starts in a row", 2600)
+await_served("served after two starts in a row", 2600)
 s:drain(id)
 await("keys elsewhere", 4000, function()
 	return #own_keys() == 0
 end)
 s:restart_server(id)
-await("work again after it had said it leaves", 5000, function()
+await("requests at a target that had announced its leave", 5000, function()
 	return s:server_fault(id, "x=1") > 0 or #own_keys() > 0
 end)
-say("each life of the target was served by")
+say("each incarnation of the target was used")
 s:stop_all()
 s:journals_ok()
--- a/regress/scenario/site_rejoin.lua
+++ b/regress/scenario/site_rejoin.lua
@@ -1,8 +1,8 @@
--- A host is killed and started again, over and over, while the others go on.  It
--- hears the controller before it has read from the store, which is slow, who that
--- is.  Each
--- time it knows who owns which keys within a second or two, and serves them;
--- else all keyed requests through it would wait for their deadlines.
+-- A host is killed and started again, over and over, while the others go on.
+-- It hears from the controller before it has read from the slow store which
+-- host that is.  Each time it must know the owners of keys within a second or
+-- two and serve them; otherwise all keyed requests through it would wait for
+-- their deadlines.
 dofile("regress/scenario/lib_site.lua")
 local s = standard_site()
 local n = s:controller() == "h3" and "h2" or "h3"
@@ -16,13 +16,13 @@
 	await(n .. " serves keys", 3000, function()
 		return s:ask_key(n, 500 + i) == 200
 	end)
-	-- And goes on to: it is heard, and told what changes.
+	-- It still serves later: others hear it and send it updates.
 	sleep_ms(1200)
-	check(s:ask_key(n, 60000) == 200, "start %d: lost again", i)
+	check(s:ask_key(n, 60000) == 200, "start %d: keys not served later", i)
 end
 s:fault("slow=0")
 s:drain("i-4")
-await("keys of the target that left", 3000, function()
+await("keys of the draining target", 3000, function()
 	for key = 500, 65535, 5000 do
 		if s:ask_key(n, key) ~= 200 then
 			return false
--- a/regress/scenario/site_relay.lua
+++ b/regress/scenario/site_relay.lua
@@ -1,9 +1,10 @@
--- Hosts too small for it broadcast to the whole fleet.
+-- While the controller is lost, standbys broadcast changes of the store to all
+-- hosts.  Hosts too small for that must not.
 dofile("regress/scenario/lib_site.lua")
 local HOSTS = 6
 local SMALL = "cores = 0.002\nlink_mbps = 1000"
 
--- How often standbys broadcast, in a fleet that loses its controller.
+-- Counts the broadcasts of standbys in a fleet that loses its controller.
 local function broadcasts(size, first_port)
 	local sizes = {}
 	for i = 1, HOSTS do
@@ -31,4 +32,4 @@
 check(broadcasts(nil) > 0, "large hosts do not relay")
 say("large hosts relay")
 check(broadcasts(SMALL, 50) == 0, "small hosts relay")
-say("small ones do not")
+say("small hosts do not")
--- a/regress/scenario/site_settings.lua
+++ b/regress/scenario/site_settings.lua
@@ -1,20 +1,20 @@
--- The settings file changes, with a signal and without.  What makes sense is
--- in force at once; what does not is refused with a line in the log, and the
--- earlier settings stay.
+-- The settings file changes, with a signal and without.  Valid settings are in
+-- force at once; invalid ones are refused with a log line, and the earlier
+-- settings stay.
 dofile("regress/scenario/lib_site.lua")
 local s = standard_site { hosts = 1 }
-local function logged(what)
-	await("line: " .. what, 4000, function()
+local function await_logged(what)
+	await("log line: " .. what, 4000, function()
 		return read_file("h1.log"):find(what, 1, true)
 	end)
 end
 s:write_settings("h1", "retry_budget_slack = 40")
 kill(s.hosts.h1.pid, 1)
-logged("Settings changed, in force.")
+await_logged("Settings changed, in force.")
 sleep_ms(1100)
 s:write_settings("h1", "retry_budget_slack = many")
-logged("retry_slack: 'many' is out of range")
-logged("Settings refused, the earlier stay in force.")
-check(s:ask("h1", "/any/1") == 200, "not served")
-say("taken or refused, with a line")
+await_logged("retry_slack: 'many' is out of range")
+await_logged("Settings refused, the earlier stay in force.")
+check(s:ask("h1", "/any/1") == 200, "not served after invalid settings")
+say("settings applied or refused, with a log line")
 s:stop_all()
--- a/regress/scenario/site_slowlist.lua
+++ b/regress/scenario/site_slowlist.lua
@@ -1,7 +1,7 @@
 -- A host starts behind a link of 250 KB/s while the configuration has 4,300
--- routes: reading it takes 3 s.  Its callers were refused for good, because
--- each read was given up after 1.5 s and begun anew, though bytes came in all
--- the while, and what other hosts sent was cut off in the middle as well.
+-- routes: reading it takes 3 s.  The host refused its callers forever, because
+-- each read was aborted after 1.5 s and started over, though data kept
+-- arriving, and messages from other hosts were cut off halfway as well.
 dofile("regress/scenario/lib_site.lua")
 local s = standard_site { hosts = 2, links = { h3 = 250000 } }
 s:configure(s:many_routes(4300))
--- a/regress/scenario/site_stop.lua
+++ b/regress/scenario/site_stop.lua
@@ -1,6 +1,6 @@
--- Every host is stopped in turn under load, and started again.  Each says at
--- once that it takes no more, serves who still comes, and ends within its time;
--- no caller sees a failure.
+-- Every host is stopped in turn under load, and started again.  Each reports
+-- at once that it is not ready, serves the callers that still come, and ends
+-- within its time; no caller sees a failure.
 dofile("regress/scenario/lib_site.lua")
 local s = standard_site { work = 40 }
 for _, n in ipairs(s.order) do
@@ -8,12 +8,14 @@
 	await(n .. " not ready", 1000, function()
 		return not s:is_ready(n)
 	end)
-	-- The balancer believes the second miss: callers still come.
+	-- A load balancer acts on the second failed check: callers come until
+	-- then.
 	local from = now_ms()
 	while now_ms() - from < 1500 do
-		local st, _, head = s:ask(n, "/once/x", nil, "POST", "b")
-		check(st == 200, "%s refused in its stop: %d", n, st)
-		check(head:lower():match("connection: close"), "not told to close")
+		local st, _, headers = s:ask(n, "/once/x", nil, "POST", "b")
+		check(st == 200, "%s refused a request at its stop: %d", n, st)
+		check(headers:lower():match("connection: close"),
+		    "no Connection: close")
 	end
 	s.hosts[n].dead = true
 	local r = s:load(1500)
@@ -22,9 +24,9 @@
 	check(wait(s.hosts[n].pid) == 0, "%s did not stop well", n)
 	check(now_ms() - from < 6000, "%s took %.0f ms", n, now_ms() - from)
 	s:start_host(n)
-	await(n .. " back", 6000, function()
+	await(n .. " serves again", 6000, function()
 		return s:is_ready(n) and s:ask_key(n, 500) == 200
 	end)
 end
 s:journals_ok()
-say("three stopped in turn, none failed")
+say("three hosts stopped in turn, no request failed")
--- a/regress/scenario/site_untrue.lua
+++ b/regress/scenario/site_untrue.lua
@@ -1,13 +1,14 @@
--- A target dies while it runs a lookup.  The host may send that once more, finds
--- that the key has no owner now, and used to answer 503 with Retry-After, as if
--- nothing had run.  Its caller must not be told so: 502 promises nothing.
+-- A target dies while it runs a request that may be retried.  The host finds on
+-- the retry that the key has no owner now, and used to answer 503 with
+-- Retry-After, as if the request had not run.  The caller must get an answer
+-- that leaves the outcome open, such as 502.
 dofile("regress/scenario/lib_site.lua")
 local s = standard_site { keyed = 2, hosts = 2 }
 for _, id in ipairs { "i-4", "i-5" } do
 	s:server_fault(id, "work=400")
 end
 for n, id in ipairs { "i-4", "i-5" } do
-	-- A key that it owns, by where a first request runs.
+	-- Find a key that the target owns.
 	local key
 	for k = 1000, 65000, 9000 do
 		local _, body = s:ask_key("h1", k)
@@ -27,11 +28,12 @@
 		end)
 		s:kill_server(id)
 		local st = answer(c, 3000)
-		check(st == 502 or st == 504, "told %s, and it had run", st)
+		check(st == 502 or st == 504,
+		    "answered %s although the request had run", st)
 		hang_up(c)
 	end
 end
 s:await_keys(8000)
 s:stop_all()
 s:journals_ok()
-say("not told that it had not run")
+say("the caller is not told that its request has not run")
