--- a/regress/demo.lua
+++ b/regress/demo.lua
@@ -1,10 +1,11 @@
--- What `make demo` shows, line by line.
+-- Run by `make demo`: starts a fleet on each platform, kills a target and shows
+-- how long its keys are not served.
 say("starting a platform, 2 data centres with 2 hosts and 2 targets each")
 local f = standard_fleet { dcs = { { "aarhus", 2, 2 }, { "viborg", 2, 2 } } }
 for _, key in ipairs { "sankt-olai-1784", "hammel-1801", "skive-1845" } do
-	local st, body, heads = f:get("aarhus1", "lookup", key)
-	say("aarhus1 was asked for %s: %d from %s", key, st,
-	    heads:match("Gspar%-Target: (%S+)"))
+	local st, body, headers = f:get("aarhus1", "lookup", key)
+	say("GET %s through aarhus1: %d from %s", key, st,
+	    headers:match("Gspar%-Target: (%S+)"))
 end
 local o = f:owner("lookup", "sankt-olai-1784")
 say("sankt-olai-1784 is in shard %d, owned by %s, dispatched by %s, fence %d",
@@ -20,14 +21,14 @@
 local pid = spawn(path("timeline"), BUILD .. "/gsparctl/gsparctl", "-a",
     f.hosts.aarhus1.admin, "timeline")
 wait(pid)
-say("the time line of all hosts:")
+say("the timeline of all hosts:")
 io.write(read_file("timeline"))
 f:stop_all()
-say("all stopped in order")
+say("all hosts stopped")
 
--- The same daemon on a platform of objects, whose targets know grants.
+-- The same daemon on the platform of objects, whose targets enforce grants.
 dofile("regress/scenario/lib_site.lua")
-say("starting a store of objects, 3 hosts and 6 targets")
+say("starting an object store, 3 hosts and 6 targets")
 local s = standard_site { next = 40 }
 local _, body = s:ask_key("h1", 40000)
 say("key 40000 is served by %s", body:match("^%S+"))
@@ -41,4 +42,4 @@
     now_ms() - from)
 s:stop_all()
 s:journals_ok()
-say("no two targets held a key at one time; all stopped in order")
+say("no two targets held a key at the same time; all hosts stopped")
--- a/regress/scenario/cut_move.lua
+++ b/regress/scenario/cut_move.lua
@@ -1,11 +1,11 @@
--- A data centre is cut off from the others and from the platform; the cell
--- spans both (its keys move).  The cut-off hosts lose their leases and stop,
--- their targets' grants lapse, and the keys are served in the other data
--- centre within 3 s.  At no moment do both serve a key.
+-- A data centre is cut off from the others and from the platform.  The cell
+-- spans both data centres, so its keys may move: the cut-off hosts lose their
+-- leases and stop, their targets' grants lapse, and the other data centre
+-- serves the keys within 3 s.  At no time do both serve a key.
 local f = standard_fleet { dcs = { { "falaj", 3, 2 }, { "souq", 2, 2 } },
 	wires = true, one_cell = true }
--- The harder case: the controller is in the data centre that is cut off, and
--- has a host of its own there that could be its standby.
+-- The harder case: the controller is in the data centre that is cut off, where
+-- another host could be its standby.
 await("a controller in falaj", 20000, function()
 	local n = f:controller("falaj+souq")
 	if n and f.hosts[n].dc == "souq" then
--- a/regress/scenario/cut_stay.lua
+++ b/regress/scenario/cut_stay.lua
@@ -1,7 +1,8 @@
--- A data centre is cut off from the others and from the platform; its cell
--- stays (one data centre).  Callers there are served its keys throughout, the
--- others theirs; nobody takes the cut-off keys over.  When the cut heals all
--- hosts serve all keys, and no shard has moved.
+-- A data centre is cut off from the others and from the platform.  Its cell
+-- lies in that data centre alone, so its keys do not move: callers there are
+-- served them throughout, the other data centre serves its own, and no host
+-- takes over the cut-off keys.  Once the cut heals every host serves all keys,
+-- and no shard has moved.
 local f = standard_fleet { dcs = { { "aarhus", 3, 2 }, { "viborg", 3, 2 } },
 	wires = true }
 local before = f:owners("lookup")
@@ -25,8 +26,8 @@
 say("keys of the cut-off data centre served there throughout")
 local st, body = f:get("viborg1", "lookup", keys[1],
     { "Gspar-Deadline-Ms: 1500" })
-check(st ~= 200, "served from elsewhere")
-say("from elsewhere: refused or unknown, never another owner")
+check(st ~= 200, "served from the other data centre")
+say("from the other data centre: refused or unknown")
 f:cut_dc("aarhus", false)
 f:await_served("lookup")
 check(f:owners("lookup") == before, "shards moved")
--- a/regress/scenario/doubled.lua
+++ b/regress/scenario/doubled.lua
@@ -1,7 +1,7 @@
 -- The network between hosts delivers each frame twice: requests, answers,
--- leases, views.  A caller gets its own answer, once; a reservation runs once;
--- a lookup may run twice, and the second answer is dropped.  A controller's
--- loss is healed as ever.
+-- leases and views.  A caller gets its own answer, once.  A reservation runs
+-- once; a lookup may run twice, and its second answer is dropped.  The loss of
+-- the controller is handled as without duplicates.
 local f = standard_fleet { dcs = { { "aarhus", 3, 3 } }, wires = "double" }
 local r = { name = "reserve", class = "reserve", shards = 32, cells = { {
 	dcs = { "aarhus" }, targets = { f:add_target("r1", "aarhus"),
@@ -18,10 +18,10 @@
 f:await_load(next(rest))
 f:kill_host(ctl)
 local s, t = l:finish(), c:finish()
-check(s.wrong + s.lost + s.bad == 0, "lookups wrong or lost")
-check(t.wrong + t.lost + t.bad == 0, "reservations wrong or lost")
+check(s.wrong + s.lost + s.bad == 0, "lookups answered wrongly or lost")
+check(t.wrong + t.lost + t.bad == 0, "reservations answered wrongly or lost")
 check(s.fail_span_ms < 3000, "not served for %d ms", s.fail_span_ms)
-check(f:metric(next(rest), "answer_late") > 0, "no second answer was dropped")
+check(f:metric(next(rest), "answer_late") > 0, "no duplicate answer was dropped")
 f:stop_all()
 f:journals_ok()
-say("each caller its own answer, each reservation once")
+say("each caller got its own answer, each reservation ran once")
--- a/regress/scenario/drain.lua
+++ b/regress/scenario/drain.lua
@@ -1,6 +1,6 @@
--- An operator marks a target as leaving in the catalogue.  Its shards are
--- held, drained and moved; no caller sees an error, and 2 s later it gets no
--- new work.  Then a target says so itself.
+-- An operator marks a target as leaving in the catalogue.  Its shards are held,
+-- drained and moved without an error for any caller, and it gets no new work
+-- after 2 s.  Then a target reports by itself that it drains.
 local f = standard_fleet { dcs = { { "aarhus", 2, 3 } } }
 local l = f:load { "-r", "300", "-d", "8" }
 f:await_load()
@@ -20,7 +20,7 @@
 f:target_fault("t2", "drain=1")
 f:await_drained("lookup", "t2", 2500)
 local s = l:finish()
-check(ran("t1") == n, "t1 got work after it had drained")
+check(ran("t1") == n, "t1 ran requests after it had drained")
 check(failures(s) == 0, "callers saw %d failures", failures(s))
 f:stop_all()
 f:journals_ok()
--- a/regress/scenario/freeze_target.lua
+++ b/regress/scenario/freeze_target.lua
@@ -1,13 +1,13 @@
--- A target freezes, its keys are given to others, and it thaws as though
--- nothing had happened, with a renewal and a request in its socket.  The
--- renewal's expiry is past by its own clock and the request's fence is not
--- its own any more: it serves nothing until granted anew.
+-- A target is paused (SIGSTOP) until its keys have moved, and resumes with a
+-- grant renewal and a request still in its socket.  The renewal has expired by
+-- the target's clock, and the request's fence is not its own any more: the
+-- target must serve nothing until it gets a new grant.
 local f = standard_fleet { dcs = { { "aarhus", 3, 3 } } }
 local l = f:load { "-r", "300", "-d", "8" }
 f:await_load()
-f:freeze(f.targets.t1.pid)
+f:pause(f.targets.t1.pid)
 f:await_drained("lookup", "t1")
-f:thaw(f.targets.t1.pid)
+f:resume(f.targets.t1.pid)
 await("t1 owns keys again", 10000, function()
 	return f:owners("lookup"):find("t1 ")
 end)
@@ -15,4 +15,4 @@
 check(s.fail_span_ms < 3000, "not served for %d ms", s.fail_span_ms)
 f:stop_all()
 f:journals_ok()
-say("a frozen target came back, one owner throughout")
+say("a paused target resumed, one owner throughout")
--- a/regress/scenario/lib.lua
+++ b/regress/scenario/lib.lua
@@ -1,19 +1,20 @@
--- The words of the scenarios: fleet, load, faults, journals, golden lines.
+-- Functions for scenarios: start a fleet, put load on it, cause faults, check
+-- the journals of targets, and print the lines of the golden file.
 
 local TERM, KILL, STOP, CONT = 15, 9, 19, 18
 
--- Ports of this run: so many in a row below the range the kernel gives out.
-local WIDTH = tonumber(ARG:match("ports=(%d+)")) or 100
-local function pick_base()
+-- Ports of this run: consecutive ones below the range of ephemeral ports.
+local PORT_COUNT = tonumber(ARG:match("ports=(%d+)")) or 100
+local function pick_base_port()
 	for i = 0, 119 do
 		local b = 20000 + ((PID * 7 + i) % 120) * 100
-		if ports_free(b, WIDTH) then
+		if ports_free(b, PORT_COUNT) then
 			return b
 		end
 	end
 	error("no free ports")
 end
-local BASE = pick_base()
+local BASE_PORT = pick_base_port()
 
 function say(fmt, ...)
 	print(string.format(fmt, ...))
@@ -25,7 +26,7 @@
 	end
 end
 
--- Waits until fn gives something true, and returns it; never a fixed sleep.
+-- Polls fn until it returns a true value, and returns that; fails after ms.
 function await(what, ms, fn)
 	local till = now_ms() + ms
 	repeat
@@ -38,7 +39,8 @@
 	error("FAILED: waited " .. ms .. " ms for: " .. what, 2)
 end
 
--- Sends bytes on a connection of their own; what comes back, unless it leaves.
+-- Sends bytes on a new connection and returns the reply.  With leave the
+-- connection is closed without waiting for one.
 function raw(addr, bytes, leave)
 	local c = dial(addr)
 	if not c then
@@ -69,15 +71,17 @@
 	return s
 end
 
--- A fleet: { dcs = {name = {hosts=n}}, services = {...}, conf = "..." }
+-- A fleet: a platform, hosts and targets as processes.  Options: wires (a
+-- proxy before each host and target; "double" delivers each frame twice), conf
+-- (more lines of host settings), platform_before (earlier platform addresses).
 Fleet = {}
 Fleet.__index = Fleet
 
 function Fleet.new(opt)
 	local f = setmetatable({ hosts = {}, order = {}, targets = {},
-	    torder = {}, opt = opt, next = 2 }, Fleet)
-	f.platform = "127.0.0.1:" .. BASE
-	f.platctl = "127.0.0.1:" .. BASE + 1
+	    target_order = {}, opt = opt, next = 2 }, Fleet)
+	f.platform = "127.0.0.1:" .. BASE_PORT
+	f.platctl = "127.0.0.1:" .. BASE_PORT + 1
 	f.platpid = spawn(path("platform.log"), BUILD .. "/standin/platform",
 	    "-l", f.platform, "-c", f.platctl)
 	await("platform", 3000, function()
@@ -88,7 +92,7 @@
 
 function Fleet:port()
 	self.next = self.next + 1
-	return "127.0.0.1:" .. BASE + self.next
+	return "127.0.0.1:" .. BASE_PORT + self.next
 end
 
 function Fleet:add_host(name, dc)
@@ -115,6 +119,7 @@
 	return h
 end
 
+-- Writes the list of hosts into the platform.
 function Fleet:list_hosts()
 	local s = ""
 	for _, n in ipairs(self.order) do
@@ -140,7 +145,7 @@
 		    "-l", t.addr, "-t", t.own, "-c", t.wire)
 	end
 	self.targets[name] = t
-	table.insert(self.torder, name)
+	table.insert(self.target_order, name)
 	self:start_target(name)
 	return t
 end
@@ -156,11 +161,12 @@
 	    table.unpack(args))
 end
 
--- Sets faults of the platform; "down=1&lose=3".
+-- Sets faults of the platform, such as "down=1&lose=3".
 function Fleet:fault(q)
 	http("POST", "http://" .. self.platctl .. "/fault?" .. q, "")
 end
 
+-- Counts of the calls that the platform has received, by kind.
 function Fleet:calls()
 	local _, s = http("GET", "http://" .. self.platctl .. "/calls")
 	local t = {}
@@ -174,7 +180,7 @@
 	http("POST", "http://" .. self.targets[name].addr .. "/fault?" .. q, "")
 end
 
--- An entry over one cell for each group of targets, shards shared out.
+-- A catalogue entry as JSON, with its shards divided evenly among its cells.
 function entry_json(e)
 	local cells, first = {}, 0
 	local each = e.shards // #e.cells
@@ -209,11 +215,11 @@
 function Fleet:put_entry(e)
 	self.entries = self.entries or {}
 	self.entries[e.name] = e
-	local status, _, heads = http("PUT", "http://" .. self.platform ..
+	local status, _, headers = http("PUT", "http://" .. self.platform ..
 	    "/v1/objects/catalogue/" .. e.name, entry_json(e),
 	    { "If-Version: " .. (e.version or 0) })
-	check(status == 200, "catalogue not written: %d", status)
-	e.version = tonumber(heads:match("Version: (%d+)"))
+	check(status == 200, "catalogue entry not written: %d", status)
+	e.version = tonumber(headers:match("Version: (%d+)"))
 end
 
 function Fleet:status(name)
@@ -247,13 +253,14 @@
 	return st == 200 and json(body) or nil
 end
 
-function Fleet:get(name, service, key, heads, method, body)
+function Fleet:get(name, service, key, headers, method, body)
 	return http(method or "GET", "http://" .. self.hosts[name].callers ..
-	    "/v1/" .. service .. "/" .. key, body, heads)
+	    "/v1/" .. service .. "/" .. key, body, headers)
 end
 
--- A fleet of data centres with hosts and lookup targets, served and checked.
--- dcs: list of {name, hosts, targets}; returns once each target serves.
+-- Starts a fleet with one service and returns once all hosts serve its keys.
+-- dcs lists { name, number of hosts, number of targets }; each data centre is a
+-- cell, or with one_cell all of them are a single cell.
 function standard_fleet(opt)
 	local f = Fleet.new(opt)
 	local cells = {}
@@ -293,20 +300,20 @@
 	return f
 end
 
--- Waits until some keys of every shard are served through every host.
-function Fleet:await_served(service, but)
-	local ok = service == "lookup"
+-- Waits until a sample of keys is served through every live host.
+function Fleet:await_served(service)
+	local is_lookup = service == "lookup"
 	await("all keys served", 15000, function()
 		for _, n in ipairs(self.order) do
 			if not self.hosts[n].dead then
 				for i = 1, 24 do
 					local st = self:get(n, service,
 					    "warm-" .. i .. "/ticket")
-					if ok then
+					if is_lookup then
 						st = self:get(n, service,
 						    "warm-" .. i)
 					end
-					-- 429: served, but over the limit.
+					-- 429: served, but over the rate limit.
 					if st ~= 200 and st ~= 429 then
 						return false
 					end
@@ -317,19 +324,19 @@
 	end)
 end
 
--- Starts load in the background; finish with load:finish().
+-- Starts a load generator; its finish() waits for it and returns its sums.
 function Fleet:load(args)
-	local to = {}
+	local addrs = {}
 	for _, n in ipairs(self.order) do
 		if not args.only or args.only[n] then
-			table.insert(to, self.hosts[n].callers)
+			table.insert(addrs, self.hosts[n].callers)
 		end
 	end
 	self.loads = (self.loads or 0) + 1
 	local log = "caller" .. self.loads .. ".log"
 	local l = { log = log }
 	l.pid = spawn(path(log), BUILD .. "/standin/caller", "-t",
-	    table.concat(to, ","), "-n", "c" .. self.loads,
+	    table.concat(addrs, ","), "-n", "c" .. self.loads,
 	    table.unpack(args))
 	function l.finish()
 		l.status = wait(l.pid)
@@ -338,7 +345,7 @@
 			last = line
 		end
 		l.sum = json(last or "") or {}
-		check(l.status == 0, "a caller got a wrong answer or broke: %s",
+		check(l.status == 0, "a caller got a wrong answer or failed: %s",
 		    last or "")
 		return l.sum
 	end
@@ -367,11 +374,12 @@
 	self:start_host(name)
 end
 
-function Fleet:freeze(pid)
+-- Stops a process with SIGSTOP until resume().
+function Fleet:pause(pid)
 	kill(pid, STOP)
 end
 
-function Fleet:thaw(pid)
+function Fleet:resume(pid)
 	kill(pid, CONT)
 end
 
@@ -380,10 +388,10 @@
 	wait(self.targets[name].pid)
 end
 
--- Runs the journal checker over all targets; true where it found no fault.
+-- Runs the journal checker on the journals of all targets; fails on any fault.
 function Fleet:journals_ok()
 	local args = {}
-	for _, t in ipairs(self.torder) do
+	for _, t in ipairs(self.target_order) do
 		table.insert(args, path(t .. ".journal"))
 	end
 	local pid = spawn(path("jcheck.log"), BUILD .. "/standin/jcheck",
@@ -401,13 +409,13 @@
 	end
 	for _, n in ipairs(self.order) do
 		if not self.hosts[n].dead then
-			check(wait(self.hosts[n].pid) == 0, "%s did not stop well",
+			check(wait(self.hosts[n].pid) == 0, "%s did not exit with 0",
 			    n)
 		end
 	end
 end
 
--- Sum of what callers were told other than a whole answer.
+-- Number of requests that did not get a whole, correct answer.
 function failures(sum)
 	return sum.not_run + sum.unknown + sum.bad + sum.wrong + sum.lost
 end
@@ -427,7 +435,8 @@
 	end)
 end
 
--- A host of the cell that dispatches for a target and has no other duty.
+-- A host that dispatches for a target of the cell and is not its controller,
+-- and that target.
 function Fleet:plain_dispatcher(cell)
 	local ctl = self:controller(cell)
 	for _, n in ipairs(self.order) do
@@ -444,17 +453,17 @@
 	end
 end
 
--- Pauses a plain dispatcher well over its lease and wakes it.
+-- Pauses a dispatcher until other hosts have its targets, and resumes it.
 function Fleet:pause_dispatcher(cell)
 	local n = self:plain_dispatcher(cell)
-	self:freeze(self.hosts[n].pid)
+	self:pause(self.hosts[n].pid)
 	self.hosts[n].dead = true
 	self:await_no_dispatch(cell, n)
-	self:thaw(self.hosts[n].pid)
+	self:resume(self.hosts[n].pid)
 	self.hosts[n].dead = nil
 end
 
--- Which target owns each of some keys, as one line.
+-- The targets that own 60 sample keys, as one line.
 function Fleet:owners(service, from)
 	local s = {}
 	for i = 1, 60 do
@@ -464,13 +473,13 @@
 	return table.concat(s, " ")
 end
 
--- What the network between hosts does; needs wires = true.
+-- Sets faults of the proxy before a host; needs wires = true.
 function Fleet:wire(name, q)
 	http("POST", "http://" .. self.hosts[name].wire .. "/fault?" .. q, "")
 end
 
--- Cuts the network in two: hosts and targets for which is_a(thing) holds, and
--- the others.  Side a loses the platform too.
+-- Cuts the hosts and targets for which is_a(thing) holds off from the others
+-- and from the platform; heals the network where on is false.
 function Fleet:cut(is_a, on)
 	local side = { [true] = {}, [false] = {} }
 	for _, n in ipairs(self.order) do
@@ -483,21 +492,21 @@
 	for _, n in ipairs(self.order) do
 		self:wire(n, cut_from(self.hosts[n]))
 	end
-	for _, n in ipairs(self.torder) do
+	for _, n in ipairs(self.target_order) do
 		local t = self.targets[n]
 		http("POST", "http://" .. t.wire .. "/fault?" .. cut_from(t))
 	end
 	self:fault("cut=" .. (on and table.concat(side[true], ",") or ""))
 end
 
--- Cuts a data centre off from the others, and from the platform too.
+-- Cuts a data centre off from the others and from the platform.
 function Fleet:cut_dc(dc, on)
 	self:cut(function(thing)
 		return thing.dc == dc
 	end, on)
 end
 
--- Waits until a cell has its controller and both standbys; their names.
+-- Waits until a cell has a controller and two standbys; returns their names.
 function Fleet:await_standbys(cell)
 	return table.unpack(await("standbys", 5000, function()
 		local ctl, sb = nil, {}
@@ -515,16 +524,16 @@
 	end))
 end
 
--- Waits until a target owns no key any more.
+-- Waits until a target owns none of the sample keys.
 function Fleet:await_drained(service, target, ms)
 	await(target .. " owns no key", ms or 5000, function()
 		return not self:owners(service):find(target)
 	end)
 end
 
--- Waits until a host dispatches for no target of a cell.
+-- Waits until a host no longer dispatches for any target of a cell.
 function Fleet:await_no_dispatch(cell, host)
-	await("others dispatch for " .. host .. "'s targets", 6000, function()
+	await("other hosts dispatch for " .. host .. "'s targets", 6000, function()
 		local n = self:controller(cell)
 		local s = n and self:status(n)
 		for _, c in ipairs(s and s.cells or {}) do
@@ -538,7 +547,7 @@
 	end)
 end
 
--- Processor time of a process so far, in seconds.
+-- CPU time that a process has used, in seconds.
 function cpu_seconds(pid)
 	local f = assert(io.open("/proc/" .. pid .. "/stat"))
 	local s = f:read("a"):gsub("^.*%) ", "")
--- a/regress/scenario/loss_controller.lua
+++ b/regress/scenario/loss_controller.lua
@@ -1,7 +1,8 @@
--- The controller is killed under load, and it dispatches for a target too.  A
--- standby takes the record over once it has lapsed, hears the other hosts,
--- leaves them what they have, and gives the dead one's targets away after a
--- whole host lease.  Keys of other hosts' targets are served throughout.
+-- The controller, which also dispatches for a target, is killed under load.  A
+-- standby takes control once the control record has lapsed, collects the other
+-- hosts' state and leaves their duties as they are.  It reassigns the targets
+-- of the dead host after a whole host lease.  Keys of the other hosts' targets
+-- are served throughout.
 local f = standard_fleet { dcs = { { "aarhus", 3, 3 } } }
 local before = f:owners("lookup")
 local ctl = f:controller("aarhus")
--- a/regress/scenario/loss_two.lua
+++ b/regress/scenario/loss_two.lua
@@ -1,6 +1,6 @@
 -- The controller and one of its two standbys are lost together.  The other
--- standby takes over all the same: withholding its own promise is enough to
--- know that the old controller, were it alive, could renew nothing.
+-- standby must take over alone: by withholding its own promise it knows that
+-- the old controller, if still alive, could not renew its lease.
 local f = standard_fleet { dcs = { { "aarhus", 4, 3 } } }
 local before = f:owners("lookup")
 local ctl = f:controller("aarhus")
--- a/regress/scenario/lost_answer.lua
+++ b/regress/scenario/lost_answer.lua
@@ -1,12 +1,12 @@
--- Answers of the platform are lost after its writes took effect: renewals of
--- control, taking over, assignments.  Each is read back and known by its id.
--- No write is taken for not done, and none is done twice.
+-- Replies of the platform are lost after its writes took effect: renewals of
+-- control, takeovers and assignments.  Each write is read back and recognised
+-- by its id.  No write is taken as failed, and none is done twice.
 local f = standard_fleet { dcs = { { "aarhus", 3, 3 } } }
 local l = f:load { "-r", "200", "-d", "9" }
 f:await_load()
 for i = 1, 3 do
 	f:fault("lose=1&path=control/")
-	await("the loss", 2000, function()
+	await("a write", 2000, function()
 		return f:calls().put > 0
 	end)
 end
@@ -24,4 +24,4 @@
 f:await_served("lookup")
 f:stop_all()
 f:journals_ok()
-say("lost answers resolved, one owner throughout")
+say("lost replies resolved, one owner throughout")
--- a/regress/scenario/pause_host.lua
+++ b/regress/scenario/pause_host.lua
@@ -1,7 +1,7 @@
--- A dispatcher is paused well over its lease and wakes as though nothing had
--- happened, with requests in its sockets.  Another host has its target by
--- then; the woken one looks at its lease before it sends anything, finds it
--- lapsed, and gives all it held back as not run.
+-- A dispatcher is paused (SIGSTOP) far beyond its lease, and resumes with
+-- requests in its sockets.  By then another host dispatches for its target.  It
+-- must check its lease before it sends anything, find it lapsed and report the
+-- requests that it holds as not run.
 local f = standard_fleet { dcs = { { "aarhus", 3, 3 } } }
 local l = f:load { "-r", "300", "-d", "7" }
 f:await_load()
@@ -11,4 +11,4 @@
 f:await_served("lookup")
 f:stop_all()
 f:journals_ok()
-say("a paused dispatcher woke, one owner throughout")
+say("a paused dispatcher resumed, one owner throughout")
--- a/regress/scenario/platforms.lua
+++ b/regress/scenario/platforms.lua
@@ -1,5 +1,5 @@
--- The first of the platform's addresses does not answer: hosts turn to the
--- next, and callers are served as with one.
+-- The first of the platform's addresses does not answer.  Hosts use the next
+-- one, and callers are served as with a single address.
 local f = standard_fleet { dcs = { { "aarhus", 2, 2 } },
 	platform_before = "127.0.0.1:9 " }
 local s = f:load({ "-r", "100", "-d", "2" }):finish()
--- a/regress/scenario/restart_all.lua
+++ b/regress/scenario/restart_all.lua
@@ -1,5 +1,6 @@
 -- All hosts are killed and started again at once, with an assignment in the
--- platform.  Whoever wins control reads and claims it and moves nothing.
+-- platform.  The host that takes control must read and claim the assignment and
+-- move nothing.
 local f = standard_fleet { dcs = { { "aarhus", 4, 3 } } }
 local before = f:owners("lookup")
 for _, n in ipairs(f.order) do
--- a/regress/scenario/scen.c
+++ b/regress/scenario/scen.c
@@ -1,7 +1,7 @@
 /*
- * Runs one scenario: a Lua script that starts the real programs, breaks
- * things, and checks what callers and journals see.  Everything it started is
- * ended with it.
+ * Runs one scenario: a Lua script that starts the programs as processes, causes
+ * faults, and checks the answers to callers and the journals of targets.  On
+ * exit every process that the script started is killed.
  */
 #include <arpa/inet.h>
 #include <err.h>
@@ -54,7 +54,7 @@
 	return (1);
 }
 
-/* kill(pid, signal) */
+/* kill(pid, signal): sends a signal. */
 static int
 l_kill(lua_State *l)
 {
@@ -62,7 +62,7 @@
 	return (0);
 }
 
-/* wait(pid, nohang): exit status, or -signal, or nil while it runs. */
+/* wait(pid, nohang): exit status or -signal; nil while it runs with nohang. */
 static int
 l_wait(lua_State *l)
 {
@@ -79,18 +79,18 @@
 	return (1);
 }
 
-/* Collects a body or the heads. */
+/* curl callback: appends received bytes to a body or to the headers. */
 static size_t
 on_data(char *p, size_t n, size_t m, void *arg)
 {
 	return (str_add(arg, p, n * m) == 0 ? n * m : 0);
 }
 
-/* http(method, url, body, {heads}, timeout_ms): status or 0, body, heads. */
+/* http(method, url, body, {headers}, timeout_ms): status or 0, body, header. */
 static int
 l_http(lua_State *l)
 {
-	struct str body = {NULL, 0}, heads = {NULL, 0};
+	struct str body = {NULL, 0}, headers = {NULL, 0};
 	struct curl_slist *list = NULL;
 	CURL *c = curl_easy_init();
 	size_t n = 0;
@@ -117,20 +117,20 @@
 	curl_easy_setopt(c, CURLOPT_WRITEFUNCTION, on_data);
 	curl_easy_setopt(c, CURLOPT_WRITEDATA, &body);
 	curl_easy_setopt(c, CURLOPT_HEADERFUNCTION, on_data);
-	curl_easy_setopt(c, CURLOPT_HEADERDATA, &heads);
+	curl_easy_setopt(c, CURLOPT_HEADERDATA, &headers);
 	if (curl_easy_perform(c) == CURLE_OK)
 		curl_easy_getinfo(c, CURLINFO_RESPONSE_CODE, &status);
 	lua_pushinteger(l, status);
 	lua_pushlstring(l, body.p == NULL ? "" : body.p, body.n);
-	lua_pushlstring(l, heads.p == NULL ? "" : heads.p, heads.n);
+	lua_pushlstring(l, headers.p == NULL ? "" : headers.p, headers.n);
 	curl_slist_free_all(list);
 	curl_easy_cleanup(c);
 	str_free(&body);
-	str_free(&heads);
+	str_free(&headers);
 	return (3);
 }
 
-/* Pushes a JSON value. */
+/* Pushes a JSON value onto the Lua stack. */
 static void
 push_json(lua_State *l, json_t *j)
 {
@@ -173,7 +173,7 @@
 	}
 }
 
-/* json(text): a table, or nil. */
+/* json(text): the parsed value, or nil if it is not valid JSON. */
 static int
 l_json(lua_State *l)
 {
@@ -188,7 +188,7 @@
 	return (1);
 }
 
-/* sleep_ms(n), only for lib.lua's waiting loops. */
+/* sleep_ms(n): for polling loops; scenarios wait for a condition by await(). */
 static int
 l_sleep(lua_State *l)
 {
@@ -204,7 +204,7 @@
 	return (1);
 }
 
-/* dial(ip_port): a connection, or nil where nobody listens. */
+/* dial(ip_port): a connected socket, or nil if the connection fails. */
 static int
 l_dial(lua_State *l)
 {
@@ -214,7 +214,7 @@
 	int fd, port;
 
 	if (sscanf(luaL_checkstring(l, 1), "%63[^:]:%d", ip, &port) != 2)
-		return (luaL_error(l, "bad address"));
+		return (luaL_error(l, "address is not IP:PORT"));
 	inet_pton(AF_INET, ip, &sin.sin_addr);
 	sin.sin_port = htons((uint16_t)port);
 	fd = socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0);
@@ -228,7 +228,7 @@
 	return (1);
 }
 
-/* hang_up(connection) */
+/* hang_up(connection): closes it. */
 static int
 l_hang_up(lua_State *l)
 {
@@ -236,7 +236,7 @@
 	return (0);
 }
 
-/* send(connection, bytes): true where all were taken. */
+/* send(connection, bytes): true if all bytes were sent. */
 static int
 l_send(lua_State *l)
 {
@@ -249,7 +249,7 @@
 	return (1);
 }
 
-/* read_all(connection): what comes back until the other end closes. */
+/* read_all(connection): reads until the peer closes, or 2 s without data. */
 static int
 l_read_all(lua_State *l)
 {
@@ -264,18 +264,19 @@
 	return (1);
 }
 
-/* The value of a header, or NULL; heads end with an empty line. */
+/* Finds the value of a header by its name with the colon; NULL if absent. */
 static const char *
-head_value(const char *heads, const char *name)
+header_value(const char *headers, const char *name)
 {
-	const char *p = strcasestr(heads, name);
+	const char *p = strcasestr(headers, name);
 
 	return (p == NULL ? NULL : p + strlen(name));
 }
 
 /*
- * answer(connection, ms): status, body, heads of one whole answer with a
- * length; or 0 and "closed" (before the first byte), "cut" (later) or "late".
+ * answer(connection, ms): status, body and headers of one whole answer with a
+ * Content-Length; or 0 and "closed" (before the first byte), "cut" (after it)
+ * or "late" (not whole within ms).
  */
 static int
 l_answer(lua_State *l)
@@ -300,7 +301,7 @@
 		have += (size_t)n;
 		buf[have] = '\0';
 		if (end == NULL && (end = strstr(buf, "\r\n\r\n")) != NULL) {
-			len = head_value(buf, "Content-Length:");
+			len = header_value(buf, "Content-Length:");
 			want = (size_t)(end + 4 - buf) +
 			    (len == NULL ? 0 : strtoul(len, NULL, 10));
 		}
@@ -316,7 +317,7 @@
 	return (3);
 }
 
-/* free_port(n): true where n ports from here on can be had. */
+/* ports_free(base, n): true if all n ports from base on can be bound. */
 static int
 l_ports_free(lua_State *l)
 {
@@ -334,9 +335,9 @@
 	return (1);
 }
 
-/* Ends whatever still runs. */
+/* Kills all processes that still run. */
 static void
-end_all(void)
+kill_all(void)
 {
 	int i;
 
@@ -389,7 +390,7 @@
 		fprintf(stderr, "%s\n", lua_tostring(l, -1));
 		res = 1;
 	}
-	end_all();
+	kill_all();
 	lua_close(l);
 	return (res);
 }
--- a/regress/scenario/session.lua
+++ b/regress/scenario/session.lua
@@ -1,6 +1,6 @@
--- One whole session of a host and its targets as the time line tells it: the
--- host starts and takes control, dispatches and places, a target is killed
--- and replaced.  The golden file holds each event in order, without times.
+-- The timeline of a host and its two targets: the host starts and takes
+-- control, dispatches for the targets and places shards; a target is killed and
+-- its shards move.  The golden file holds each event in order, without times.
 local f = standard_fleet { dcs = { { "aarhus", 1, 2 } } }
 f:kill_target("t1")
 f:await_drained("lookup", "t1")
--- a/regress/scenario/silent.lua
+++ b/regress/scenario/silent.lua
@@ -1,7 +1,7 @@
--- Connections between hosts go silent for good while new ones work: something
--- on the way has lost track of them, and neither end is told.  A ping that
--- stays unanswered tells; the connection is replaced and idempotent requests
--- on it are sent again.  No caller's request fails, control does not change.
+-- Connections between hosts go silent for good while new ones work, as when a
+-- middlebox drops its connection state and tells neither end.  A ping without
+-- an answer detects it: the connection is replaced and its idempotent requests
+-- are retried.  No caller's request fails, and control does not change.
 local f = standard_fleet { dcs = { { "aarhus", 3, 3 } }, wires = true }
 local ctl = f:controller("aarhus")
 local l = f:load { "-r", "100", "-d", "8" }
@@ -9,7 +9,7 @@
 for _, n in ipairs(f.order) do
 	f:wire(n, "silent=1")
 end
-await("silence noticed", 3000, function()
+await("silent connections detected", 3000, function()
 	local n = 0
 	for _, h in ipairs(f.order) do
 		n = n + f:metric(h, "peer_silent")
--- a/regress/scenario/silent_target.lua
+++ b/regress/scenario/silent_target.lua
@@ -1,7 +1,8 @@
--- Connections to a target go silent under load, kept ones and those with
--- requests on them; new ones work.  Nothing tells: callers would wait for their
--- deadlines.  The renewal of the grant is not answered, a second one on a new
--- connection is, and lookups are sent again: none fails, late ones within 2 s.
+-- Connections to a target go silent under load, idle ones and those with
+-- requests, while new ones work.  Without detection callers would wait for
+-- their deadlines.  The grant's renewal gets no answer but a second one on a
+-- new connection does, and lookups are retried: none fails, and the slowest
+-- takes less than 2 s.
 local f = standard_fleet { dcs = { { "aarhus", 2, 2 } }, wires = true,
 	entry = { deadline_ms = 3000 } }
 local l = f:load { "-r", "300", "-d", "5" }
--- a/regress/scenario/slow.lua
+++ b/regress/scenario/slow.lua
@@ -1,11 +1,11 @@
--- Callers that send slowly: one stops in its head, one in its body, one goes on
--- byte by byte.  Each is told 408 within some seconds, not run, and its
--- connection closed; a caller beside them is served meanwhile.
+-- Callers that send slowly: one stops within its header, one within its body,
+-- one sends byte by byte.  Each gets 408 within seconds, its request does not
+-- run and its connection is closed; another caller is served meanwhile.
 local f = standard_fleet { dcs = { { "aarhus", 1, 1 } } }
 local h = f.hosts.aarhus1.callers
 local post = "POST /v1/lookup/key HTTP/1.1\r\nHost: x\r\n"
 local slow = {
-	{ "stops in its head", post },
+	{ "stops in its header", post },
 	{ "stops in its body", post .. "Content-Length: 500\r\n\r\nhalf" },
 	{ "byte by byte", post .. "Content-Length: 500\r\n\r\n" },
 }
@@ -15,12 +15,12 @@
 	send(s.conn, s[2])
 end
 local from = now_ms()
-await("slow callers told", 9000, function()
-	check(f:get("aarhus1", "lookup", "key-1") == 200, "others suffer")
+await("slow callers refused", 9000, function()
+	check(f:get("aarhus1", "lookup", "key-1") == 200, "another caller's request failed")
 	return not send(slow[3].conn, "b") or
 	    f:metric("aarhus1", "caller_bad") >= bad + 3
 end)
-check(now_ms() - from < 8500, "told late")
+check(now_ms() - from < 8500, "refused too late")
 for _, s in ipairs(slow) do
 	local text = read_all(s.conn)
 	local j = json(text:match("\r\n\r\n(.*)$") or "") or {}
@@ -28,5 +28,5 @@
 	    text:match("Gspar%-Error: (%d+)") or "-", j.outcome or "-")
 	hang_up(s.conn)
 end
-check(f:metric("aarhus1", "caller_bad") == bad + 3, "not counted once each")
+check(f:metric("aarhus1", "caller_bad") == bad + 3, "slow callers not counted once each")
 f:stop_all()
--- a/regress/soak/faults.lua
+++ b/regress/soak/faults.lua
@@ -1,5 +1,9 @@
--- What can be broken, and by whom it is undone.  Each fault gives what it
--- touches and a function that heals it.
+-- Faults of the soak: drawn at random by the seed, begun, and healed.
+-- Fields of a fault: name; detail (what it broke); host, server or dc (of those
+-- by name); from and till (its time); min_ms (its least duration); heal() ends
+-- it; poll() returns true once it can be healed; planned (an operator's action:
+-- it excuses no failed or late request); breaks_store (the store is affected);
+-- needs_store (it is healed only while no fault affects the store).
 Faults = {}
 Faults.__index = Faults
 
@@ -7,12 +11,12 @@
 	return list[math.random(#list)]
 end
 
-local function wire(at, q)
-	http("POST", "http://" .. at .. "/fault?" .. q, "", nil, 1000)
+local function wire_fault(addr, q)
+	http("POST", "http://" .. addr .. "/fault?" .. q, "", nil, 1000)
 end
 
--- A target that lives, of any service; nil where too few are left.
-local function server(s)
+-- A random live target of any service; nil if no more than five are left.
+local function pick_server(s)
 	local live = {}
 	for _, id in ipairs(s.sorder) do
 		local t = s.servers[id]
@@ -23,7 +27,8 @@
 	return #live > 5 and pick(live) or nil
 end
 
-local function host(s)
+-- A random live host; nil if only one is left.
+local function pick_host(s)
 	local live = {}
 	for _, n in ipairs(s.order) do
 		if not s.hosts[n].dead and not s.hosts[n].broken then
@@ -33,10 +38,10 @@
 	return #live > 1 and pick(live) or nil
 end
 
--- The process of a host ends by a signal, and starts again; of any where none is
--- named.
+-- Ends the process of a host by a signal and restarts it when the fault heals.
+-- Without a name the host is drawn.
 local function end_host(s, f, signal, n)
-	n = n or host(s)
+	n = n or pick_host(s)
 	if not n then
 		return
 	end
@@ -45,8 +50,8 @@
 	h.stops = now_ms()
 	kill(h.pid, signal)
 	f.host, f.planned = n, signal == 15
-	f.step = function()
-		-- Wait for its end without blocking: a stop takes seconds.
+	f.poll = function()
+		-- Without blocking, as an orderly stop takes seconds.
 		if not h.ended then
 			h.ended = wait(h.pid, true)
 		end
@@ -61,45 +66,48 @@
 	return n
 end
 
--- A wire of a host or a target takes a fault, and is whole again.
-local function on_wire(f, what, at, on, off)
-	f.name = f.name .. " " .. what
-	wire(at, on)
+-- Sets a fault of the proxy at addr, and heals it by the query `off`.
+local function break_wire(f, detail, addr, on, off)
+	f.name = f.name .. " " .. detail
+	wire_fault(addr, on)
 	f.heal = function()
-		wire(at, off)
+		wire_fault(addr, off)
 	end
 end
 
-local WIRE = { { "cut=*", "cut=&way=-1" }, { "cut=*&way=0", "cut=&way=-1" },
-    { "cut=*&way=1", "cut=&way=-1" }, { "delay=60", "delay=0" },
+-- Faults of a proxy: the query that sets each and the one that clears it.
+local WIRE_FAULTS = { { "cut=*", "cut=&way=-1" },
+    { "cut=*&way=0", "cut=&way=-1" }, { "cut=*&way=1", "cut=&way=-1" }, { "delay=60", "delay=0" },
     { "delay=250", "delay=0" }, { "reset=1", "delay=0" },
     { "silent=1", "delay=0" } }
 
-local function host_wire(s, f, which)
-	local n = host(s)
+local function break_host_wire(s, f, which)
+	local n = pick_host(s)
 	if n then
-		local w = pick(WIRE)
+		local w = pick(WIRE_FAULTS)
 		f.host = n
-		on_wire(f, n .. " " .. w[1], s.hosts[n][which], w[1], w[2])
+		break_wire(f, n .. " " .. w[1], s.hosts[n][which], w[1], w[2])
 		return n
 	end
 end
 
-local function store(s, f, q, off)
+local function break_store(s, f, q, off)
 	s:fault(q)
-	f.all = true
+	f.breaks_store = true
 	f.heal = function()
 		s:fault(off)
 	end
 	return q
 end
 
--- A target's own trouble.
-local SERVER = { { "lose=5", "lose=0" }, { "cut=5", "cut=0" },
+-- Faults of a target: the query that sets each and the one that clears it.
+local SERVER_FAULTS = { { "lose=5", "lose=0" }, { "cut=5", "cut=0" },
     { "foreign=1", "foreign=0" }, { "fail=1", "fail=0" },
     { "late=1800", "late=0" }, { "work=120", "work=8" } }
 
-local kills = 0
+local target_kills = 0
+-- Kinds of faults: { weight, name, function }.  The function begins the fault
+-- and returns what it broke, or nil if there was nothing to break.
 KINDS = {
 	{ 3, "kill", function(s, f)
 		return end_host(s, f, 9)
@@ -108,7 +116,7 @@
 		return end_host(s, f, 15)
 	end },
 	{ 3, "pause", function(s, f)
-		local n = host(s)
+		local n = pick_host(s)
 		if n then
 			local pid = s.hosts[n].pid
 			s.hosts[n].broken = true
@@ -122,25 +130,25 @@
 		end
 	end },
 	{ 4, "peers", function(s, f)
-		return host_wire(s, f, "peer_wire")
+		return break_host_wire(s, f, "peer_wire")
 	end },
 	{ 4, "store wire", function(s, f)
-		return host_wire(s, f, "wire")
+		return break_host_wire(s, f, "wire")
 	end },
 	{ 4, "target wire", function(s, f)
-		local id = server(s)
+		local id = pick_server(s)
 		if id then
-			local w = pick(WIRE)
+			local w = pick(WIRE_FAULTS)
 			f.server = id
-			on_wire(f, id .. " " .. w[1], s.servers[id].wire, w[1],
+			break_wire(f, id .. " " .. w[1], s.servers[id].wire, w[1],
 			    w[2])
 			return id
 		end
 	end },
 	{ 4, "target", function(s, f)
-		local id = server(s)
+		local id = pick_server(s)
 		if id then
-			local w = pick(SERVER)
+			local w = pick(SERVER_FAULTS)
 			f.server, f.name = id, f.name .. " " .. w[1]
 			s:server_fault(id, w[1])
 			f.heal = function()
@@ -152,7 +160,7 @@
 		end
 	end },
 	{ 2, "target pause", function(s, f)
-		local id = server(s)
+		local id = pick_server(s)
 		if id then
 			local t = s.servers[id]
 			t.broken = true
@@ -165,17 +173,18 @@
 			return id
 		end
 	end },
-	-- A crash; its entry lapses, and another comes at the address, or, where
-	-- that is asked for, it starts again under its id, each second time.
+	-- A crash.  On healing its entry is removed and a new target starts at its
+	-- address; with again=1 every second one restarts under its own id instead.
 	{ 2, "target kill", function(s, f)
-		local id = server(s)
+		local id = pick_server(s)
 		if id then
 			local t = s.servers[id]
 			s:kill_server(id)
-			f.server, f.writes = id, true
+			f.server, f.needs_store = id, true
 			f.heal = function()
-				kills = kills + 1
-				if ARG:match("again=1") and kills % 2 == 1 then
+				target_kills = target_kills + 1
+				if ARG:match("again=1") and
+				    target_kills % 2 == 1 then
 					s:revive_server(id)
 					return
 				end
@@ -187,15 +196,15 @@
 			return id
 		end
 	end },
-	-- It leaves: goes on serving a little, and ends.
+	-- A target announces that it leaves, and ends at least 4.5 s later.
 	{ 2, "target leaves", function(s, f)
-		local id = not f.store_broken and server(s)
+		local id = not f.store_broken and pick_server(s)
 		if id then
 			local t = s.servers[id]
-			f.server, f.planned, f.writes = id, true, true
+			f.server, f.planned, f.needs_store = id, true, true
 			t.leaves = now_ms()
 			s:drain(id)
-			f.least = 4500
+			f.min_ms = 4500
 			f.heal = function()
 				s:unregister(id)
 				s:kill_server(id)
@@ -206,22 +215,22 @@
 		end
 	end },
 	{ 1, "store down", function(s, f)
-		return store(s, f, "down=1", "down=0")
+		return break_store(s, f, "down=1", "down=0")
 	end },
 	{ 1, "store silent", function(s, f)
-		return store(s, f, "silent=1", "silent=0")
+		return break_store(s, f, "silent=1", "silent=0")
 	end },
 	{ 1, "store slow", function(s, f)
-		return store(s, f, "slow=300", "slow=0")
+		return break_store(s, f, "slow=300", "slow=0")
 	end },
 	{ 1, "answers of the store lost", function(s, f)
-		return store(s, f, "lose=3", "lose=0")
+		return break_store(s, f, "lose=3", "lose=0")
 	end },
 	{ 1, "history of the store dropped", function(s, f)
-		return store(s, f, "compact=1", "compact=0")
+		return break_store(s, f, "compact=1", "compact=0")
 	end },
 	{ 1, "settings", function(s, f)
-		local n = host(s)
+		local n = pick_host(s)
 		if n then
 			s:write_settings(n, "retry_budget_slack = " ..
 			    math.random(50, 70))
@@ -233,9 +242,9 @@
 	end },
 }
 
--- Entries that name nobody: fields missing or of another type, a state or a
--- service that there is not.
-local STRANGE = { '{"metadata":{"name":"%s"},"spec":7,"status":"%s"}',
+-- Entries that are not valid: fields missing or of a wrong type, an unknown
+-- state or service.
+local INVALID_ENTRIES = { '{"metadata":{"name":"%s"},"spec":7,"status":"%s"}',
     '{"metadata":{"name":"%s"},"spec":{"address":"%s","info":{"service":' ..
     '"plain","zone":"south","slots":4}},"status":{"state":"resting",' ..
     '"sequence":1}}',
@@ -245,38 +254,40 @@
     '"plain","zone":"south","slots":"many"}},"status":{"state":"ready"}}',
     '{"metadata":{"name":"%s"},"spec":{"addr":"%s"}}' }
 
--- Kinds that seeds ask for with more=1; the schedules of others stay as they are.
-local MORE = {
-	-- Hosts of one data centre or more hear nobody outside of their own, and
-	-- reach no store; two that are cut off do not hear each other.
+-- Kinds that are drawn only with more=1, so that the schedules of seeds without
+-- it do not change.
+local EXTRA_KINDS = {
+	-- One or more data centres are each cut off from all others and from the
+	-- store.
 	{ 2, "data centres cut", function(s, f)
 		local centres = s.opt.centres
 		local n, first = math.random(#centres - 1), math.random(#centres)
-		local part = {}
+		local cut_off = {}
 		for i = 0, n - 1 do
 			local c = centres[(first + i) % #centres + 1]
-			part[c] = c
+			cut_off[c] = c
 		end
 		for _, a in ipairs(s.order) do
-			local h, deaf_to = s.hosts[a], {}
+			local h, unreachable = s.hosts[a], {}
 			for _, b in ipairs(s.order) do
-				if part[h.dc] ~= part[s.hosts[b].dc] then
-					table.insert(deaf_to, b)
+				if cut_off[h.dc] ~= cut_off[s.hosts[b].dc] then
+					table.insert(unreachable, b)
 				end
 			end
-			wire(h.peer_wire, "way=-1&cut=" ..
-			    table.concat(deaf_to, ","))
-			wire(h.wire, "way=-1&cut=" .. (part[h.dc] and "*" or ""))
+			wire_fault(h.peer_wire, "way=-1&cut=" ..
+			    table.concat(unreachable, ","))
+			wire_fault(h.wire, "way=-1&cut=" ..
+			    (cut_off[h.dc] and "*" or ""))
 		end
 		f.heal = function()
 			for _, a in ipairs(s.order) do
-				wire(s.hosts[a].peer_wire, "cut=&way=-1")
-				wire(s.hosts[a].wire, "cut=&way=-1")
+				wire_fault(s.hosts[a].peer_wire, "cut=&way=-1")
+				wire_fault(s.hosts[a].wire, "cut=&way=-1")
 			end
 		end
 		return n .. " of " .. #centres
 	end },
-	-- The controller is killed, or stops in order, while the store is away.
+	-- The controller is killed or stopped while the store is down.
 	{ 2, "store away, controller ends", function(s, f)
 		local n = not f.store_broken and s:controller()
 		local h = n and s.hosts[n]
@@ -286,31 +297,32 @@
 		local signal = pick({ 9, 15 })
 		s:fault("down=1")
 		end_host(s, f, signal, n)
-		f.all, f.planned = true, false
-		local start = f.heal
+		f.breaks_store, f.planned = true, false
+		local restart = f.heal
 		f.heal = function()
 			s:fault("down=0")
-			start()
+			restart()
 		end
 		return n .. " " .. signal
 	end },
-	-- An entry by another writer, in the name of a target that would serve.
+	-- Another writer stores an invalid entry with the address of a target that
+	-- would serve.
 	{ 2, "foreign entry", function(s, f)
 		if f.store_broken or s.stranger.open then
 			return
 		end
-		local what = math.random(#STRANGE)
+		local i = math.random(#INVALID_ENTRIES)
 		http("POST", "http://" .. s.store .. "/objects/servers",
-		    string.format(STRANGE[what], s.stranger.id, s.stranger.addr))
+		    string.format(INVALID_ENTRIES[i], s.stranger.id, s.stranger.addr))
 		s.stranger.open = true
-		f.planned, f.writes = true, true
+		f.planned, f.needs_store = true, true
 		f.heal = function()
 			s:unregister(s.stranger.id)
 			s.stranger.open = false
 		end
-		return what
+		return i
 	end },
-	-- All targets of a service answer with failures of their own.
+	-- All targets of a service answer with errors.
 	{ 1, "service fails", function(s, f)
 		local function set(q)
 			for _, id in ipairs(s.sorder) do
@@ -321,7 +333,7 @@
 			end
 		end
 		set("fail=1")
-		f.least = 9000
+		f.min_ms = 9000
 		f.heal = function()
 			set("fail=0")
 		end
@@ -329,7 +341,7 @@
 	end },
 }
 
--- With evac=1 data centres are evacuated too, one at a time.
+-- Drawn only with evac=1: evacuates one data centre at a time.
 local EVACUATION = { 4, "evacuation", function(s, f)
 	if f.store_broken or s.evacuated then
 		return
@@ -337,7 +349,7 @@
 	local dc = pick(s.opt.centres)
 	s.evacuated, f.dc = dc, dc
 	f.acked = s:evacuate(dc, true)
-	f.planned, f.writes, f.least = true, true, 8000
+	f.planned, f.needs_store, f.min_ms = true, true, 8000
 	f.heal = function()
 		f.taken_back = now_ms()
 		s:evacuate(dc, false)
@@ -346,33 +358,33 @@
 	return dc
 end }
 
--- With calm=1 nothing happens that excuses a host: what is told too late, or
--- not at all, is then seen as such.
-local CALM = { stop = true, target = true, settings = true,
+-- With calm=1 only these kinds are drawn.  None excuses a host, so every late
+-- or missing update of a host fails a check.
+local CALM_KINDS = { stop = true, target = true, settings = true,
     ["target wire"] = true, ["target pause"] = true, ["target kill"] = true,
     ["target leaves"] = true }
 
--- The kinds that a seed may draw from.
-local function drawn_from()
+-- The kinds that the arguments enable.
+local function enabled_kinds()
 	local all = {}
 	for _, k in ipairs(KINDS) do
-		if CALM[k[2]] or not ARG:match("calm=1") then
+		if CALM_KINDS[k[2]] or not ARG:match("calm=1") then
 			table.insert(all, k)
 		end
 	end
 	if ARG:match("evac=1") then
 		table.insert(all, EVACUATION)
 	end
-	for _, k in ipairs(ARG:match("more=1") and MORE or {}) do
+	for _, k in ipairs(ARG:match("more=1") and EXTRA_KINDS or {}) do
 		table.insert(all, k)
 	end
 	return all
 end
 
-local TOTAL = 0
-local drawn = drawn_from()
-for _, k in ipairs(drawn) do
-	TOTAL = TOTAL + k[1]
+local total_weight = 0
+local enabled = enabled_kinds()
+for _, k in ipairs(enabled) do
+	total_weight = total_weight + k[1]
 end
 
 function Faults.new(s)
@@ -380,23 +392,23 @@
 	    500, log = io.open(path("faults.txt"), "w") }, Faults)
 end
 
--- One fault, drawn by weight; those that find nothing to break are left out.
+-- Begins one fault drawn by weight; skips it if there is nothing to break.
 function Faults:begin()
-	local x = math.random(TOTAL)
-	for _, k in ipairs(drawn) do
+	local x = math.random(total_weight)
+	for _, k in ipairs(enabled) do
 		x = x - k[1]
 		if x <= 0 then
 			local f = { name = k[2], from = now_ms(),
-			    least = 0, store_broken = self:store_broken() }
-			-- Both drawn in any case: a seed's schedule must not
-			-- hang on what could be broken.
+			    min_ms = 0, store_broken = self:store_broken() }
+			-- Drawn even if nothing can be broken, so that a seed's
+			-- schedule does not depend on that.
 			local span = math.random(300, 4000)
-			f.what = k[3](self.site, f)
-			f.till = f.from + math.max(span, f.least)
-			if f.what then
+			f.detail = k[3](self.site, f)
+			f.till = f.from + math.max(span, f.min_ms)
+			if f.detail then
 				table.insert(self.open, f)
 				self.log:write(string.format("%.0f %s %s\n",
-				    f.from, f.name, f.what))
+				    f.from, f.name, f.detail))
 				self.log:flush()
 			end
 			return
@@ -404,11 +416,11 @@
 	end
 end
 
--- Begins and ends faults as is due.
-function Faults:tick(more)
+-- Begins a fault where one is due and begin_new is set, and heals due ones.
+function Faults:tick(begin_new)
 	local now = now_ms()
-	if more and now >= self.next then
-		-- Now in quick succession, now with a pause.
+	if begin_new and now >= self.next then
+		-- One in three follows quickly, the others after a pause.
 		self.next = now + (math.random(3) == 1 and math.random(50, 300)
 		    or math.random(300, 1800))
 		if #self.open < 4 then
@@ -417,41 +429,41 @@
 	end
 	for i = #self.open, 1, -1 do
 		local f = self.open[i]
-		local ready = (not f.step or f.step()) and
-		    not (f.writes and self:store_broken())
+		local ready = (not f.poll or f.poll()) and
+		    not (f.needs_store and self:store_broken())
 		if now >= f.till and ready then
 			f.heal()
 			f.till = now_ms()
 			table.remove(self.open, i)
 			table.insert(self.done, f)
 			self.log:write(string.format("%.0f healed %s %s\n",
-			    f.till, f.name, f.what))
+			    f.till, f.name, f.detail))
 		end
 	end
 end
 
--- Targets write their entries themselves, and could not now.
+-- True while a fault of the store is open: nothing can be written to it.
 function Faults:store_broken()
 	for _, f in ipairs(self.open) do
-		if f.all then
+		if f.breaks_store then
 			return true
 		end
 	end
 	return false
 end
 
-function Faults:over()
+function Faults:all_healed()
 	return #self.open == 0
 end
 
--- True where something unplanned was broken between two moments; `but` is a
--- fault that does not count.  Where `hosts` is true only what hosts are told
--- counts: faults of hosts, between them, and of the store.
-function Faults:troubled(from, till, but, hosts)
+-- True if an unplanned fault was open between two times.  The fault `except`
+-- does not count; with `no_targets` faults of targets do not count either, as
+-- they keep no update from a host.
+function Faults:disturbed(from, till, except, no_targets)
 	local function hits(f, ended)
-		return f ~= but and not f.planned and f.from < till and
+		return f ~= except and not f.planned and f.from < till and
 		    (not ended or f.till > from) and
-		    (not hosts or not f.server)
+		    (not no_targets or not f.server)
 	end
 	for _, f in ipairs(self.open) do
 		if hits(f, false) then
--- a/regress/soak/soak.lua
+++ b/regress/soak/soak.lua
@@ -1,15 +1,16 @@
--- A randomized soak: the real programs as processes of their own, broken from
--- outside by signals, by proxies between any two of them, and by the store and
--- the targets, in series that overlap.  A seed gives the whole schedule.  What
--- callers and targets saw is checked against what is promised.
--- ARG: seed=N secs=N hosts=N servers=N callers=N ports=N centres=N; routes=N, so
--- many more in each configuration; more=1, evac=1 and calm=1, see faults.lua
+-- A randomized soak of the programs as processes.  Overlapping faults are
+-- caused by signals, by proxies between any two processes, by the store and by
+-- the targets; the seed determines the whole schedule.  What callers and targets
+-- recorded is then checked against the guarantees of the router.
+-- ARG: seed=N secs=N hosts=N servers=N callers=N ports=N centres=N;
+-- routes=N, that many more routes in each configuration;
+-- more=1, evac=1, calm=1 and again=1, see faults.lua.
 dofile("regress/scenario/lib_site.lua")
 dofile("regress/soak/faults.lua")
 dofile("regress/soak/checks.lua")
 
-local function arg(name, other)
-	return tonumber(ARG:match(name .. "=(%d+)")) or other
+local function arg(name, default)
+	return tonumber(ARG:match(name .. "=(%d+)")) or default
 end
 local SEED, SECS = arg("seed", 1), arg("secs", 20)
 math.randomseed(SEED)
@@ -26,7 +27,7 @@
 for _, n in ipairs(s.order) do
 	table.insert(addrs, s.hosts[n].callers)
 end
--- Callers go on for so long after the last fault, and must be served then.
+-- Callers go on for this long after the last fault, and must be served then.
 local CALM_MS = 11000
 local start = now_ms()
 local callers = {}
@@ -38,19 +39,19 @@
 end
 
 local faults = Faults.new(s)
-local calm_from = start + SECS * 1000
-local watch = Versions.new(s, faults)
-while now_ms() < calm_from do
+local faults_end = start + SECS * 1000
+local versions = Versions.new(s, faults)
+while now_ms() < faults_end do
 	faults:tick(true)
-	watch:tick()
+	versions:tick()
 	sleep_ms(20)
 end
-while not faults:over() do
+while not faults:all_healed() do
 	faults:tick(false)
 	sleep_ms(20)
 end
 local healed = now_ms()
--- Keys are served again through all hosts, and so is everything else.
+-- All hosts serve all keys again.
 s:await_keys(15000)
 say("served %.1f s after the last fault", (now_ms() - healed) / 1000)
 while now_ms() < healed + CALM_MS do
@@ -68,7 +69,7 @@
 check_callers(s, faults, #callers, healed)
 check_leaving(s, faults)
 check_evacuations(s, faults)
-check_repeats(s, #callers)
-check_stranger(s)
-say("seed %d: %d faults, %d versions, all promises kept", SEED, #faults.done,
-    watch.count)
+check_retries(s, #callers)
+check_unregistered(s)
+say("seed %d: %d faults, %d versions, all checks passed", SEED, #faults.done,
+    versions.count)
