--- a/regress/soak/checks.lua
+++ b/regress/soak/checks.lua
@@ -70,7 +70,7 @@
 		end
 		check(q.outcome ~= "late" or
 		    faults:disturbed(q.from - STABLE_MS, q.till),
-		    "%s was answered after its deadline without a fault", q.rid)
+		    "%s was not answered in time, without a fault", q.rid)
 		if q.from > healed + 8000 then
 			calm = calm + 1
 			served = served + (q.outcome == "200" and 1 or 0)
--- a/regress/soak/faults.lua
+++ b/regress/soak/faults.lua
@@ -77,9 +77,9 @@
 
 -- Faults of a proxy: the query that sets each and the one that clears it.
 local WIRE_FAULTS = { { "cut=*", "cut=&way=-1" },
-    { "cut=*&way=0", "cut=&way=-1" }, { "cut=*&way=1", "cut=&way=-1" }, { "delay=60", "delay=0" },
-    { "delay=250", "delay=0" }, { "reset=1", "delay=0" },
-    { "silent=1", "delay=0" } }
+    { "cut=*&way=0", "cut=&way=-1" }, { "cut=*&way=1", "cut=&way=-1" },
+    { "delay=60", "delay=0" }, { "delay=250", "delay=0" },
+    { "reset=1", "delay=0" }, { "silent=1", "delay=0" } }
 
 local function break_host_wire(s, f, which)
 	local n = pick_host(s)
--- a/regress/soak/soak.lua
+++ b/regress/soak/soak.lua
@@ -1,7 +1,7 @@
 -- A randomized soak of the programs as processes.  Overlapping faults are
 -- caused by signals, by proxies between any two processes, by the store and by
--- the targets; the seed determines the whole schedule.  What callers and targets
--- recorded is then checked against the guarantees of the router.
+-- the targets; the seed determines the whole schedule.  What callers and
+-- targets recorded is then checked against the guarantees of the router.
 -- ARG: seed=N secs=N hosts=N servers=N callers=N ports=N centres=N;
 -- routes=N, that many more routes in each configuration;
 -- more=1, evac=1, calm=1 and again=1, see faults.lua.
