--- a/regress/scenario/lib.lua
+++ b/regress/scenario/lib.lua
@@ -166,7 +166,7 @@
 	http("POST", "http://" .. self.platctl .. "/fault?" .. q, "")
 end
 
--- Counts of the calls that the platform has received, by kind.
+-- Counts of the platform's calls by kind, and of its version conflicts.
 function Fleet:calls()
 	local _, s = http("GET", "http://" .. self.platctl .. "/calls")
 	local t = {}
