--- a/bench/losses.lua
+++ b/bench/losses.lua
@@ -56,7 +56,7 @@
 		undo = function()
 			for _, n in ipairs { "falaj1", "falaj2" } do
 				wait(f.hosts[n].pid)
-				f:revive_host(n)
+				f:restart_host(n)
 			end
 			f:start_target("t1")
 			f:start_target("t2")
@@ -77,7 +77,7 @@
 		key = key_of("dispatcher", n) or "key-1"
 		f:kill_host(n)
 		undo = function()
-			f:revive_host(n)
+			f:restart_host(n)
 		end
 	end
 	local from = now_ms()
--- a/regress/demo.lua
+++ b/regress/demo.lua
@@ -30,14 +30,14 @@
 dofile("regress/scenario/lib_site.lua")
 say("starting an object store, 3 hosts and 6 targets")
 local s = standard_site { next = 40 }
-local _, body = s:ask_key("h1", 40000)
+local _, body = s:request_key("h1", 40000)
 say("key 40000 is served by %s", body:match("^%S+"))
 s:kill_server(body:match("^%S+"))
 from = now_ms()
 await("the key served again", 10000, function()
-	return s:ask_key("h2", 40000) == 200
+	return s:request_key("h2", 40000) == 200
 end)
-_, body = s:ask_key("h2", 40000)
+_, body = s:request_key("h2", 40000)
 say("killed; served again by %s after %.0f ms", body:match("^%S+"),
     now_ms() - from)
 s:stop_all()
--- a/regress/scenario/cut_move.lua
+++ b/regress/scenario/cut_move.lua
@@ -10,7 +10,7 @@
 	local n = f:controller("falaj+souq")
 	if n and f.hosts[n].dc == "souq" then
 		f:stop_host(n)
-		f:revive_host(n)
+		f:restart_host(n)
 		f:await_served("lookup")
 	end
 	return n and f.hosts[n].dc == "falaj"
--- a/regress/scenario/lib.lua
+++ b/regress/scenario/lib.lua
@@ -369,7 +369,7 @@
 	return st
 end
 
-function Fleet:revive_host(name)
+function Fleet:restart_host(name)
 	self.hosts[name].dead = nil
 	self:start_host(name)
 end
--- a/regress/scenario/lib_site.lua
+++ b/regress/scenario/lib_site.lua
@@ -113,10 +113,10 @@
 end
 
 -- Starts a target that serves every request but has no valid entry.
-function Site:add_stranger()
+function Site:add_unregistered()
 	local t = { id = "x-1", addr = self:port(), opt = {} }
 	t.at = t.addr
-	self.stranger = t
+	self.unregistered = t
 	self:start_server(t)
 end
 
@@ -336,7 +336,7 @@
 
 -- Sends one request through a host; headers is a list of further header lines.
 -- Returns the status, body and header of the answer, and the request id.
-function Site:ask(name, p, headers, method, body)
+function Site:request(name, p, headers, method, body)
 	self.request_count = self.request_count + 1
 	local all = { "Host: a.example",
 	    "X-Request-Id: q" .. self.request_count,
@@ -394,8 +394,8 @@
 	return most, #all
 end
 
-function Site:ask_key(name, key)
-	return self:ask(name, "/k/" .. key, { "X-Shard-Key: " .. key })
+function Site:request_key(name, key)
+	return self:request(name, "/k/" .. key, { "X-Shard-Key: " .. key })
 end
 
 -- Cuts a host off from the store, or ends that; needs store_wires.
@@ -424,7 +424,7 @@
 		for _, n in ipairs(self.order) do
 			for key = 500, 65535, 5000 do
 				if not self.hosts[n].dead and
-				    self:ask_key(n, key) ~= 200 then
+				    self:request_key(n, key) ~= 200 then
 					return false
 				end
 			end
@@ -486,16 +486,16 @@
 		local h = self.order[n % #self.order + 1]
 		if not self.hosts[h].dead then
 			r.requests = r.requests + 3
-			local st = self:ask(h, "/any/" .. n)
+			local st = self:request(h, "/any/" .. n)
 			r.any = r.any + (st == 200 and 0 or 1)
-			local st2, _, _, id = self:ask(h, "/once/" .. n, nil,
+			local st2, _, _, id = self:request(h, "/once/" .. n, nil,
 			    "POST", "body " .. n)
 			r.once = r.once + (st2 == 200 and 0 or 1)
 			if st2 == 503 or st2 == 429 then
 				r.refused[id] = true
 			end
 			local key = n * 5003 % 65536
-			local st3 = self:ask_key(h, key)
+			local st3 = self:request_key(h, key)
 			r.key = r.key + (st3 == 200 and 0 or 1)
 			r.last = st3 ~= 200 and st3 or r.last
 			r.last_at = st3 ~= 200 and now_ms() or r.last_at
@@ -581,7 +581,7 @@
 		if self.hosts[h].dead then
 			return
 		end
-		local st, _, _, id = self:ask(h, p, headers)
+		local st, _, _, id = self:request(h, p, headers)
 		ids[id] = true
 		check(st ~= 200, "%s got 200", p)
 		sleep_ms(200)
@@ -591,10 +591,10 @@
 		self:await_keys(8000)
 		for _, h in ipairs(self.order) do
 			check(self.hosts[h].dead or
-			    self:ask(h, "/any/other") == 200,
+			    self:request(h, "/any/other") == 200,
 			    "%s refuses another request", h)
 			check(self.hosts[h].dead or
-			    self:ask_key(h, 700) == 200,
+			    self:request_key(h, 700) == 200,
 			    "%s refuses another request for the key", h)
 		end
 	end
--- a/regress/scenario/restart_all.lua
+++ b/regress/scenario/restart_all.lua
@@ -7,7 +7,7 @@
 	f:kill_host(n)
 end
 for _, n in ipairs(f.order) do
-	f:revive_host(n)
+	f:restart_host(n)
 end
 f:await_served("lookup")
 check(f:owners("lookup") == before, "shards moved")
--- a/regress/scenario/rolling.lua
+++ b/regress/scenario/rolling.lua
@@ -12,7 +12,7 @@
 f:await_load()
 for _, n in ipairs(f.order) do
 	check(f:stop_host(n) == 0, "%s did not exit with 0", n)
-	f:revive_host(n)
+	f:restart_host(n)
 	await(n .. " back", 5000, function()
 		return f:get(n, "lookup", "key-1") == 200
 	end)
--- a/regress/scenario/site_asked.lua
+++ b/regress/scenario/site_asked.lua
@@ -15,7 +15,7 @@
 table.insert(routes, route("late", "/late/", "safe", "plain"))
 s:configure(routes)
 await("h3 has the new route", 9000, function()
-	return s:ask("h3", "/late/1") == 200
+	return s:request("h3", "/late/1") == 200
 end)
 say("a host cut off from the store has the new configuration")
 s:stop_all()
--- a/regress/scenario/site_budget.lua
+++ b/regress/scenario/site_budget.lua
@@ -20,7 +20,7 @@
 for i = 1, 100 do
 	for _, n in ipairs(s.order) do
 		if n ~= lost then
-			s:ask(n, "/any/" .. i)
+			s:request(n, "/any/" .. i)
 		end
 	end
 end
--- a/regress/scenario/site_config.lua
+++ b/regress/scenario/site_config.lua
@@ -10,15 +10,15 @@
     s.services[2], '"other":{"max_conns":50}' })
 sleep_ms(2000)
 for _, n in ipairs(s.order) do
-	check(s:ask(n, "/new/1") == 200, "%s lacks the new route", n)
-	local _, body = s:ask(n, "/any/deep/1")
+	check(s:request(n, "/new/1") == 200, "%s lacks the new route", n)
+	local _, body = s:request(n, "/any/deep/1")
 	check(body:match("^i%-7 "), "%s sends it to %s", n, body)
 end
 say("in force on every host")
 s:configure({ old[1], old[2], old[3] })
 sleep_ms(2000)
 for _, n in ipairs(s.order) do
-	check(s:ask(n, "/new/1") == 404, "%s still has the removed route", n)
+	check(s:request(n, "/new/1") == 404, "%s still has the removed route", n)
 end
 say("a removed route is refused")
 -- A host that starts again must not serve by an older version.
@@ -28,7 +28,7 @@
 await(late .. " ready", 5000, function()
 	return s:is_ready(late)
 end)
-check(s:ask(late, "/new/1") == 404,
+check(s:request(late, "/new/1") == 404,
     "a restarted host serves by an older version")
 s:configure({ route("r1", "/any/", "safe", nil, { split =
     '"traffic_split":[{"service":"plain","weight":75},' ..
@@ -36,7 +36,7 @@
 sleep_ms(2000)
 local other = 0
 for i = 1, 200 do
-	local _, body = s:ask("h1", "/any/" .. i)
+	local _, body = s:request("h1", "/any/" .. i)
 	other = other + (body:match("^i%-7 ") and 1 or 0)
 end
 check(other >= 46 and other <= 54,
--- a/regress/scenario/site_door.lua
+++ b/regress/scenario/site_door.lua
@@ -39,7 +39,7 @@
 read_all(idle)
 check(now_ms() - from < 12000, "an idle connection was kept")
 say("slow and idle connections closed")
-check(s:ask("h1", "/any/1") == 200, "other callers are not served")
+check(s:request("h1", "/any/1") == 200, "other callers are not served")
 -- None of the refused requests ran.
 for _, id in ipairs(s.sorder) do
 	check(not read_file(id .. ".journal"):match(" a%d "),
--- a/regress/scenario/site_doubt.lua
+++ b/regress/scenario/site_doubt.lua
@@ -42,11 +42,11 @@
 end)
 -- The target in its own data centre, which it prefers.
 local id = other == "h2" and "i-2" or "i-1"
-s:ask(other, "/any/x")
+s:request(other, "/any/x")
 s:unregister(id)
 local gone = now_ms()
 while now_ms() < gone + 4000 do
-	s:ask(other, "/any/x")
+	s:request(other, "/any/x")
 end
 check(wait(s.hosts[first].pid) == 0, "%s did not stop well", first)
 s.hosts[first].dead = true
--- a/regress/scenario/site_evacuate.lua
+++ b/regress/scenario/site_evacuate.lua
@@ -42,8 +42,8 @@
 sleep_ms(math.ceil(from + EVACUATE - now_ms()))
 for n = 1, 40 do
 	local h, at = s.order[n % #s.order + 1], now_ms()
-	local st, _, headers = s:ask(h, "/any/" .. n)
-	local st2, _, headers2 = s:ask_key(h, n * 1601)
+	local st, _, headers = s:request(h, "/any/" .. n)
+	local st2, _, headers2 = s:request_key(h, n * 1601)
 	check(st == 503 and st2 == 503, "answered %d and %d", st, st2)
 	check(headers:match("Retry%-After") and headers2:match("Retry%-After"),
 	    "no Retry-After")
--- a/regress/scenario/site_large.lua
+++ b/regress/scenario/site_large.lua
@@ -35,7 +35,7 @@
 	local acked = now_ms()
 	sleep_ms(BOUND)
 	for _, n in ipairs(s.order) do
-		local st = s:ask(n, "/" .. prefix .. "/1")
+		local st = s:request(n, "/" .. prefix .. "/1")
 		check(st == 200, "%s lacks route %s after %d ms: %d", n, prefix,
 		    math.floor(now_ms() - acked), st)
 	end
--- a/regress/scenario/site_late.lua
+++ b/regress/scenario/site_late.lua
@@ -9,7 +9,7 @@
 s:configure({ s.routes[1], s.routes[2], s.routes[3],
     route("r4", "/long/", "unsafe", "plain", { timeout = "20s" }) })
 await("configuration in force", 3000, function()
-	return s:ask("h1", "/long/0", nil, "POST", "b") ~= 404
+	return s:request("h1", "/long/0", nil, "POST", "b") ~= 404
 end)
 local h = s.hosts.h1
 local function begin(id, length)
--- a/regress/scenario/site_leftwait.lua
+++ b/regress/scenario/site_leftwait.lua
@@ -26,7 +26,7 @@
 local longest, since, key = 0, nil, 0
 while now_ms() < taken + 16000 do
 	key = (key + 5003) % 65536
-	if s:ask_key(r.holder.host, key) == 200 then
+	if s:request_key(r.holder.host, key) == 200 then
 		since = nil
 	else
 		since = since or now_ms()
--- a/regress/scenario/site_limit.lua
+++ b/regress/scenario/site_limit.lua
@@ -34,12 +34,12 @@
 	while now_ms() < till do
 		n = n + 1
 		local h = s.order[n % #s.order + 1]
-		failed = failed + (s:ask(h, "/any/" .. n) == 200 and 0 or 1)
+		failed = failed + (s:request(h, "/any/" .. n) == 200 and 0 or 1)
 		send_async(h, n * 5003 % 65536)
 		sleep_ms(4)
 		if n % 50 == 0 then
 			local from = now_ms()
-			local st, _, headers = s:ask_key(h, n * 5003 % 65536)
+			local st, _, headers = s:request_key(h, n * 5003 % 65536)
 			check(st ~= 503 or headers:match("Retry%-After"),
 			    "no Retry-After")
 			slowest = math.max(slowest,
--- a/regress/scenario/site_poison_often.lua
+++ b/regress/scenario/site_poison_often.lua
@@ -66,8 +66,8 @@
 	-- Another request for the same key, and a popular one without a key.
 	if n % 3 == 0 then
 		local h = s.order[n // 3 % #s.order + 1]
-		local ok = s:ask_key(h, 700) == 200 and
-		    s:ask(h, "/any/popular") == 200
+		local ok = s:request_key(h, 700) == 200 and
+		    s:request(h, "/any/popular") == 200
 		if now_ms() > from + SETTLED then
 			served = served + (ok and 1 or 0)
 			failed = failed + (ok and 0 or 1)
@@ -82,9 +82,9 @@
 s:revive_ended()
 s:await_keys()
 for _, h in ipairs(s.order) do
-	check(s:ask_key(h, 700) == 200,
+	check(s:request_key(h, 700) == 200,
 	    "%s refuses another request for the key", h)
-	check(s:ask(h, "/any/popular") == 200, "%s refuses another request", h)
+	check(s:request(h, "/any/popular") == 200, "%s refuses another request", h)
 end
 local ends, arrivals, targets = crashes()
 check(#ends >= 3, "only %d runs crashed", #ends)
--- a/regress/scenario/site_reborn.lua
+++ b/regress/scenario/site_reborn.lua
@@ -9,7 +9,7 @@
 local function own_keys()
 	local keys = {}
 	for key = 100, 65535, 2003 do
-		local _, body = s:ask_key("h1", key)
+		local _, body = s:request_key("h1", key)
 		if body:find(id .. " ", 1, true) == 1 then
 			table.insert(keys, key)
 		end
@@ -20,7 +20,7 @@
 	local from = now_ms()
 	await(what, ms, function()
 		for _, key in ipairs(own) do
-			if s:ask_key("h1", key) ~= 200 then
+			if s:request_key("h1", key) ~= 200 then
 				return false
 			end
 		end
--- a/regress/scenario/site_refused.lua
+++ b/regress/scenario/site_refused.lua
@@ -6,7 +6,7 @@
 dofile("regress/scenario/lib_site.lua")
 local s = standard_site { hosts = 1, plain = 1, keyed = 1 }
 local function send_once(i)
-	return (s:ask("h1", "/once/" .. i, nil, "POST", "b"))
+	return (s:request("h1", "/once/" .. i, nil, "POST", "b"))
 end
 for i = 1, 5 do
 	check(send_once(i) == 200, "not served before the faults")
--- a/regress/scenario/site_rejoin.lua
+++ b/regress/scenario/site_rejoin.lua
@@ -14,17 +14,17 @@
 		return s:is_ready(n)
 	end)
 	await(n .. " serves keys", 3000, function()
-		return s:ask_key(n, 500 + i) == 200
+		return s:request_key(n, 500 + i) == 200
 	end)
 	-- It still serves later: others hear it and send it updates.
 	sleep_ms(1200)
-	check(s:ask_key(n, 60000) == 200, "start %d: keys not served later", i)
+	check(s:request_key(n, 60000) == 200, "start %d: keys not served later", i)
 end
 s:fault("slow=0")
 s:drain("i-4")
 await("keys of the draining target", 3000, function()
 	for key = 500, 65535, 5000 do
-		if s:ask_key(n, key) ~= 200 then
+		if s:request_key(n, key) ~= 200 then
 			return false
 		end
 	end
--- a/regress/scenario/site_restart.lua
+++ b/regress/scenario/site_restart.lua
@@ -6,7 +6,7 @@
 local s = standard_site()
 local owners = {}
 for key = 500, 65535, 5000 do
-	local _, body = s:ask_key("h1", key)
+	local _, body = s:request_key("h1", key)
 	owners[key] = body:match("^%S+")
 end
 s:restart_all()
@@ -14,7 +14,7 @@
 s:await_keys(12000)
 check(now_ms() - from < 8000, "served again after %.0f ms", now_ms() - from)
 for key = 500, 65535, 5000 do
-	local _, body = s:ask_key("h1", key)
+	local _, body = s:request_key("h1", key)
 	check(body:match("^%S+") == owners[key], "key %d has moved", key)
 end
 say("served again by the same targets")
@@ -22,7 +22,7 @@
 s:drain("i-4")
 await("keys of i-4 moved", 8000, function()
 	for key = 500, 65535, 5000 do
-		local st, body = s:ask_key("h1", key)
+		local st, body = s:request_key("h1", key)
 		if st ~= 200 or body:match("^i%-4 ") then
 			return false
 		end
--- a/regress/scenario/site_stop.lua
+++ b/regress/scenario/site_stop.lua
@@ -12,7 +12,7 @@
 	-- then.
 	local from = now_ms()
 	while now_ms() - from < 1500 do
-		local st, _, headers = s:ask(n, "/once/x", nil, "POST", "b")
+		local st, _, headers = s:request(n, "/once/x", nil, "POST", "b")
 		check(st == 200, "%s refused a request at its stop: %d", n, st)
 		check(headers:lower():match("connection: close"),
 		    "no Connection: close")
@@ -25,7 +25,7 @@
 	check(now_ms() - from < 6000, "%s took %.0f ms", n, now_ms() - from)
 	s:start_host(n)
 	await(n .. " serves again", 6000, function()
-		return s:is_ready(n) and s:ask_key(n, 500) == 200
+		return s:is_ready(n) and s:request_key(n, 500) == 200
 	end)
 end
 s:journals_ok()
--- a/regress/scenario/site_untrue.lua
+++ b/regress/scenario/site_untrue.lua
@@ -11,7 +11,7 @@
 	-- Find a key that the target owns.
 	local key
 	for k = 1000, 65000, 9000 do
-		local _, body = s:ask_key("h1", k)
+		local _, body = s:request_key("h1", k)
 		if body:find(id .. " ", 1, true) == 1 then
 			key = k
 			break
--- a/regress/soak/checks.lua
+++ b/regress/soak/checks.lua
@@ -173,8 +173,8 @@
 
 -- A target without a valid entry runs no request.
 function check_unregistered(s)
-	check(not read_file(s.stranger.id .. ".journal"):match("run "),
-	    "%s ran a request without a valid entry", s.stranger.id)
+	check(not read_file(s.unregistered.id .. ".journal"):match("run "),
+	    "%s ran a request without a valid entry", s.unregistered.id)
 end
 
 -- Writes versions of the configuration, each with a route that the earlier ones
@@ -204,7 +204,7 @@
 		local h = self.site.hosts[n]
 		if not h.dead and not h.broken then
 			local pid = h.pid
-			local st = self.site:ask(n, "/v" .. self.count .. "/1")
+			local st = self.site:request(n, "/v" .. self.count .. "/1")
 			local applies = st ~= 404 and st ~= 0 and st ~= 503
 			local was = self.applied[n]
 			if st == 404 then
--- a/regress/soak/faults.lua
+++ b/regress/soak/faults.lua
@@ -308,17 +308,17 @@
 	-- Another writer stores an invalid entry with the address of a target that
 	-- would serve.
 	{ 2, "foreign entry", function(s, f)
-		if f.store_broken or s.stranger.open then
+		if f.store_broken or s.unregistered.open then
 			return
 		end
 		local i = math.random(#INVALID_ENTRIES)
 		http("POST", "http://" .. s.store .. "/objects/servers",
-		    string.format(INVALID_ENTRIES[i], s.stranger.id, s.stranger.addr))
-		s.stranger.open = true
+		    string.format(INVALID_ENTRIES[i], s.unregistered.id, s.unregistered.addr))
+		s.unregistered.open = true
 		f.planned, f.needs_store = true, true
 		f.heal = function()
-			s:unregister(s.stranger.id)
-			s.stranger.open = false
+			s:unregister(s.unregistered.id)
+			s.unregistered.open = false
 		end
 		return i
 	end },
--- a/regress/soak/soak.lua
+++ b/regress/soak/soak.lua
@@ -21,7 +21,7 @@
     peer_wires = true, work = 8, bounds = ARG:match("evac=1") and
     "evacuate = 5s" or nil }
 s.routes = s:many_routes(arg("routes", 0))
-s:add_stranger()
+s:add_unregistered()
 
 local addrs = {}
 for _, n in ipairs(s.order) do
