--- a/decide/cell.c
+++ b/decide/cell.c
@@ -65,7 +65,7 @@
 }
 
 /*
- * Returns the index of the target that serves a shard now, or NOBODY, and in
+ * Returns the index of the target that serves a shard now, or CELL_NONE, and in
  * *fence (unless NULL) the fence that it serves under.  A moving shard is
  * served by the next target as soon as its owner has released it.
  */
@@ -79,7 +79,7 @@
 	return (moved ? s->next[n] : s->owner[n]);
 }
 
-/* Returns the index of a service's target by name, or NOBODY. */
+/* Returns the index of a service's target by name, or CELL_NONE. */
 static int
 find_target(const struct cell *c, int service, const char *name)
 {
@@ -93,7 +93,9 @@
 	return (CELL_NONE);
 }
 
-/* Finds or adds a target; returns its index, or NOBODY if the table is full. */
+/*
+ * Finds or adds a target; returns its index, or CELL_NONE if the table is full.
+ */
 int
 cell_add_target(struct cell *c, int service, const char *name)
 {
@@ -402,7 +404,7 @@
 
 /*
  * Returns the available host with the fewest targets, preferring the given
- * data centre; NOBODY if there is none.
+ * data centre; CELL_NONE if there is none.
  */
 static int
 pick_host(const struct cell *c, const char *dc, usec now)
--- a/decide/cell.h
+++ b/decide/cell.h
@@ -37,7 +37,7 @@
 	struct target_conf conf;
 	int service;
 	int removed;	/* no longer in the catalogue */
-	int dispatcher; /* index of the dispatching host, or NOBODY */
+	int dispatcher; /* index of the dispatching host, or CELL_NONE */
 	int handover;	/* the dispatcher was asked to hand the target over */
 	uint64_t epoch;
 	uint64_t min_view; /* grants must be based on this view or later */
@@ -75,9 +75,9 @@
 	uint32_t shards;
 	enum weigh weigh;
 	double limit; /* requests per second in this cell; 0: unlimited */
-	int *owner;   /* target index or NOBODY, per shard of the cell */
+	int *owner;   /* target index or CELL_NONE, per shard of the cell */
 	uint64_t *fence;
-	int *next; /* target index or NOBODY */
+	int *next; /* target index or CELL_NONE */
 	uint64_t *next_fence;
 	uint64_t *move_seq; /* first view that announces the move */
 	uint8_t *freed;	    /* the owner has released it in this term */
--- a/decide/cell_host.c
+++ b/decide/cell_host.c
@@ -9,7 +9,7 @@
 #define LOAD_WEIGHT 0.3
 
 /*
- * Returns the index of a target of any service, or NOBODY; a name belongs to
+ * Returns the index of a target of any service, or CELL_NONE; a name belongs to
  * one service only.
  */
 static int
@@ -24,7 +24,7 @@
 	return (CELL_NONE);
 }
 
-/* Finds or adds a host's process; returns NOBODY if the table is full. */
+/* Finds or adds a host's process; returns CELL_NONE if the table is full. */
 static int
 find_host(struct cell *c, const char *host, uint64_t boot)
 {
--- a/decide/cell_standby.c
+++ b/decide/cell_standby.c
@@ -24,7 +24,7 @@
 
 /*
  * Rates a host as a standby: hosts that are one already and hosts in another
- * data centre score higher; prefer_other_dc tells which counts more.
+ * data centre score higher; prefer_other_dc decides which counts more.
  */
 static int
 standby_score(const struct cell *c, int h, const char *dc,
--- a/decide/dest.c
+++ b/decide/dest.c
@@ -25,8 +25,8 @@
  * for each further failure in a row, up to the maximum. */
 #define BACKOFF_FIRST MS(150)
 #define BACKOFF_MAX MS(1200)
-/* After so many requests in a row without a whole answer, a host backs off from
- * the target as if it could not be reached. */
+/* After this many requests in a row without a whole answer, a host backs off
+ * from the target as if it could not be reached. */
 #define BROKEN_STREAK_MAX 3
 /* Backoff after a refusal: about as long as a request runs. */
 #define BACKOFF_REFUSED MS(40)
@@ -42,8 +42,8 @@
 	rate_init(&d->rate);
 }
 
-/* The rate limit in force, in requests a second from all hosts; negative is
- * none.  A cold target crashes if it gets far more than its cold rate. */
+/* The rate limit in force, in requests a second from all hosts; negative
+ * if none.  A cold target crashes if it gets far more than its cold rate. */
 double
 dest_limit(const struct dest *d, usec now)
 {
--- a/decide/dest.h
+++ b/decide/dest.h
@@ -16,14 +16,14 @@
 	int slots;
 	int leaving;
 	int same_dc;	  /* in this host's data centre */
-	usec closed_from; /* gets no new requests from then on; 0 is never */
+	usec closed_from; /* gets no new requests from then on; 0 if never */
 	usec cold_until;
-	double cold_rate; /* limit while it is cold; 0 is none */
-	double limit;	  /* its own, in requests a second; negative is none */
+	double cold_rate; /* limit while it is cold; 0 if none */
+	double limit;	  /* its own, in requests a second; negative if none */
 	int inflight;	  /* requests of this host in flight there */
 	double others_inflight; /* those of other hosts, as of `load_at` */
 	struct load load;	/* last reported */
-	usec load_at;		/* time of that report; 0 is none yet */
+	usec load_at;		/* time of that report; 0 if none yet */
 	int latency_samples;	/* so far */
 	double latency_ratio;	/* latency, relative to a usual target */
 	double failure_rate;	/* moving average of failed requests, 0 to 1 */
--- a/decide/entry.c
+++ b/decide/entry.c
@@ -311,7 +311,7 @@
 
 /*
  * Parses an entry from n bytes of JSON.  Returns NULL if anything is wrong, and
- * `why` tells where and what is allowed: no part of a faulty entry is used.
+ * `why` says where and what is allowed: no part of a faulty entry is used.
  * The caller frees the entry with entry_free.
  */
 struct entry *
--- a/decide/evacuation.c
+++ b/decide/evacuation.c
@@ -154,9 +154,9 @@
 }
 
 /*
- * Returns until when targets of a data centre are cold after its evacuation has
- * ended; 0 if none has.  Their entries may report the cold start later than the
- * end of the evacuation becomes known.
+ * Returns the time until which targets of a data centre are cold after its
+ * evacuation has ended; 0 if none has.  Their entries may report the cold start
+ * later than the end of the evacuation becomes known.
  */
 usec
 evacuations_cold_until(
--- a/decide/fleet.h
+++ b/decide/fleet.h
@@ -21,7 +21,8 @@
 	int slots;
 	int leaving;	 /* announced by the target, or its entry is gone */
 	int gone;	 /* its entry is gone */
-	usec cold_until; /* 0 if warm; for known_put it is the time left */
+	usec cold_until; /* 0 if warm; for membership_entry_put() the time left
+			  */
 };
 
 struct fleet {
--- a/decide/hearing.h
+++ b/decide/hearing.h
@@ -1,9 +1,9 @@
-/* Whether a controller still hears enough of the hosts that it controls. */
+/* Whether a controller still receives reports from most of its hosts. */
 #ifndef HEARING_H
 #define HEARING_H
 
 #include "clock.h"
 
-int hears_enough(const usec *heard, int n, usec now);
+int hears_most_hosts(const usec *heard, int n, usec now);
 
 #endif
--- a/decide/keys.c
+++ b/decide/keys.c
@@ -6,7 +6,7 @@
 /* Interval between planning rounds. */
 #define PLAN_INTERVAL MS(200)
 
-/* Initialises the key assignment of one service, not yet in control. */
+/* Initializes the key assignment of one service, not yet in control. */
 void
 keys_init(struct keys *k, const char *service, const struct keys_conf *conf,
     const struct keys_callbacks *cb, void *arg)
@@ -140,7 +140,8 @@
 	}
 }
 
-/* Sets until when a target is cold, after its start or an evacuation. */
+/* Sets the time until which a target is cold: after its start, or after the
+ * evacuation of its data centre has ended. */
 static void
 set_cold(const struct keys *k, struct key_target *t, const struct fleet *f,
     const struct fleet_target *entry)
--- a/decide/keys.h
+++ b/decide/keys.h
@@ -37,7 +37,7 @@
 	usec renew;	    /* interval between grants of the same keys */
 	usec order_timeout; /* a grant without a reply is given up by then */
 	usec settle_time;   /* fleet unchanged before the first plan */
-	usec cold_start;    /* targets are cold for so long after their start */
+	usec cold_start;    /* targets are cold for this long after a start */
 	int cold_limited;   /* cold targets have a rate limit */
 };
 
@@ -78,7 +78,7 @@
 	usec limit_reported_at; /* ... as of this time; 0 if never reported */
 	/* Set by each planning round. */
 	double load;
-	double weight_cap; /* of its weight, from its limit; 0 is none */
+	double weight_cap; /* of its weight, from its limit; 0 if none */
 	int unavailable;
 };
 
--- a/decide/keys_grant.c
+++ b/decide/keys_grant.c
@@ -9,7 +9,8 @@
 /* Delay before an order that failed is sent again. */
 #define ORDER_RETRY_DELAY MS(150)
 
-/* Until when a target may hold keys by a grant that arrives now or earlier. */
+/* Returns the time until which a target may hold keys by a grant that it
+ * receives at most KEYS_NETWORK_DELAY after now. */
 static usec
 held_until(const struct keys *k, usec now)
 {
--- a/decide/keys_plan.c
+++ b/decide/keys_plan.c
@@ -25,16 +25,17 @@
 /* Keys that moved do not move again for this long: their load is not known
  * yet. */
 #define MOVE_COOLDOWN MS(900)
-/* A target is taken for dead that has not replied to any host for so long, and
- * not to so many orders in a row. */
+/* A target is taken for dead if it has not replied to any host for this long,
+ * and to this many orders in a row. */
 #define DEAD_AFTER MS(900)
 #define DEAD_ORDERS 2
-/* Beyond this number of ranges per target small idle ones are joined. */
+/* Above this number of ranges per target, small idle ranges are merged. */
 #define RANGES_PER_TARGET 6
 /* Part of its weight that a target has while it is cold. */
 #define COLD_WEIGHT 0.5
-/* The same for a cold target with a rate limit: each of many hosts has so small
- * a share of the limit that most requests for its keys would be refused. */
+/* Part of its weight that a cold target with a rate limit has: each of many
+ * hosts has so small a share of the limit that most requests for its keys would
+ * be refused. */
 #define COLD_LIMITED_WEIGHT 0.02
 /* A large range of an unavailable target is cut into this many pieces. */
 #define SPLIT_PIECES 4
@@ -561,7 +562,7 @@
 	int from = most_loaded(k, now), to;
 	struct piece p;
 	double mean = l->total / l->weight, from_weight, to_weight, high,
-	       to_equal, excess;
+	       equalising_load, excess;
 
 	if (from == NO_TARGET)
 		return (0);
@@ -575,14 +576,16 @@
 	if (excess < 2 * EXCESS_MIN * mean +
 		EXCESS_DEVIATIONS * sqrt(k->targets[from].load) / from_weight)
 		return (0);
-	/* Moving to_equal makes both equal; aim lower, as loads vary. */
-	to_equal = excess / (1 / from_weight + 1 / to_weight);
-	high = fmin(to_equal,
-	    fmax(mean * to_weight - k->targets[to].load, to_equal * 0.5));
+	/* Moving this much load makes both equally loaded; aim lower, as loads
+	 * vary. */
+	equalising_load = excess / (1 / from_weight + 1 / to_weight);
+	high = fmin(equalising_load,
+	    fmax(
+		mean * to_weight - k->targets[to].load, equalising_load * 0.5));
 	p = smallest_piece(k, from, l->base, 0.6 * high, 1.1 * high, now);
 	if (p.range < 0)
 		p = smallest_piece(
-		    k, from, l->base, 0.15 * high, to_equal, now);
+		    k, from, l->base, 0.15 * high, equalising_load, now);
 	if (p.range < 0)
 		return (move_hottest(k, from, now));
 	move_piece(k, &p, from, to, now);
--- a/decide/load.h
+++ b/decide/load.h
@@ -6,9 +6,9 @@
 	int reported; /* if 0, the other fields are not valid */
 	int running;  /* requests in its slots */
 	int waiting;
-	int slots; /* 0 is not reported */
+	int slots; /* 0 if not reported */
 	int pace;  /* time that work takes there now, in percent of the usual;
-		      0 is not reported */
+		      0 if not reported */
 };
 
 #endif
--- a/decide/membership.c
+++ b/decide/membership.c
@@ -185,7 +185,8 @@
 		bucket_add(k, k->n - 1);
 	}
 	e->t = *t;
-	/* An outdated entry that arrives late must not undo that. */
+	/* A target that has announced that it leaves does not come back: an
+	 * older entry that arrives late must not reset the flag. */
 	e->leave_announced |= t->leaving && !t->gone;
 	e->t.leaving |= e->leave_announced;
 	e->t.cold_until = cold > 0 ? now + cold : 0;
--- a/decide/pace.c
+++ b/decide/pace.c
@@ -2,20 +2,20 @@
 
 /*
  * Maximum time that a push to all hosts may occupy the sender's link:
- * heartbeats wait behind it, and hosts that hear none for 900 ms look for
+ * heartbeats wait behind it, and hosts that receive none for 900 ms look for
  * another controller.
  */
 #define PUSH_TIME_MAX_S 0.25
 /*
- * Maximum bytes pushed to one host, whose link speed is not known here: 0.1 s
- * at 10 Mbit/s.
+ * Maximum number of bytes pushed to one host at once.  Its link speed is not
+ * known to the sender; at 10 Mbit/s this takes 0.1 s.
  */
 #define PUSH_BYTES_MAX 131072
 /*
- * Share of the link for copies that single hosts ask for; the rest is for
- * callers.
+ * Share of the link for configurations that hosts request one by one; the rest
+ * is for callers.
  */
-#define COPIES_SHARE 0.25
+#define REQUESTED_SHARE 0.25
 /* Assumed link speed where none is configured, in Mbit/s. */
 #define LINK_DEFAULT_MBPS 100.0
 
@@ -45,7 +45,7 @@
 void
 pace_sent(struct pace *p, size_t bytes, double link_mbps, usec now)
 {
-	double s = (double)bytes / (link_bytes(link_mbps) * COPIES_SHARE);
+	double s = (double)bytes / (link_bytes(link_mbps) * REQUESTED_SHARE);
 
 	p->free_at = now + (usec)(s * 1e6);
 }
--- a/decide/quarantine.h
+++ b/decide/quarantine.h
@@ -13,7 +13,9 @@
 
 #include "clock.h"
 
-/* A content is put on probation after so many runs at targets that crashed. */
+/*
+ * A content is put on probation after this many runs at targets that crashed.
+ */
 #define PROBATION_RUNS 2
 /* Crashed targets that are remembered for a content.  So many quarantine it at
  * the end of the grace period. */
@@ -61,9 +63,9 @@
 	int crashes;				  /* of different targets */
 	int runs;				  /* at targets that crashed */
 	usec last_crash;			  /* time of the last crash */
-	usec probation_since;			  /* 0 is not on probation */
-	usec cleared;				  /* by an answer; 0 is never */
-	usec until; /* end of the quarantine; 0 is not quarantined */
+	usec probation_since;			  /* 0 if not on probation */
+	usec cleared;				  /* by an answer; 0 if never */
+	usec until; /* end of the quarantine; 0 if not quarantined */
 };
 
 struct quarantine {
--- a/decide/rate.c
+++ b/decide/rate.c
@@ -57,7 +57,7 @@
 }
 
 /*
- * Sets the limit, in requests a second from all hosts; negative is none.  A
+ * Sets the limit, in requests a second from all hosts; negative if none.  A
  * limit that changes with each answer must not give a host additional turns.
  */
 void
--- a/decide/rate.h
+++ b/decide/rate.h
@@ -16,11 +16,11 @@
 };
 
 struct rate {
-	double limit; /* requests a second from all hosts; negative is none */
+	double limit; /* requests a second from all hosts; negative if none */
 	struct rate_turns turns;
 	usec interval;	/* time between this host's turns */
 	usec next;	/* its next unused turn, which may have expired */
-	usec last_sent; /* when it last sent a request; 0 is never */
+	usec last_sent; /* when it last sent a request; 0 if never */
 };
 
 void rate_init(struct rate *);
--- a/decide/route.h
+++ b/decide/route.h
@@ -10,7 +10,7 @@
 struct route_attempt {
 	int idempotent;
 	int attempts;	 /* so far, with the one that ended */
-	usec held_since; /* when it was first held; 0 is never */
+	usec held_since; /* when it was first held; 0 if never */
 	usec deadline;
 };
 
--- a/decide/share.h
+++ b/decide/share.h
@@ -4,7 +4,7 @@
 
 #include "clock.h"
 
-/* Rates are in requests per second; a limit of 0 is none. */
+/* Rates are in requests per second; a limit of 0 means no limit. */
 struct share {
 	double demand; /* arrival rate, smoothed */
 	double held;   /* the most that its holder may be using now */
--- a/decide/site.c
+++ b/decide/site.c
@@ -9,15 +9,15 @@
 struct site *
 site_new(int max_rules)
 {
-	struct site *t;
+	struct site *site;
 
-	t = calloc(1, sizeof(*t));
-	if (t == NULL)
+	site = calloc(1, sizeof(*site));
+	if (site == NULL)
 		return (NULL);
-	t->rules = calloc((size_t)max_rules + 1, sizeof(*t->rules));
-	if (t->rules != NULL)
-		return (t);
-	free(t);
+	site->rules = calloc((size_t)max_rules + 1, sizeof(*site->rules));
+	if (site->rules != NULL)
+		return (site);
+	free(site);
 	return (NULL);
 }
 
@@ -26,24 +26,24 @@
 void
 site_free(void *arg)
 {
-	struct site *t = arg;
+	struct site *site = arg;
 	int i;
 
-	if (t == NULL)
+	if (site == NULL)
 		return;
-	for (i = 0; i < t->nrules; i++) {
-		str_free(&t->rules[i].host);
-		str_free(&t->rules[i].prefix);
+	for (i = 0; i < site->nrules; i++) {
+		str_free(&site->rules[i].host);
+		str_free(&site->rules[i].prefix);
 	}
-	free(t->rules);
-	free(t);
+	free(site->rules);
+	free(site);
 }
 
 /* Returns the next rule, to be filled in; the caller keeps within max_rules. */
 struct rule *
-site_add_rule(struct site *t)
+site_add_rule(struct site *site)
 {
-	return (&t->rules[t->nrules++]);
+	return (&site->rules[site->nrules++]);
 }
 
 /* Compares hosts in the order of rules, ignoring case. */
@@ -98,28 +98,29 @@
 /* Sums weights and sorts the rules; call it after the last rule and before
  * site_find_rule. */
 void
-site_finish(struct site *t)
+site_finish(struct site *site)
 {
 	struct rule *r;
 	int i, k;
 
-	for (i = 0; i < t->nrules; i++) {
-		r = &t->rules[i];
+	for (i = 0; i < site->nrules; i++) {
+		r = &site->rules[i];
 		r->total_weight = 0;
 		for (k = 0; k < r->nbackends; k++)
 			r->total_weight += r->backends[k].weight;
 	}
-	qsort(t->rules, (size_t)t->nrules, sizeof(*t->rules), sort_cmp);
+	qsort(
+	    site->rules, (size_t)site->nrules, sizeof(*site->rules), sort_cmp);
 }
 
 /* Returns the index of a service, or -1. */
 int
-site_service(const struct site *t, const char *name)
+site_service(const struct site *site, const char *name)
 {
 	int i;
 
-	for (i = 0; i < t->nservices; i++) {
-		if (strcmp(t->services[i].name, name) == 0)
+	for (i = 0; i < site->nservices; i++) {
+		if (strcmp(site->services[i].name, name) == 0)
 			return (i);
 	}
 	return (-1);
@@ -128,13 +129,13 @@
 /* Returns the index of a host's first rule or, if it has none, of where that
  * would be. */
 static int
-first_rule(const struct site *t, const struct str *host)
+first_rule(const struct site *site, const struct str *host)
 {
-	int low = 0, high = t->nrules, mid;
+	int low = 0, high = site->nrules, mid;
 
 	while (low < high) {
 		mid = (low + high) / 2;
-		if (host_cmp(&t->rules[mid].host, host) < 0)
+		if (host_cmp(&site->rules[mid].host, host) < 0)
 			low = mid + 1;
 		else
 			high = mid;
@@ -146,13 +147,13 @@
  * NULL. */
 const struct rule *
 site_find_rule(
-    const struct site *t, const struct str *host, const struct str *path)
+    const struct site *site, const struct str *host, const struct str *path)
 {
 	const struct rule *r;
 	int i;
 
-	for (i = first_rule(t, host); i < t->nrules; i++) {
-		r = &t->rules[i];
+	for (i = first_rule(site, host); i < site->nrules; i++) {
+		r = &site->rules[i];
 		if (host_cmp(&r->host, host) != 0)
 			break;
 		if (r->prefix.n <= path->n &&
--- a/decide/site.h
+++ b/decide/site.h
@@ -38,7 +38,8 @@
 	char name[NAME_MAX_GS];
 	int keyed;	  /* each key is owned by one target */
 	int max_conns;	  /* of a target, from all hosts together */
-	usec warmup;	  /* keys moved without a handover are slow so long */
+	usec warmup;	  /* time for which keys moved without a
+			     handover are slow */
 	usec cold_start;  /* targets are cold this long after their start */
 	double cold_rate; /* requests a second to a cold target from all hosts;
 			     0 is unlimited */
--- a/decide/site_change.c
+++ b/decide/site_change.c
@@ -8,32 +8,32 @@
 static struct site *
 copy_without_rules(const struct site *from, int max_rules)
 {
-	struct site *t = site_new(max_rules);
+	struct site *site = site_new(max_rules);
 	struct rule *rules;
 
-	if (t == NULL)
+	if (site == NULL)
 		return (NULL);
-	rules = t->rules;
-	*t = *from;
-	t->rules = rules;
-	t->nrules = 0;
-	t->since = 0;
-	return (t);
+	rules = site->rules;
+	*site = *from;
+	site->rules = rules;
+	site->nrules = 0;
+	site->since = 0;
+	return (site);
 }
 
 /* Adds a copy of another configuration's rule.  Services may have other indexes
  * there.  0, or -1 if a service does not exist here or memory runs out. */
 static int
-add_copy(struct site *t, const struct site *from, const struct rule *r)
+add_copy(struct site *site, const struct site *from, const struct rule *r)
 {
-	struct rule *to = site_add_rule(t);
+	struct rule *to = site_add_rule(site);
 	int i, n;
 
 	if (rule_copy(to, r) != 0)
 		return (-1);
 	for (i = 0; i < to->nbackends; i++) {
 		n = site_service(
-		    t, from->services[r->backends[i].service].name);
+		    site, from->services[r->backends[i].service].name);
 		if (n < 0)
 			return (-1);
 		to->backends[i].service = n;
@@ -65,27 +65,27 @@
 }
 
 /* Consecutive rules of a configuration that match the same requests. */
-struct group {
+struct rule_group {
 	const struct site *site;
 	int from;
 	int end; /* index after the last */
 };
 
 /* Returns the group that begins with a rule. */
-static struct group
-group_at(const struct site *t, int from)
+static struct rule_group
+group_at(const struct site *site, int from)
 {
-	struct group g = {t, from, from + 1};
+	struct rule_group g = {site, from, from + 1};
 
-	while (g.end < t->nrules &&
-	    rule_cmp(&t->rules[from], &t->rules[g.end]) == 0)
+	while (g.end < site->nrules &&
+	    rule_cmp(&site->rules[from], &site->rules[g.end]) == 0)
 		g.end++;
 	return (g);
 }
 
 /* True if two groups have the same rules. */
 static int
-same_group(const struct group *a, const struct group *b)
+same_group(const struct rule_group *a, const struct rule_group *b)
 {
 	int i, n = a->end - a->from;
 
@@ -101,7 +101,7 @@
 
 /* Adds all rules of a group to a difference; 0, or -1. */
 static int
-add_group(struct site *c, const struct group *g)
+add_group(struct site *c, const struct rule_group *g)
 {
 	int i;
 
@@ -131,7 +131,7 @@
 static int
 add_changed(struct site *c, const struct site *old, const struct site *new)
 {
-	struct group a = {old, 0, 0}, b = {new, 0, 0};
+	struct rule_group a = {old, 0, 0}, b = {new, 0, 0};
 	int order, st;
 
 	while (a.from < old->nrules || b.from < new->nrules) {
@@ -180,7 +180,8 @@
 /* Adds the rules of a configuration that a difference leaves as they are; 0, or
  * -1. */
 static int
-add_unchanged(struct site *t, const struct site *old, const struct site *diff)
+add_unchanged(
+    struct site *site, const struct site *old, const struct site *diff)
 {
 	int i, k = 0, order = 1;
 
@@ -190,7 +191,7 @@
 			k++;
 		if (k < diff->nrules && order == 0)
 			continue;
-		if (add_copy(t, old, &old->rules[i]) != 0)
+		if (add_copy(site, old, &old->rules[i]) != 0)
 			return (-1);
 	}
 	return (0);
@@ -205,23 +206,23 @@
 struct site *
 site_apply(const struct site *old, const struct site *diff)
 {
-	struct site *t;
+	struct site *site;
 	int i, failed;
 
 	if (old->version != diff->since)
 		return (NULL);
-	t = copy_without_rules(diff, old->nrules + diff->nrules);
-	if (t == NULL)
+	site = copy_without_rules(diff, old->nrules + diff->nrules);
+	if (site == NULL)
 		return (NULL);
-	failed = add_unchanged(t, old, diff) != 0;
+	failed = add_unchanged(site, old, diff) != 0;
 	for (i = 0; i < diff->nrules && !failed; i++) {
 		if (!diff->rules[i].gone)
-			failed = add_copy(t, diff, &diff->rules[i]) != 0;
+			failed = add_copy(site, diff, &diff->rules[i]) != 0;
 	}
 	if (failed) {
-		site_free(t);
+		site_free(site);
 		return (NULL);
 	}
-	site_finish(t);
-	return (t);
+	site_finish(site);
+	return (site);
 }
--- a/decide/standby.c
+++ b/decide/standby.c
@@ -95,10 +95,11 @@
 	return (got);
 }
 
-/* True if a controller is too small for its fleet (max_hosts 0 is not known).
+/*
+ * True if a controller is too small for its fleet; max_hosts is 0 if not known.
  */
 int
-strained(int max_hosts, int hosts)
+is_overloaded(int max_hosts, int hosts)
 {
 	return (max_hosts > 0 && max_hosts < hosts);
 }
@@ -119,7 +120,7 @@
 {
 	int i;
 
-	if (!strained(max_hosts, hosts) || !feature_on(FEATURE_STANDBY))
+	if (!is_overloaded(max_hosts, hosts) || !feature_on(FEATURE_STANDBY))
 		return (0);
 	for (i = 0; i < n; i++) {
 		if (c[i].is_standby && c[i].store &&
--- a/decide/standby.h
+++ b/decide/standby.h
@@ -1,4 +1,4 @@
-/* Choice of the standbys of a site's controller by size and data centre. */
+/* Choice of a controller's standbys by size and data centre. */
 #ifndef STANDBY_H
 #define STANDBY_H
 
@@ -15,7 +15,7 @@
 
 int host_capacity(double cores, double link_mbps);
 usec bootstrap_delay(int max_hosts);
-int strained(int max_hosts, int hosts);
+int is_overloaded(int max_hosts, int hosts);
 int larger_standby_ready(
     const struct candidate *, int n, int max_hosts, int hosts);
 int standbys_pick(const struct candidate *, int n, const char *dc,
--- a/decide/stop_plan.h
+++ b/decide/stop_plan.h
@@ -1,5 +1,5 @@
 /*
- * The schedule of a host's orderly stop: until when it accepts requests, and
+ * The schedule of a host's orderly stop: when it stops accepting requests, and
  * when the last of them must be answered.
  */
 #ifndef STOP_PLAN_H
--- a/decide/term.c
+++ b/decide/term.c
@@ -14,9 +14,9 @@
  */
 #define HOLDER_STUCK_AFTER MS(3000)
 /*
- * The same where the holder itself reports that its lease has expired: standbys
- * read the record only then, when it has been unchanged for a control lease
- * already.
+ * A standby refuses promises this early if the holder itself reports that its
+ * lease has expired: standbys read the record only then, when it has been
+ * unchanged for a control lease already.
  */
 #define LATE_HOLDER_STUCK_AFTER MS(1200)
 /* Interval between reads of a host that is not a standby. */
@@ -60,7 +60,7 @@
 	    strcmp(running->addr, was->addr) == 0);
 }
 
-/* Initialises the state for one cell; seed is random and differs by process. */
+/* Initializes the state for one cell; seed is random and differs by process. */
 void
 term_init(struct term *t, const struct term_conf *conf,
     const struct term_callbacks *cb, void *arg, uint64_t seed)
@@ -270,7 +270,7 @@
 		/*
 		 * The outcome is unknown even after a conflict, which an
 		 * earlier attempt of the same write may have caused. Only
-		 * reading the record tells.
+		 * reading the record shows.
 		 */
 		t->put_unknown = 1;
 		t->next_get = now;
@@ -601,7 +601,7 @@
 	t->eligible = 0;
 }
 
-/* The same for good, as this host's process shuts down. */
+/* Releases control for good, as this host's process shuts down. */
 void
 term_leave(struct term *t, usec now)
 {
@@ -618,7 +618,7 @@
 }
 
 /*
- * True if the record has been unchanged for so long that this host may take
+ * True if the record has been unchanged long enough for this host to take
  * control.
  */
 static int
@@ -726,7 +726,7 @@
 
 /*
  * Returns the interval between promise requests. While the platform answers,
- * promises are not needed, and requests only tell standbys that they are
+ * promises are not needed, and requests only inform standbys that they are
  * listed; when a renewal is late, half a lease is left to collect promises.
  */
 static usec
--- a/decide/term.h
+++ b/decide/term.h
@@ -50,7 +50,7 @@
 	usec renew;	 /* interval between renewals */
 	/*
 	 * The holder announces the record's version (term_version_announced),
-	 * so that standbys that hear it need not read the record.
+	 * so that standbys that receive it need not read the record.
 	 */
 	int version_announced;
 	/*
--- a/gsparctl/catalogue.c
+++ b/gsparctl/catalogue.c
@@ -152,8 +152,8 @@
 	return (EXIT_CONFLICT);
 }
 
-/* Returns the entry with a unique id of this edit, which tells after a lost
- * answer whether it was written.  The caller frees it. */
+/* Returns the entry with a unique id of this edit, by which it can be
+ * seen after a lost answer whether it was written.  The caller frees it. */
 static char *
 add_edit_id(const struct str *in, char *edit, size_t size)
 {
--- a/gspard/direct_outcome.c
+++ b/gspard/direct_outcome.c
@@ -13,7 +13,8 @@
  * full or did not own the key.  The rule's limit counts only those that may
  * have run. */
 #define TRIES_MAX 4
-/* Retry delay of a request that was sent to a target that does not own its key.
+/*
+ * Retry delay of a request that was sent to a target that does not own its key.
  */
 #define NOT_OWNER_RETRY_DELAY MS(250)
 /* Weight of a new sample in the average time of requests. */
@@ -110,7 +111,7 @@
 	struct target_state *s = p->attempt->target;
 
 	if (kind == REPLY_NOT_OWNER) {
-		count_add(C_MISSENT, 1);
+		count_add(C_NOT_OWNER, 1);
 		/* The address now belongs to another target. */
 		if (p->attempt->t.reply.instance[0] != '\0' &&
 		    !incarnation_is_of(s->id, p->attempt->t.reply.instance)) {
@@ -126,9 +127,10 @@
 	} else
 		count_add(C_TARGET_FULL, 1);
 	log_request("router", p->call->id,
-	    "%s by target %s at %s, key %d, owners %llu, try %d",
-	    kind == REPLY_NOT_OWNER ? "not owned" : "refused", s->id, s->addr,
-	    p->call->key_number,
+	    "%s by target %s at %s, key %d, owners version %llu, "
+	    "attempt %d",
+	    kind == REPLY_NOT_OWNER ? "key not owned" : "refused", s->id,
+	    s->addr, p->call->key_number,
 	    o == NULL ? 0ull : (unsigned long long)o->number, p->tries);
 	if (may_resend(p, 1, now))
 		retry(d, p, now);
@@ -143,7 +145,7 @@
 	int code =
 	    p->attempt->t.reply.too_large ? GS_ANSWER_LARGE : GS_TARGET_LOST;
 
-	count_add(res == CURLE_OK ? C_FOREIGN : C_BROKE, 1);
+	count_add(res == CURLE_OK ? C_ANSWER_FOREIGN : C_TARGET_LOST, 1);
 	p->ran++;
 	crash_add_unanswered(d, p, now);
 	if (res != CURLE_OK && code == GS_TARGET_LOST)
--- a/gspard/site_frame.c
+++ b/gspard/site_frame.c
@@ -16,13 +16,13 @@
 
 /* Encodes the services. */
 static void
-fill_services(struct site_frame *f, const struct site *t)
+fill_services(struct site_frame *f, const struct site *site)
 {
 	const struct site_service *s;
 	int i;
 
-	for (i = 0; i < t->nservices; i++) {
-		s = &t->services[i];
+	for (i = 0; i < site->nservices; i++) {
+		s = &site->services[i];
 		gspar__site_service__init(&f->services[i]);
 		f->services[i].name = (char *)s->name;
 		f->services[i].keyed = s->keyed;
@@ -33,7 +33,7 @@
 		f->service_list[i] = &f->services[i];
 	}
 	f->msg.services = f->service_list;
-	f->msg.n_services = (size_t)t->nservices;
+	f->msg.n_services = (size_t)site->nservices;
 }
 
 /*
@@ -79,13 +79,13 @@
 
 /* Returns the number of backends of all rules. */
 static size_t
-count_backends(const struct site *t)
+count_backends(const struct site *site)
 {
 	size_t n = 0;
 	int i;
 
-	for (i = 0; i < t->nrules; i++)
-		n += (size_t)t->rules[i].nbackends;
+	for (i = 0; i < site->nrules; i++)
+		n += (size_t)site->rules[i].nbackends;
 	return (n);
 }
 
@@ -94,9 +94,9 @@
  * 0, or -1 if memory runs out; site_frame_free() is needed either way.
  */
 int
-site_frame_fill(struct site_frame *f, const struct site *t)
+site_frame_fill(struct site_frame *f, const struct site *site)
 {
-	size_t ns = (size_t)t->nservices + 1, nr = (size_t)t->nrules + 1;
+	size_t ns = (size_t)site->nservices + 1, nr = (size_t)site->nrules + 1;
 	uint32_t *backends;
 	int i;
 
@@ -108,26 +108,26 @@
 	f->rules = calloc(nr, sizeof(*f->rules));
 	f->rule_list = calloc(nr, sizeof(*f->rule_list));
 	f->backends = backends =
-	    calloc(2 * count_backends(t) + 1, sizeof(*f->backends));
+	    calloc(2 * count_backends(site) + 1, sizeof(*f->backends));
 	if (f->hosts == NULL || f->services == NULL ||
 	    f->service_list == NULL || f->rules == NULL ||
 	    f->rule_list == NULL || f->backends == NULL)
 		return (-1);
-	fill_services(f, t);
+	fill_services(f, site);
 	f->msg.hosts = f->hosts;
-	for (i = 0; i < t->nrules; i++) {
-		fill_rule(f, &f->rules[i], &t->rules[i], backends);
-		backends += 2 * t->rules[i].nbackends;
+	for (i = 0; i < site->nrules; i++) {
+		fill_rule(f, &f->rules[i], &site->rules[i], backends);
+		backends += 2 * site->rules[i].nbackends;
 		f->rule_list[i] = &f->rules[i];
 	}
 	f->msg.rules = f->rule_list;
-	f->msg.n_rules = (size_t)t->nrules;
-	f->msg.version = t->version;
-	f->msg.since = t->since;
-	f->msg.head_max = t->head_max;
-	f->msg.body_max = t->body_max;
-	f->msg.head_time = (uint64_t)t->head_time;
-	f->msg.idle_time = (uint64_t)t->idle_time;
+	f->msg.n_rules = (size_t)site->nrules;
+	f->msg.version = site->version;
+	f->msg.since = site->since;
+	f->msg.head_max = site->head_max;
+	f->msg.body_max = site->body_max;
+	f->msg.head_time = (uint64_t)site->head_time;
+	f->msg.idle_time = (uint64_t)site->idle_time;
 	return (0);
 }
 
@@ -152,7 +152,7 @@
 
 /* Decodes the services; returns 0, or -1 if they are not valid. */
 static int
-read_services(struct site *t, const Gspar__SiteTold *w)
+read_services(struct site *site, const Gspar__SiteTold *w)
 {
 	struct site_service *s;
 	size_t i;
@@ -160,7 +160,7 @@
 	if (w->n_services > SITE_SERVICES_MAX)
 		return (-1);
 	for (i = 0; i < w->n_services; i++) {
-		s = &t->services[t->nservices++];
+		s = &site->services[site->nservices++];
 		if (name_copy(s->name, sizeof(s->name), w->services[i]->name) !=
 		    0)
 			return (-1);
@@ -193,9 +193,10 @@
 
 /* Decodes one rule; returns 0, or -1 if it is not valid. */
 static int
-read_rule(struct site *t, const Gspar__SiteTold *w, const Gspar__SiteRule *in)
+read_rule(
+    struct site *site, const Gspar__SiteTold *w, const Gspar__SiteRule *in)
 {
-	struct rule *r = site_add_rule(t);
+	struct rule *r = site_add_rule(site);
 
 	if (in->host >= w->n_hosts ||
 	    str_set(&r->host, w->hosts[in->host], strlen(w->hosts[in->host])) !=
@@ -208,7 +209,7 @@
 	r->attempts = (int)in->attempts;
 	r->priority = in->priority;
 	r->gone = in->gone;
-	return (read_backends(r, in, t->nservices));
+	return (read_backends(r, in, site->nservices));
 }
 
 /*
@@ -218,25 +219,25 @@
 struct site *
 site_frame_read(const Gspar__SiteTold *w)
 {
-	struct site *t = site_new((int)w->n_rules);
+	struct site *site = site_new((int)w->n_rules);
 	size_t i;
 	int bad;
 
-	if (t == NULL)
+	if (site == NULL)
 		return (NULL);
-	t->version = w->version;
-	t->since = w->since;
-	t->head_max = w->head_max;
-	t->body_max = w->body_max;
-	t->head_time = (usec)w->head_time;
-	t->idle_time = (usec)w->idle_time;
-	bad = w->version == 0 || read_services(t, w) != 0;
+	site->version = w->version;
+	site->since = w->since;
+	site->head_max = w->head_max;
+	site->body_max = w->body_max;
+	site->head_time = (usec)w->head_time;
+	site->idle_time = (usec)w->idle_time;
+	bad = w->version == 0 || read_services(site, w) != 0;
 	for (i = 0; i < w->n_rules && !bad; i++)
-		bad = read_rule(t, w, w->rules[i]) != 0;
+		bad = read_rule(site, w, w->rules[i]) != 0;
 	if (bad) {
-		site_free(t);
+		site_free(site);
 		return (NULL);
 	}
-	site_finish(t);
-	return (t);
+	site_finish(site);
+	return (site);
 }
--- a/gspard/sitectl_broadcast.c
+++ b/gspard/sitectl_broadcast.c
@@ -38,9 +38,9 @@
 		return (NULL);
 	o->number = owners_number(k);
 	/*
-	 * Hosts that were not heard recently count too: they may still send
-	 * although they are cut off, and the shares of a rate limit must not
-	 * add up to more than it.
+	 * Hosts that were not heard from recently count too: they may still
+	 * send although they are cut off, and the shares of a rate limit must
+	 * not add up to more than it.
 	 */
 	o->hosts = k->nhosts;
 	for (i = 0; i < k->nkeys; i++)
@@ -240,7 +240,7 @@
 	const struct conf *conf = kernel_conf(k->s->kernel);
 	Gspar__HostAddr hosts[SITECTL_HOSTS_MAX], *list[SITECTL_HOSTS_MAX];
 	Gspar__HostAddr self = GSPAR__HOST_ADDR__INIT;
-	const struct site *t = sitectl_site(k);
+	const struct site *site = sitectl_site(k);
 	const struct fleet *fleet = sitectl_fleet(k);
 	struct sitectl_host *h;
 	int i, late = term_renewal_late(&k->term, now);
@@ -267,7 +267,7 @@
 	w.term = k->term.rec.term;
 	w.number = owners_number(k);
 	w.controller = (char *)(k->resigned ? "" : conf->host);
-	w.site = t == NULL ? 0 : t->version;
+	w.site = site == NULL ? 0 : site->version;
 	w.site_told = k->site_pushed;
 	w.site_from = k->site_request ? k->site_source : "";
 	k->site_request = 0;
@@ -279,7 +279,7 @@
 	 */
 	w.follows = fleet != NULL && k->fresh && !late;
 	w.late = late;
-	w.strained = strained(sitectl_capacity(k), k->nhosts);
+	w.strained = is_overloaded(sitectl_capacity(k), k->nhosts);
 	/*
 	 * Also while targets come and go: changes are sent before the heartbeat
 	 * with their digest, on the same connection, so a host whose list still
@@ -299,7 +299,7 @@
 	}
 }
 
-/* Tells all hosts that this host is no longer the controller. */
+/* Informs all hosts that this host is no longer the controller. */
 void
 broadcast_resignation(struct sitectl *k, usec now)
 {
--- a/gspard/sitectl_relay.c
+++ b/gspard/sitectl_relay.c
@@ -24,7 +24,7 @@
 	return (!k->acting && sitectl_is_standby(k) &&
 	    (!k->controller_follows ||
 		now - k->controller_heard > RELAY_AFTER) &&
-	    !strained(sitectl_capacity(k), k->nhosts));
+	    !is_overloaded(sitectl_capacity(k), k->nhosts));
 }
 
 /* Lists the targets that get no new requests; returns how many. */
@@ -53,7 +53,7 @@
 	Gspar__StoreNews w = GSPAR__STORE_NEWS__INIT;
 	Gspar__Evacuation items[EVACUATIONS_MAX], *list[EVACUATIONS_MAX];
 	Gspar__TargetTold *entries, **targets;
-	const struct site *t = sitectl_site(k);
+	const struct site *site = sitectl_site(k);
 	int i;
 
 	entries = calloc((size_t)f->ntargets + 1, sizeof(*entries));
@@ -61,7 +61,7 @@
 	if (entries == NULL || targets == NULL)
 		goto out;
 	w.term = k->controller_term;
-	w.site = t == NULL ? 0 : t->version;
+	w.site = site == NULL ? 0 : site->version;
 	w.targets = targets;
 	w.n_targets = fill_leaving(f, entries, targets, now);
 	w.evacuations = list;
@@ -97,12 +97,12 @@
 void
 relay_receive(struct sitectl *k, const Gspar__StoreNews *w, usec now)
 {
-	const struct site *t = sitectl_site(k);
+	const struct site *site = sitectl_site(k);
 
 	if (k->acting || w->term < k->controller_term)
 		return;
 	k->follower_heard = now;
 	behind_announced(
-	    &k->behind, t == NULL ? 0 : t->version, w->site, 0, now);
+	    &k->behind, site == NULL ? 0 : site->version, w->site, 0, now);
 	fleet_receive_relay(k, w, now);
 }
--- a/gspard/sitectl_report.c
+++ b/gspard/sitectl_report.c
@@ -66,7 +66,7 @@
 send_report(struct sitectl *k, const struct router_report *h, usec now)
 {
 	const struct conf *conf = kernel_conf(k->s->kernel);
-	const struct site *t = sitectl_site(k);
+	const struct site *site = sitectl_site(k);
 	Gspar__Frame f = GSPAR__FRAME__INIT;
 	const struct fleet *fleet = sitectl_fleet(k);
 	Gspar__HostReport w = GSPAR__HOST_REPORT__INIT;
@@ -87,7 +87,7 @@
 	w.owners = k->number;
 	if (!k->acting && k->term.role != TERM_HOLDER)
 		w.term = k->controller_term;
-	w.site = t == NULL ? 0 : t->version;
+	w.site = site == NULL ? 0 : site->version;
 	w.site_asked = k->site_request;
 	k->site_request = 0;
 	w.fleet = fleet == NULL ? 0 : fleet->digest;
--- a/gspard/sitectl_term.c
+++ b/gspard/sitectl_term.c
@@ -12,7 +12,7 @@
 #include "standby.h"
 
 #define RECORD_PATH KIND_CONTROL "/main"
-/* A host that has not been heard for this long cannot be a standby. */
+/* A host that has not been heard from for this long cannot be a standby. */
 #define STANDBY_SILENCE_MAX MS(1200)
 /*
  * Host lease for the term rules: a new controller waits it out after its
@@ -34,8 +34,9 @@
  */
 #define NEW_CONTROLLER_GRACE MS(2000)
 /*
- * A host that released control because it heard too few hosts is no candidate
- * for this long; a network partition between data centres lasts for seconds.
+ * A host that released control because it heard from too few hosts is no
+ * candidate for this long; a network partition between data centres lasts for
+ * seconds.
  */
 #define YIELD_TIME MS(4000)
 /* Time allowed for moves of keys to complete before control is released. */
@@ -106,7 +107,7 @@
 static const struct term_callbacks term_callbacks = {
     get_record, put_record, send_promise_request, term_event};
 
-/* Initialises the term with this host's settings. */
+/* Initializes the term with this host's settings. */
 void
 sitectl_term_init(struct sitectl *k)
 {
@@ -177,7 +178,7 @@
 	return (n);
 }
 
-/* Chooses the standbys among the hosts that are heard. */
+/* Chooses the standbys among the hosts that are heard from. */
 void
 sitectl_choose_standbys(struct sitectl *k, usec now)
 {
@@ -194,8 +195,8 @@
 }
 
 /*
- * Releases control if most hosts are no longer heard, and is no candidate for a
- * while.  This host counts as heard.
+ * Releases control if most hosts are no longer heard from, and is no candidate
+ * for a while.  This host counts as heard from.
  */
 void
 sitectl_yield_if_isolated(struct sitectl *k, usec now)
@@ -217,10 +218,10 @@
 	}
 	if (k->yielded || k->resigned ||
 	    now - k->acting_since < NEW_CONTROLLER_GRACE ||
-	    hears_enough(heard, n, now))
+	    hears_most_hosts(heard, n, now))
 		return;
 	log_line(LOG_WARNING, "control",
-	    "Most of %d hosts are not heard, releasing control.", n);
+	    "Most of %d hosts are no longer heard from, releasing control.", n);
 	k->yielded = 1;
 	k->eligible_at = now + YIELD_TIME;
 	term_resign(&k->term, now);
@@ -228,7 +229,7 @@
 
 /*
  * Decodes the control record.  One that is not valid is taken for a record
- * without a controller, under a term after the last one that was heard.  If it
+ * without a controller, under a term after the last one that is known.  If it
  * were refused it would block control forever, as no host may overwrite a
  * record that it could not read.
  */
@@ -270,8 +271,9 @@
 }
 
 /*
- * Releases control once moves of keys are complete and written, so that the
- * next controller need not wait for the owners before and after a move.
+ * Releases control once no move of keys is in progress and all changes are
+ * stored, or after HANDOVER_WAIT_MAX.  The next controller then need not wait
+ * for grants of both the old and the new owner of a range to lapse.
  */
 void
 sitectl_release_control(struct sitectl *k, usec now)
@@ -330,7 +332,7 @@
 	}
 	if (!k->acting || k->yielded ||
 	    now - k->acting_since < NEW_CONTROLLER_GRACE ||
-	    !strained(sitectl_capacity(k), k->nhosts))
+	    !is_overloaded(sitectl_capacity(k), k->nhosts))
 		return;
 	n = candidates(k, c, now);
 	if (!larger_standby_ready(c, n, sitectl_capacity(k), k->nhosts))
@@ -354,7 +356,7 @@
 
 	if (!k->controller_overloaded || k->acting ||
 	    now < k->next_store_probe || !is_standby_process(k, &self) ||
-	    strained(sitectl_capacity(k), k->nhosts))
+	    is_overloaded(sitectl_capacity(k), k->nhosts))
 		return;
 	k->next_store_probe = now + STORE_PROBE_INTERVAL;
 	get_record(k);
--- a/lib/conf.h
+++ b/lib/conf.h
@@ -14,7 +14,8 @@
 
 /*
  * Limits that the platform sets for the hosts, in milliseconds if the name ends
- * in _ms.  Used with FORM_OBJECTS only, and may change while running.
+ * in _ms.  Used only with the platform's interface FORM_OBJECTS; may change
+ * while running.
  */
 struct bounds {
 	int leave_ms;	     /* until a leaving target gets no new work */
--- a/lib/count.h
+++ b/lib/count.h
@@ -44,9 +44,11 @@
 	X(C_LOG_DROPPED, "log_dropped", "Log lines not written")               \
 	X(C_WAITED, "waited", "Requests that waited for room at a target")     \
 	X(C_UNREACHED, "unreached", "Tries that did not reach a target")       \
-	X(C_BROKE, "broke", "Requests whose target gave no whole answer")      \
-	X(C_FOREIGN, "foreign", "Answers that belong to no request here")      \
-	X(C_MISSENT, "missent", "Requests that came to no owner of the key")   \
+	X(C_TARGET_LOST, "broke",                                              \
+	    "Requests whose target gave no whole answer")                      \
+	X(C_ANSWER_FOREIGN, "foreign",                                         \
+	    "Answers that belong to no request here")                          \
+	X(C_NOT_OWNER, "missent", "Requests that came to no owner of the key") \
 	X(C_TARGET_FULL, "target_full", "Requests that a full target refused") \
 	X(C_GRANTS_FAILED, "grants_failed", "Orders not answered in time")     \
 	X(C_QUARANTINED, "quarantined",                                        \
--- a/lib/event.c
+++ b/lib/event.c
@@ -28,8 +28,8 @@
 
 /*
  * Records an event and returns its sequence number, which later events may give
- * as their cause; a cause of 0 is none.  When the ring is full the oldest event
- * is overwritten; readers see the gap in the numbers.
+ * as their cause; a cause of 0 means none.  When the ring is full the oldest
+ * event is overwritten; readers see the gap in the numbers.
  */
 uint64_t
 event_add(const char *part, uint64_t cause, const char *fmt, ...)
--- a/lib/feature.h
+++ b/lib/feature.h
@@ -14,7 +14,7 @@
 	FEATURE_FAR,	    /* higher cost of other data centres */
 	FEATURE_FILL,	    /* limit of requests in flight per target */
 	FEATURE_HOTTEST,    /* hottest key to the fastest target */
-	FEATURE_JOIN,	    /* merging of small cold ranges */
+	FEATURE_JOIN,	    /* merging of small idle ranges */
 	FEATURE_NEIGHBOURS, /* load estimate from neighbouring keys */
 	FEATURE_OTHERS,	    /* other hosts' requests at a target */
 	FEATURE_PARK,	    /* waiting while a key has no owner */
--- a/regress/unit/readers.c
+++ b/regress/unit/readers.c
@@ -208,15 +208,15 @@
 static void
 read_frame_body(Gspar__Frame *f)
 {
-	struct site *t, *base_site;
+	struct site *site, *base_site;
 
 	if (f != NULL && f->body_case == GSPAR__FRAME__BODY_SITE_TOLD &&
-	    (t = site_frame_read(f->site_told)) != NULL) {
+	    (site = site_frame_read(f->site_told)) != NULL) {
 		base_site = site_new(0);
-		base_site->version = t->since;
-		site_free(site_apply(base_site, t));
+		base_site->version = site->since;
+		site_free(site_apply(base_site, site));
 		site_free(base_site);
-		site_free(t);
+		site_free(site);
 	}
 	frame_free(f);
 }
@@ -314,21 +314,21 @@
 {
 	const char *why;
 	json_t *o = json_loads(CONFIG, 0, NULL);
-	struct site *t = decode_site_object(o, &why);
+	struct site *site = decode_site_object(o, &why);
 	char *text = strndup(p, n);
 	struct call c;
 
 	memset(&c, 0, sizeof(c));
 	split_request(text);
 	c.uri = text;
-	if (objects_door.parse(&c, t) == GS_OK) {
+	if (objects_door.parse(&c, site) == GS_OK) {
 		require(c.key_number >= -1 && c.key_number < KEYS);
 		require(c.left_ms >= 0 && c.rule != NULL);
 		curl_slist_free_all(objects_target.request(&c, "i-1#17", 100));
 	}
 	str_free(&c.headers);
 	free(text);
-	site_free(t);
+	site_free(site);
 	json_decref(o);
 }
 
--- a/regress/unit/t_hearing.c
+++ b/regress/unit/t_hearing.c
@@ -25,10 +25,10 @@
 	usec heard[12];
 
 	fill(heard, 12, 5, MS(1500));
-	CU_ASSERT(!hears_enough(heard, 12, NOW));
+	CU_ASSERT(!hears_most_hosts(heard, 12, NOW));
 	/* A minority that is not heard is no reason to release control. */
 	fill(heard, 12, 7, MS(1500));
-	CU_ASSERT(hears_enough(heard, 12, NOW));
+	CU_ASSERT(hears_most_hosts(heard, 12, NOW));
 }
 
 /*
@@ -40,10 +40,10 @@
 	usec heard[12];
 
 	fill(heard, 12, 3, MS(20000));
-	CU_ASSERT(hears_enough(heard, 12, NOW));
-	CU_ASSERT(hears_enough(heard, 0, NOW));
+	CU_ASSERT(hears_most_hosts(heard, 12, NOW));
+	CU_ASSERT(hears_most_hosts(heard, 0, NOW));
 	fill(heard, 1, 1, 0);
-	CU_ASSERT(hears_enough(heard, 1, NOW));
+	CU_ASSERT(hears_most_hosts(heard, 1, NOW));
 }
 
 static const struct unit_test tests[] = {
--- a/regress/unit/t_platform.c
+++ b/regress/unit/t_platform.c
@@ -30,38 +30,38 @@
 {
 	json_t *o = json_loads(text, 0, NULL);
 	const char *why;
-	struct site *t = decode_site_object(o, &why);
+	struct site *site = decode_site_object(o, &why);
 
 	json_decref(o);
-	return (t);
+	return (site);
 }
 
 static void
 site(void)
 {
-	struct site *t = decode_config(config);
+	struct site *site = decode_config(config);
 	const struct rule *r;
 	struct str host = {(char *)"a.example", 9}, path = {(char *)"/x/1", 4};
 
-	CU_ASSERT_PTR_NOT_NULL_FATAL(t);
-	CU_ASSERT_EQUAL(t->version, 31);
-	CU_ASSERT_EQUAL(t->idle_time, MS(15000));
-	CU_ASSERT_EQUAL(t->body_max, 200);
-	r = site_find_rule(t, &host, &path);
+	CU_ASSERT_PTR_NOT_NULL_FATAL(site);
+	CU_ASSERT_EQUAL(site->version, 31);
+	CU_ASSERT_EQUAL(site->idle_time, MS(15000));
+	CU_ASSERT_EQUAL(site->body_max, 200);
+	r = site_find_rule(site, &host, &path);
 	CU_ASSERT_PTR_NOT_NULL_FATAL(r);
 	CU_ASSERT(r->idempotent);
 	CU_ASSERT_EQUAL(r->timeout, MS(1200));
 	CU_ASSERT_EQUAL(r->aim, MS(300));
 	CU_ASSERT_EQUAL(r->nbackends, 2);
 	CU_ASSERT_EQUAL(r->total_weight, 100);
-	CU_ASSERT(t->services[r->backends[0].service].keyed);
-	CU_ASSERT(!t->services[r->backends[1].service].keyed);
+	CU_ASSERT(site->services[r->backends[0].service].keyed);
+	CU_ASSERT(!site->services[r->backends[1].service].keyed);
 	CU_ASSERT_EQUAL(
-	    t->services[r->backends[0].service].cold_start, MS(2500));
+	    site->services[r->backends[0].service].cold_start, MS(2500));
 	CU_ASSERT_DOUBLE_EQUAL(
-	    t->services[r->backends[0].service].cold_rate, 5.8, 1e-9);
-	CU_ASSERT(t->services[r->backends[1].service].cold_rate == 0);
-	site_free(t);
+	    site->services[r->backends[0].service].cold_rate, 5.8, 1e-9);
+	CU_ASSERT(site->services[r->backends[1].service].cold_rate == 0);
+	site_free(site);
 }
 
 /* An invalid configuration is refused as a whole. */
--- a/regress/unit/t_site.c
+++ b/regress/unit/t_site.c
@@ -7,9 +7,9 @@
 
 /* Adds a rule. */
 static struct rule *
-add(struct site *t, const char *host, const char *prefix)
+add(struct site *site, const char *host, const char *prefix)
 {
-	struct rule *r = site_add_rule(t);
+	struct rule *r = site_add_rule(site);
 
 	str_set(&r->host, host, strlen(host));
 	str_set(&r->prefix, prefix, strlen(prefix));
@@ -18,49 +18,49 @@
 
 /* Finds the rule for a request. */
 static const struct rule *
-find(const struct site *t, const char *host, const char *path)
+find(const struct site *site, const char *host, const char *path)
 {
 	struct str h = {(char *)host, strlen(host)};
 	struct str p = {(char *)path, strlen(path)};
 
-	return (site_find_rule(t, &h, &p));
+	return (site_find_rule(site, &h, &p));
 }
 
 /* Makes a configuration with rules for two hosts. */
 static struct site *
 make_site(void)
 {
-	struct site *t = site_new(4);
-
-	add(t, "a.example", "/")->priority = 1;
-	add(t, "b.example", "/x/")->priority = 2;
-	add(t, "a.example", "/x/y/")->priority = 3;
-	add(t, "a.example", "/x/")->priority = 4;
-	site_finish(t);
-	return (t);
+	struct site *site = site_new(4);
+
+	add(site, "a.example", "/")->priority = 1;
+	add(site, "b.example", "/x/")->priority = 2;
+	add(site, "a.example", "/x/y/")->priority = 3;
+	add(site, "a.example", "/x/")->priority = 4;
+	site_finish(site);
+	return (site);
 }
 
 static void
 longest_prefix(void)
 {
-	struct site *t = make_site();
+	struct site *site = make_site();
 
-	CU_ASSERT_EQUAL(find(t, "a.example", "/x/y/z")->priority, 3);
-	CU_ASSERT_EQUAL(find(t, "a.example", "/x/yy")->priority, 4);
-	CU_ASSERT_EQUAL(find(t, "a.example", "/x")->priority, 1);
-	CU_ASSERT_EQUAL(find(t, "A.Example", "/x/")->priority, 4);
-	site_free(t);
+	CU_ASSERT_EQUAL(find(site, "a.example", "/x/y/z")->priority, 3);
+	CU_ASSERT_EQUAL(find(site, "a.example", "/x/yy")->priority, 4);
+	CU_ASSERT_EQUAL(find(site, "a.example", "/x")->priority, 1);
+	CU_ASSERT_EQUAL(find(site, "A.Example", "/x/")->priority, 4);
+	site_free(site);
 }
 
 static void
 no_rule(void)
 {
-	struct site *t = make_site();
+	struct site *site = make_site();
 
-	CU_ASSERT_PTR_NULL(find(t, "b.example", "/y/"));
-	CU_ASSERT_PTR_NULL(find(t, "c.example", "/"));
-	CU_ASSERT_PTR_NULL(find(t, "a.example.org", "/"));
-	site_free(t);
+	CU_ASSERT_PTR_NULL(find(site, "b.example", "/y/"));
+	CU_ASSERT_PTR_NULL(find(site, "c.example", "/"));
+	CU_ASSERT_PTR_NULL(find(site, "a.example.org", "/"));
+	site_free(site);
 }
 
 /*
--- a/regress/unit/t_site_change.c
+++ b/regress/unit/t_site_change.c
@@ -14,22 +14,22 @@
 static struct site *
 empty(uint64_t version, int nservices)
 {
-	struct site *t = site_new(2 * RULES);
+	struct site *site = site_new(2 * RULES);
 	int i;
 
-	t->version = version;
+	site->version = version;
 	for (i = 0; i < nservices; i++)
-		snprintf(
-		    t->services[t->nservices++].name, NAME_MAX_GS, "s%d", i);
-	t->head_max = (size_t)version * 10;
-	return (t);
+		snprintf(site->services[site->nservices++].name, NAME_MAX_GS,
+		    "s%d", i);
+	site->head_max = (size_t)version * 10;
+	return (site);
 }
 
 /* Adds a rule with one service. */
 static struct rule *
-add(struct site *t, const char *host, int prefix, int service)
+add(struct site *site, const char *host, int prefix, int service)
 {
-	struct rule *r = site_add_rule(t);
+	struct rule *r = site_add_rule(site);
 	char p[32];
 
 	snprintf(p, sizeof(p), "/%d/", prefix);
@@ -140,13 +140,13 @@
 random_site(uint64_t version, unsigned *seed)
 {
 	static const char *const hosts[] = {"a.example", "B.example", "c"};
-	struct site *t = empty(version, 1 + rand_r(seed) % SERVICES);
+	struct site *site = empty(version, 1 + rand_r(seed) % SERVICES);
 	struct rule *r;
 	int i, n = rand_r(seed) % RULES;
 
 	for (i = 0; i < n; i++) {
-		r = add(t, hosts[rand_r(seed) % 3], rand_r(seed) % 12,
-		    rand_r(seed) % t->nservices);
+		r = add(site, hosts[rand_r(seed) % 3], rand_r(seed) % 12,
+		    rand_r(seed) % site->nservices);
 		r->priority = rand_r(seed) % 2;
 		if (rand_r(seed) % 3 == 0) {
 			r->backends[1] = r->backends[0];
@@ -154,8 +154,8 @@
 			r->nbackends = 2;
 		}
 	}
-	site_finish(t);
-	return (t);
+	site_finish(site);
+	return (site);
 }
 
 /* Differences between random configurations. */
--- a/regress/unit/t_site_frame.c
+++ b/regress/unit/t_site_frame.c
@@ -14,25 +14,25 @@
 static struct site *
 make_site(void)
 {
-	struct site *t = site_new(3);
+	struct site *site = site_new(3);
 	struct rule *r;
 	int i;
 
-	t->version = 31;
-	t->nservices = 2;
-	strcpy(t->services[0].name, "keyed");
-	t->services[0].keyed = 1;
-	t->services[0].max_conns = 130;
-	t->services[0].warmup = MS(3000);
-	t->services[0].cold_start = MS(2500);
-	t->services[0].cold_rate = 5.8;
-	strcpy(t->services[1].name, "plain");
-	t->head_max = 100;
-	t->body_max = 67108864;
-	t->head_time = MS(3000);
-	t->idle_time = MS(15000);
+	site->version = 31;
+	site->nservices = 2;
+	strcpy(site->services[0].name, "keyed");
+	site->services[0].keyed = 1;
+	site->services[0].max_conns = 130;
+	site->services[0].warmup = MS(3000);
+	site->services[0].cold_start = MS(2500);
+	site->services[0].cold_rate = 5.8;
+	strcpy(site->services[1].name, "plain");
+	site->head_max = 100;
+	site->body_max = 67108864;
+	site->head_time = MS(3000);
+	site->idle_time = MS(15000);
 	for (i = 0; i < 3; i++) {
-		r = site_add_rule(t);
+		r = site_add_rule(site);
 		str_set(&r->host, i < 2 ? "a.example" : "b.example", 9);
 		str_set(&r->prefix, &"/xy/"[i], 4 - (size_t)i);
 		r->idempotent = i == 1;
@@ -45,13 +45,13 @@
 		r->backends[0].weight = 90;
 		r->backends[1].weight = 10;
 	}
-	site_finish(t);
-	return (t);
+	site_finish(site);
+	return (site);
 }
 
 /* Encodes and decodes a configuration as on the wire. */
 static struct site *
-encode_decode(const struct site *t)
+encode_decode(const struct site *site)
 {
 	struct site_frame f;
 	Gspar__SiteTold *w;
@@ -59,7 +59,7 @@
 	uint8_t *buf;
 	size_t n;
 
-	CU_ASSERT_EQUAL_FATAL(site_frame_fill(&f, t), 0);
+	CU_ASSERT_EQUAL_FATAL(site_frame_fill(&f, site), 0);
 	n = site_frame_size(&f);
 	buf = malloc(n);
 	CU_ASSERT_EQUAL(gspar__site_told__pack(&f.msg, buf), n);
@@ -76,7 +76,7 @@
 static void
 round_trip(void)
 {
-	struct site *t = make_site(), *got = encode_decode(t);
+	struct site *site = make_site(), *got = encode_decode(site);
 	const struct rule *a, *b;
 	int i;
 
@@ -85,14 +85,14 @@
 	CU_ASSERT_EQUAL(got->since, 0);
 	CU_ASSERT_EQUAL(got->nservices, 2);
 	CU_ASSERT_EQUAL(
-	    memcmp(got->services, t->services, sizeof(t->services)), 0);
+	    memcmp(got->services, site->services, sizeof(site->services)), 0);
 	CU_ASSERT_EQUAL(got->head_max, 100);
 	CU_ASSERT_EQUAL(got->body_max, 67108864);
 	CU_ASSERT_EQUAL(got->head_time, MS(3000));
 	CU_ASSERT_EQUAL(got->idle_time, MS(15000));
-	CU_ASSERT_EQUAL_FATAL(got->nrules, t->nrules);
-	for (i = 0; i < t->nrules; i++) {
-		a = &t->rules[i];
+	CU_ASSERT_EQUAL_FATAL(got->nrules, site->nrules);
+	for (i = 0; i < site->nrules; i++) {
+		a = &site->rules[i];
 		b = &got->rules[i];
 		CU_ASSERT_EQUAL(rule_cmp(a, b), 0);
 		CU_ASSERT_STRING_EQUAL(a->host.p, b->host.p);
@@ -105,7 +105,7 @@
 		CU_ASSERT_EQUAL(a->nbackends, b->nbackends);
 		CU_ASSERT_EQUAL(a->backends[0].service, b->backends[0].service);
 	}
-	site_free(t);
+	site_free(site);
 	site_free(got);
 }
 
@@ -140,11 +140,11 @@
 static void
 invalid_messages(void)
 {
-	struct site *t = make_site();
+	struct site *site = make_site();
 	struct site_frame f;
 	char name[2 * NAME_MAX_GS];
 
-	CU_ASSERT_EQUAL_FATAL(site_frame_fill(&f, t), 0);
+	CU_ASSERT_EQUAL_FATAL(site_frame_fill(&f, site), 0);
 	f.rules[0].host = 9;
 	CU_ASSERT_PTR_NULL(site_frame_read(&f.msg));
 	f.rules[0].host = 0;
@@ -158,11 +158,11 @@
 	name[sizeof(name) - 1] = '\0';
 	f.services[1].name = name;
 	CU_ASSERT_PTR_NULL(site_frame_read(&f.msg));
-	f.services[1].name = t->services[1].name;
+	f.services[1].name = site->services[1].name;
 	f.msg.version = 0;
 	CU_ASSERT_PTR_NULL(site_frame_read(&f.msg));
 	site_frame_free(&f);
-	site_free(t);
+	site_free(site);
 }
 
 static const struct unit_test tests[] = {
--- a/standin/server.c
+++ b/standin/server.c
@@ -49,7 +49,7 @@
 static int fail_all;	     /* answers 500 */
 static int refusals_left;    /* number of requests refused as if full */
 static double rate_limit;    /* stated in answers, but not in failures; in
-				 requests per second, 0 is none; set in
+				 requests per second, 0 if none; set in
 				 hundredths */
 static int reset_new;	     /* closes new connections without an answer */
 
--- a/standin/web.h
+++ b/standin/web.h
@@ -32,7 +32,7 @@
 	int nheaders;
 	/* Close the connection without an answer. */
 	int drop;
-	/* If not 0, end the body after so many bytes, before its
+	/* If not 0, end the body after this many bytes, before its
 	 * Content-Length. */
 	size_t truncate_at;
 };
