--- a/gspard/call.h
+++ b/gspard/call.h
@@ -47,7 +47,8 @@
 	struct str body;
 	int ticket;  /* asks for a ticket */
 	int left_ms; /* time until its deadline */
-	/* Set by the platform's form only. */
+	/* The members below are used only with the platform's interface
+	 * FORM_OBJECTS. */
 	struct shared *site; /* the configuration that owns the rule */
 	const struct rule *rule;
 	struct str headers; /* to pass on; lines end in CRLF */
--- a/gspard/ctl_catalogue.c
+++ b/gspard/ctl_catalogue.c
@@ -31,15 +31,15 @@
 static struct catalogue_entry *
 add_entry(struct control *c, const char *service)
 {
-	struct catalogue_entry *h = find_entry(c, service);
+	struct catalogue_entry *entry = find_entry(c, service);
 
-	if (h != NULL || c->nentries == CELL_SERVICES * 2 ||
+	if (entry != NULL || c->nentries == CELL_SERVICES * 2 ||
 	    !name_ok(service, strlen(service)))
-		return (h);
-	h = &c->entries[c->nentries++];
-	memset(h, 0, sizeof(*h));
-	name_copy(h->service, sizeof(h->service), service);
-	return (h);
+		return (entry);
+	entry = &c->entries[c->nentries++];
+	memset(entry, 0, sizeof(*entry));
+	name_copy(entry->service, sizeof(entry->service), service);
+	return (entry);
 }
 
 /* A digest of all names and versions that does not depend on their order. */
@@ -151,14 +151,14 @@
     const void *p, size_t n, usec now)
 {
 	struct control *c = s->state;
-	struct catalogue_entry *h = add_entry(c, service);
+	struct catalogue_entry *entry = add_entry(c, service);
 	struct entry *e;
 	char why[300];
 
-	if (h == NULL || version <= h->version)
+	if (entry == NULL || version <= entry->version)
 		return;
-	if (version > h->last_requested)
-		h->last_requested = version;
+	if (version > entry->last_requested)
+		entry->last_requested = version;
 	e = entry_parse(p, n, why, sizeof(why));
 	if (e != NULL && strcmp(e->name, service) != 0) {
 		snprintf(why, sizeof(why), "entry.name: allowed: %s", service);
@@ -166,20 +166,21 @@
 		e = NULL;
 	}
 	if (e == NULL) {
-		event_add("catalogue", 0, "%s version %llu refused: %s",
-		    service, (unsigned long long)version, why);
+		event_add("catalogue", 0,
+		    "entry %s version %llu is not valid: %s", service,
+		    (unsigned long long)version, why);
 		log_line(LOG_ERR, "catalogue",
 		    "Entry %s version %llu is not valid, the last good one "
 		    "stays: %s.",
 		    service, (unsigned long long)version, why);
 		return;
 	}
-	entry_free(h->entry);
-	h->entry = e;
-	h->version = version;
+	entry_free(entry->entry);
+	entry->entry = e;
+	entry->version = version;
 	e->version = version;
-	str_set(&h->json, p, n);
-	event_add("catalogue", 0, "%s version %llu in force", service,
+	str_set(&entry->json, p, n);
+	event_add("catalogue", 0, "entry %s version %llu in force", service,
 	    (unsigned long long)version);
 	log_line(LOG_INFO, "catalogue", "Entry %s version %llu in force.",
 	    service, (unsigned long long)version);
@@ -189,15 +190,16 @@
 
 /* Requests one entry from the platform. */
 static void
-request_entry(struct service *s, struct catalogue_entry *h, uint64_t version)
+request_entry(
+    struct service *s, struct catalogue_entry *entry, uint64_t version)
 {
 	struct store *st;
 	char path[NAME_MAX_GS + 16];
 
-	h->last_requested = version;
-	snprintf(path, sizeof(path), CATALOGUE_PREFIX "%s", h->service);
+	entry->last_requested = version;
+	snprintf(path, sizeof(path), CATALOGUE_PREFIX "%s", entry->service);
 	st = store_new(STORE_GET, "control", path);
-	snprintf(st->tag, sizeof(st->tag), "cat %s", h->service);
+	snprintf(st->tag, sizeof(st->tag), "cat %s", entry->service);
 	store_send(s->kernel, st);
 }
 
@@ -206,7 +208,7 @@
 parse_list(struct service *s, struct str *body)
 {
 	struct control *c = s->state;
-	struct catalogue_entry *h;
+	struct catalogue_entry *entry;
 	char *line, *rest, name[NAME_MAX_GS];
 	unsigned long long version;
 
@@ -217,10 +219,10 @@
 		if (sscanf(line, "%llu " CATALOGUE_PREFIX "%63s", &version,
 			name) != 2)
 			continue;
-		h = add_entry(c, name);
-		if (h != NULL && version > h->version &&
-		    version > h->last_requested)
-			request_entry(s, h, version);
+		entry = add_entry(c, name);
+		if (entry != NULL && version > entry->version &&
+		    version > entry->last_requested)
+			request_entry(s, entry, version);
 	}
 }
 
@@ -229,7 +231,7 @@
 catalogue_store_done(struct service *s, const struct store *st, usec now)
 {
 	struct control *c = s->state;
-	struct catalogue_entry *h;
+	struct catalogue_entry *entry;
 	const char *name = st->tag + 4;
 
 	if (st->op == STORE_LIST) {
@@ -238,11 +240,11 @@
 			parse_list(s, (struct str *)&st->body);
 		return;
 	}
-	h = find_entry(c, name);
+	entry = find_entry(c, name);
 	if (st->status == 200)
 		adopt_entry(s, name, st->version, st->body.p, st->body.n, now);
-	else if (h != NULL)
-		h->last_requested = h->version;
+	else if (entry != NULL)
+		entry->last_requested = entry->version;
 }
 
 /* True if this host controls any cell. */
@@ -304,25 +306,26 @@
 	struct control *c = s->state;
 	Gspar__Frame f = GSPAR__FRAME__INIT;
 	Gspar__CatalogueEntry e = GSPAR__CATALOGUE_ENTRY__INIT;
-	struct catalogue_entry *h;
+	struct catalogue_entry *entry;
 	size_t k;
 	int i;
 
 	f.body_case = GSPAR__FRAME__BODY_CATALOGUE_ENTRY;
 	f.catalogue_entry = &e;
 	for (i = 0; i < c->nentries; i++) {
-		h = &c->entries[i];
+		entry = &c->entries[i];
 		for (k = 0; k < ask->n_seen; k++) {
-			if (strcmp(ask->seen[k]->service, h->service) == 0)
+			if (strcmp(ask->seen[k]->service, entry->service) == 0)
 				break;
 		}
-		if (h->entry == NULL ||
-		    (k < ask->n_seen && ask->seen[k]->version >= h->version))
+		if (entry->entry == NULL ||
+		    (k < ask->n_seen &&
+			ask->seen[k]->version >= entry->version))
 			continue;
-		e.service = h->service;
-		e.version = h->version;
-		e.json.data = (uint8_t *)h->json.p;
-		e.json.len = h->json.n;
+		e.service = entry->service;
+		e.version = entry->version;
+		e.json.data = (uint8_t *)entry->json.p;
+		e.json.len = entry->json.n;
 		send_frame(s->kernel, m->host, m->conn, &f);
 	}
 }
--- a/gspard/ctl_cell.c
+++ b/gspard/ctl_cell.c
@@ -16,8 +16,8 @@
 /* Lease requests in the length of a lease: two replies in a row may be lost.
  * Each request costs its controller about 350 bytes, with headers. */
 #define REQUESTS_PER_LEASE 4
-/* After so many request intervals without a reply, a host assumes that there is
- * no controller. */
+/* After this many request intervals without a reply, a host assumes that there
+ * is no controller. */
 #define NO_CONTROLLER_REQUESTS 2
 
 /* Returns this host's settings. */
--- a/gspard/ctl_stop.c
+++ b/gspard/ctl_stop.c
@@ -1,7 +1,7 @@
 /* Orderly stop: hands targets over first, then releases control. */
 #include "control.h"
 
-/* A stopping host that is isolated for so long does not wait for others. */
+/* A stopping host that is isolated for this long does not wait for others. */
 #define ISOLATED_AFTER MS(1500)
 /* How long a stopping controller waits for the new dispatchers to confirm. */
 #define HANDOVER_MAX MS(4000)
@@ -35,7 +35,7 @@
 
 /*
  * True if no other host can take over from this one: in each of its cells it is
- * the controller and hears no other host, or it hears no controller.
+ * the controller and hears from no other host, or from no controller.
  */
 static int
 is_isolated(const struct control *c, usec now)
--- a/gspard/direct.c
+++ b/gspard/direct.c
@@ -20,7 +20,8 @@
 #define IDLE_MS 200
 /* Interval of reports to the control service. */
 #define REPORT_INTERVAL MS(200)
-/* The host gives up and answers itself this long before the caller's deadline.
+/*
+ * The host gives up and answers itself this long before the caller's deadline.
  */
 #define REPLY_MARGIN_MS 4
 /* Retry delay for callers refused while this host stops: another host will
@@ -77,12 +78,12 @@
 static void
 accept_call(struct direct *d, struct call *c, usec now)
 {
-	const struct site *t = c->site == NULL ? NULL : c->site->p;
+	const struct site *site = c->site == NULL ? NULL : c->site->p;
 	struct pending *p;
 	int n;
 
 	p = calloc(1, sizeof(*p));
-	if (p == NULL || t == NULL) {
+	if (p == NULL || site == NULL) {
 		free(p);
 		refuse_call(c, p == NULL ? GS_NOMEM : GS_NO_CATALOGUE, 0);
 		return;
@@ -93,12 +94,12 @@
 	p->stats = rule_stats_get(d, p->rule);
 	n = rule_backend(p->rule, p->stats->count++);
 	if (n < 0 ||
-	    (p->svc = service_state_get(d, t->services[n].name)) == NULL) {
+	    (p->svc = service_state_get(d, site->services[n].name)) == NULL) {
 		free(p);
 		refuse_call(c, GS_NO_SERVICE, 0);
 		return;
 	}
-	p->svc->keyed = t->services[n].keyed;
+	p->svc->keyed = site->services[n].keyed;
 	p->arrived = now;
 	p->deadline = now +
 	    MS(c->left_ms > REPLY_MARGIN_MS ? c->left_ms - REPLY_MARGIN_MS : 0);
@@ -164,7 +165,7 @@
 	    d->s->kernel, "control", MSG_ROUTER_REPORT, h, router_report_free);
 }
 
-/* Tells the door, once, that callers can be served. */
+/* Informs the door, once, that callers can be served. */
 static void
 check_ready(struct direct *d)
 {
--- a/gspard/direct_pick.c
+++ b/gspard/direct_pick.c
@@ -28,10 +28,10 @@
 static const struct site_service *
 service_of(const struct direct *d, const char *name)
 {
-	const struct site *t = d->site == NULL ? NULL : d->site->p;
-	int n = t == NULL ? -1 : site_service(t, name);
+	const struct site *site = d->site == NULL ? NULL : d->site->p;
+	int n = site == NULL ? -1 : site_service(site, name);
 
-	return (n < 0 ? NULL : &t->services[n]);
+	return (n < 0 ? NULL : &site->services[n]);
 }
 
 /*
@@ -50,7 +50,7 @@
 	    &f->evacuations, t->dc, v != NULL && v->keyed ? bound / 2 : 0));
 }
 
-/* Sets until when a target is cold, and its rate limit until then. */
+/* Sets the time until which a target is cold, and its rate limit until then. */
 static void
 set_cold(struct dest *d, const struct site_service *v, const struct fleet *f,
     const struct fleet_target *t)
--- a/gspard/dispatch.c
+++ b/gspard/dispatch.c
@@ -96,7 +96,8 @@
 		if (strcmp(t->cell, c->name) == 0 && !t->handing_over &&
 		    find_duty(l, t->name) == NULL) {
 			t->handing_over = 1;
-			event_add("dispatch", 0, "handing over %s", t->name);
+			event_add(
+			    "dispatch", 0, "target %s is handed over", t->name);
 		}
 	}
 }
@@ -135,7 +136,7 @@
 		next = t->next;
 		if (!t->handing_over || t->nruns > 0 || t->queue.count > 0)
 			continue;
-		event_add("dispatch", 0, "handed over %s", t->name);
+		event_add("dispatch", 0, "target %s handed over", t->name);
 		target_free(s, t);
 		d->report_due = 1;
 	}
@@ -376,8 +377,8 @@
 			t->lease_lapsed = 1;
 			t->handing_over = 1;
 			d->report_due = 1;
-			event_add("dispatch", 0, "lease lapsed, released %s",
-			    t->name);
+			event_add("dispatch", 0,
+			    "target %s released: lease lapsed", t->name);
 		}
 		target_update_wanted(t);
 		target_tick(s, t, now);
--- a/gspard/dispatch.h
+++ b/gspard/dispatch.h
@@ -73,7 +73,7 @@
 	char service[NAME_MAX_GS];
 	char addr[64];
 	uint32_t first;	 /* shard of the cell */
-	uint32_t shards; /* of the cell; arrays below have so many */
+	uint32_t shards; /* of the cell; length of the arrays below */
 	const struct class *class;
 	size_t answer_max;
 	struct grant grant;
--- a/gspard/gspard.c
+++ b/gspard/gspard.c
@@ -1,4 +1,4 @@
-/* gspard: the daemon that runs on every entry host. */
+/* gspard: the daemon that runs on every host and routes callers' requests. */
 #include <argp.h>
 #include <signal.h>
 #include <stdio.h>
@@ -20,7 +20,7 @@
 #define DRAIN_MAX_MS 10000
 /* How long keep-alive connections are served before the listener closes; each
  * answer tells the caller to close. */
-#define KEEPALIVE_MS 300
+#define LISTENER_CLOSE_DELAY_MS 300
 /* Time for libmicrohttpd to write the last answers. */
 #define FLUSH_MS 50
 /* Interval between checks for open connections. */
@@ -147,8 +147,8 @@
 	send_stop(k, "dispatch");
 	if (kernel_wait_step(k, "control", HANDOVER_MAX_MS) != 0)
 		log_line(LOG_WARNING, "kernel",
-		    "No other host took over this host's targets.");
-	apr_sleep(MS(KEEPALIVE_MS));
+		    "Targets or control not handed over in time, stopping.");
+	apr_sleep(MS(LISTENER_CLOSE_DELAY_MS));
 	door_close_listener(k);
 	apr_sleep(MS(FIRST_REQUEST_MS));
 	drain_connections(k, clock_mono() + MS(DRAIN_MAX_MS));
--- a/gspard/peer.c
+++ b/gspard/peer.c
@@ -41,7 +41,7 @@
 	int stop;
 };
 
-/* Tells the services that a connection was lost. */
+/* Informs the services that a connection was lost. */
 static void
 notify_down(struct service *s, const struct conn *c)
 {
@@ -213,7 +213,7 @@
 	return (NULL);
 }
 
-/* Tells the router that a request was not sent. */
+/* Informs the router that a request was not sent. */
 static void
 notify_unsent(struct service *s, uint64_t corr)
 {
@@ -227,7 +227,7 @@
 		msg_free(m);
 }
 
-/* Sends a frame; if that fails for a request, the router is told. */
+/* Sends a frame; if that fails for a request, informs the router. */
 static void
 send_msg(struct service *s, const struct msg *m, usec now)
 {
--- a/gspard/quarantine_text.h
+++ b/gspard/quarantine_text.h
@@ -1,4 +1,5 @@
-/* Stored form of the list of quarantined contents. */
+/* Stored form of the quarantine list: the request contents that are
+ * quarantined or on probation. */
 #ifndef QUARANTINE_TEXT_H
 #define QUARANTINE_TEXT_H
 
--- a/gspard/router.c
+++ b/gspard/router.c
@@ -50,7 +50,7 @@
 	int nviews;
 	struct budget budget;
 	usec catalogue_at; /* when the first catalogue was seen */
-	int ready;	   /* the door was told to accept callers */
+	int ready;	   /* the door has been set to accept callers */
 	int stop;
 };
 
@@ -417,7 +417,7 @@
 }
 
 /*
- * Tells the door to accept callers once all cells have a view, or
+ * Lets the door accept callers once all cells have a view, or
  * READY_TIMEOUT after the catalogue arrived: a cell that cannot be reached
  * must not keep this host from serving the others.
  */
--- a/gspard/sitectl.c
+++ b/gspard/sitectl.c
@@ -17,11 +17,15 @@
  * slow targets, 464 of 25,000 grants were not answered within 500 ms.
  */
 #define ORDER_CONNS 1024
-/* A host that has not heard a controller for this long looks for another. */
+/*
+ * A host that has not heard from a controller for this long looks for another.
+ */
 #define NO_CONTROLLER_AFTER MS(900)
-/* A host that has not been heard for this long is sent nothing more. */
+/* A host that has not been heard from for this long is sent nothing more. */
 #define HOST_DOWN_AFTER MS(3000)
-/* Hosts that have not been heard for this long are removed from the list. */
+/*
+ * Hosts that have not been heard from for this long are removed from the list.
+ */
 #define HOST_FORGET_AFTER MS(30000)
 /*
  * A stopping controller that cannot reach the store gives up control this long
@@ -90,7 +94,8 @@
 }
 
 /*
- * Updates a host that was heard or that the controller listed; adds it if new.
+ * Updates a host that was heard from or that the controller listed; adds it if
+ * new.
  */
 void
 sitectl_host_seen(struct sitectl *k, const struct member *m, const char *dc,
@@ -118,8 +123,8 @@
 
 /*
  * True if the controller sends updates to a host.  A new controller has not
- * heard any host yet, and hosts that cannot read the control record would not
- * learn of it, so hosts are assumed to be up at first.
+ * heard from any host yet, and hosts that cannot read the control record would
+ * not learn of it, so hosts are assumed to be up at first.
  */
 int
 sitectl_host_up(const struct sitectl_host *h, usec now)
@@ -128,7 +133,7 @@
 	    now - h->last_heard < HOST_DOWN_AFTER || now < h->assumed_up_until);
 }
 
-/* Removes hosts that were neither heard nor listed for HOST_FORGET_AFTER. */
+/* Removes hosts neither heard from nor listed for HOST_FORGET_AFTER. */
 static void
 forget_hosts(struct sitectl *k, usec now)
 {
@@ -172,7 +177,7 @@
 		k->controller_heard = now;
 	} else if (k->term.known && r->term > k->controller_term &&
 	    r->holder.host[0] != '\0') {
-		/* The record was read before the controller was heard. */
+		/* The record was read before that heartbeat came. */
 		k->controller_term = r->term;
 		name_copy(k->controller, sizeof(k->controller), r->holder.host);
 		sitectl_host_seen(k, &r->holder, "", 0, now);
@@ -181,7 +186,7 @@
 }
 
 /*
- * Tells the watch service whether this host follows the store itself: as the
+ * Informs the watch service whether this host follows the store itself: as the
  * controller, as a standby that relays, or if no host that follows it is
  * heard.  The platform allows 2 s until a leaving target must get no more
  * requests; detection here takes less than half of that.
@@ -195,9 +200,10 @@
 	if (follow == k->following)
 		return;
 	log_line(LOG_NOTICE, "control",
-	    follow ? "Following the store, no controller is heard that does: "
-		     "%s, heard %lld ms ago."
-		   : "The controller %s follows the store, heard %lld ms ago.",
+	    follow ? "Following the store; last heartbeat from controller "
+		     "'%s' %lld ms ago."
+		   : "Not following the store: controller %s does, last "
+		     "heartbeat %lld ms ago.",
 	    k->controller, (long long)((now - k->controller_heard) / 1000));
 	k->following = follow;
 	msg_post(k->s->kernel, "watch",
@@ -408,7 +414,7 @@
 	}
 }
 
-/* Initialises the service; returns 0, or -1 if memory runs out. */
+/* Initializes the service; returns 0, or -1 if memory runs out. */
 static int
 sitectl_open(struct service *s)
 {
--- a/gspard/sitectl.h
+++ b/gspard/sitectl.h
@@ -34,7 +34,10 @@
 #define RANGE_MOVING 1u
 #define RANGE_MOVING_UNTIL 2u
 
-/* Request counts and target latencies since the router's last report. */
+/*
+ * The router's report: requested keys and target latencies since the last one.
+ * Here: the requested keys of one service.
+ */
 struct reported_keys {
 	char service[NAME_MAX_GS];
 	struct heat heat;
@@ -80,7 +83,7 @@
 	char dc[NAME_MAX_GS];
 	usec last_heard;
 	usec listed_at; /* when the controller last listed it; 0 if not */
-	usec assumed_up_until;	  /* sent to without having been heard */
+	usec assumed_up_until;	  /* sent to although it was not heard from */
 	uint64_t owners_reported; /* number of the snapshot that it has */
 	uint64_t owners_sent;	  /* number last sent to it, and when */
 	usec owners_sent_at;
@@ -104,7 +107,7 @@
 							   by sequence number */
 	char controller[NAME_MAX_GS];
 	uint64_t controller_term;
-	usec controller_heard;	   /* when it was last heard */
+	usec controller_heard;	   /* its last heartbeat */
 	int controller_overloaded; /* it reports more hosts than it can serve */
 	usec next_store_probe;
 	usec next_standbys;
@@ -226,6 +229,8 @@
 void broadcast_tick(struct sitectl *, usec now);
 void broadcast_resignation(struct sitectl *, usec now);
 void owners_publish(struct sitectl *, struct owners *);
+
+/* sitectl_report.c */
 void report_tick(struct sitectl *, usec now);
 void report_receive(
     struct sitectl *, const char *host, const Gspar__HostReport *, usec now);
@@ -243,7 +248,7 @@
 void quarantine_tick(struct sitectl *, usec now);
 void quarantine_store_done(struct sitectl *, const struct store *, usec now);
 
-/* sitectl_site.c */
+/* sitectl_config.c */
 void site_control_began(struct sitectl *);
 void site_broadcast(struct sitectl *, const struct site *was, usec now);
 void site_receive_report(struct sitectl *, struct sitectl_host *,
--- a/gspard/sitectl_config.c
+++ b/gspard/sitectl_config.c
@@ -22,35 +22,37 @@
 
 /* Encodes a configuration; site is NULL if t is, or if memory runs out. */
 static void
-update_init(const struct sitectl *k, struct update *n, const struct site *t)
+update_init(
+    const struct sitectl *k, struct update *update, const struct site *site)
 {
 	double link = kernel_conf(k->s->kernel)->link_mbps;
 
-	memset(n, 0, sizeof(*n));
-	if (t == NULL || site_frame_fill(&n->frame, t) != 0)
+	memset(update, 0, sizeof(*update));
+	if (site == NULL || site_frame_fill(&update->frame, site) != 0)
 		return;
-	n->site = t;
-	n->size = site_frame_size(&n->frame);
-	n->fits = pace_fits(n->size, k->nhosts, link);
+	update->site = site;
+	update->size = site_frame_size(&update->frame);
+	update->fits = pace_fits(update->size, k->nhosts, link);
 }
 
 /* Sends an update to a host. */
 static void
-send_update(struct sitectl *k, const char *host, struct update *n)
+send_update(struct sitectl *k, const char *host, struct update *update)
 {
 	Gspar__Frame f = GSPAR__FRAME__INIT;
 
-	if (n->site == NULL)
+	if (update->site == NULL)
 		return;
 	f.body_case = GSPAR__FRAME__BODY_SITE_TOLD;
-	f.site_told = &n->frame.msg;
+	f.site_told = &update->frame.msg;
 	count_add(C_SITE_TOLD, 1);
-	count_add(C_SITE_TOLD_BYTES, n->size);
+	count_add(C_SITE_TOLD_BYTES, update->size);
 	log_line(LOG_INFO, "control",
-	    "Sending host %s configuration %llu, difference to %llu, "
+	    "Sending host %s configuration %llu, as a difference from "
+	    "%llu (0: complete), "
 	    "%zu bytes.",
-	    host, (unsigned long long)n->site->version,
-	    (unsigned long long)n->site->since, n->size);
+	    host, (unsigned long long)update->site->version,
+	    (unsigned long long)update->site->since, update->size);
 	send_frame(k->s->kernel, host, 0, &f);
 }
 
@@ -146,8 +148,8 @@
 site_receive_report(struct sitectl *k, struct sitectl_host *h,
     const Gspar__HostReport *w, usec now)
 {
-	const struct site *t = sitectl_site(k);
-	uint64_t own = t == NULL ? 0 : t->version;
+	const struct site *site = sitectl_site(k);
+	uint64_t own = site == NULL ? 0 : site->version;
 
 	h->site_version = w->site;
 	if (w->site > own) {
@@ -167,28 +169,28 @@
 serve_requests(struct sitectl *k, usec now)
 {
 	double link = kernel_conf(k->s->kernel)->link_mbps;
-	const struct site *t = sitectl_site(k);
+	const struct site *site = sitectl_site(k);
 	struct sitectl_host *h;
 	int i;
 
 	for (i = 0; i < k->nhosts && !k->hosts[i].site_requested; i++)
 		;
-	if (i == k->nhosts || t == NULL || !pace_ready(&k->site_pace, now))
+	if (i == k->nhosts || site == NULL || !pace_ready(&k->site_pace, now))
 		return;
 	h = &k->hosts[i];
 	h->site_requested = 0;
-	if (h->site_version >= t->version)
+	if (h->site_version >= site->version)
 		return;
 	pace_sent(&k->site_pace, send_whole(k, h->process.host), link, now);
-	h->site_sent = t->version;
+	h->site_sent = site->version;
 }
 
 /* Handles the configuration's version in the controller's heartbeat. */
 void
 site_receive_heartbeat(struct sitectl *k, const Gspar__Owners *w, usec now)
 {
-	const struct site *t = sitectl_site(k);
-	uint64_t own = t == NULL ? 0 : t->version;
+	const struct site *site = sitectl_site(k);
+	uint64_t own = site == NULL ? 0 : site->version;
 
 	behind_announced(&k->behind, own, w->site, w->site_told, now);
 	if (w->site < own && w->controller[0] != '\0' &&
@@ -203,10 +205,11 @@
 void
 site_tick(struct sitectl *k, usec now)
 {
-	const struct site *t = sitectl_site(k);
+	const struct site *site = sitectl_site(k);
 
 	serve_requests(k, now);
-	switch (behind_step(&k->behind, t == NULL ? 0 : t->version, now)) {
+	switch (
+	    behind_step(&k->behind, site == NULL ? 0 : site->version, now)) {
 	case BEHIND_READ:
 		msg_post(k->s->kernel, "watch", MSG_READ_SITE, NULL, NULL);
 		break;
--- a/gspard/sitectl_keys.c
+++ b/gspard/sitectl_keys.c
@@ -90,7 +90,7 @@
 static const struct keys_callbacks keys_callbacks = {
     get_owners, put_owners, send_order, keys_event};
 
-/* Returns the key rules of a service, or NULL. */
+/* Returns the key assignment of a service, or NULL. */
 struct keys *
 sitectl_keys(struct sitectl *k, const char *service)
 {
@@ -103,7 +103,7 @@
 	return (NULL);
 }
 
-/* Creates the key rules of a new keyed service. */
+/* Creates the key assignment of a new keyed service. */
 static void
 add_keys(struct sitectl *k, const struct site_service *v, usec now)
 {
@@ -127,19 +127,19 @@
 }
 
 /*
- * Creates or updates the key rules of all keyed services; only a controller
- * needs them.
+ * Creates or updates the key assignment of all keyed services; only a
+ * controller needs them.
  */
 void
 sitectl_add_services(struct sitectl *k, usec now)
 {
-	const struct site *t = sitectl_site(k);
+	const struct site *site = sitectl_site(k);
 	const struct site_service *v;
 	struct keys *ks;
 	int i;
 
-	for (i = 0; t != NULL && i < t->nservices; i++) {
-		v = &t->services[i];
+	for (i = 0; site != NULL && i < site->nservices; i++) {
+		v = &site->services[i];
 		if (!v->keyed)
 			continue;
 		if ((ks = sitectl_keys(k, v->name)) == NULL)
@@ -150,7 +150,7 @@
 	}
 }
 
-/* Frees the key rules of all services. */
+/* Frees the key assignments of all services. */
 void
 sitectl_drop_keys(struct sitectl *k)
 {
--- a/gspard/sitectl_order.c
+++ b/gspard/sitectl_order.c
@@ -110,7 +110,7 @@
 	curl_multi_add_handle(k->multi, c->t.easy);
 }
 
-/* Reports the outcome of an order to the key rules and frees its call. */
+/* Reports the outcome of an order to the key assignment and frees its call. */
 static void
 order_done(struct sitectl *k, struct order_call *c, CURLcode res, usec now)
 {
--- a/gspard/sitectl_quarantine.c
+++ b/gspard/sitectl_quarantine.c
@@ -19,7 +19,7 @@
 /* Crashes are repeated in reports for this long, as a report may get lost. */
 #define REPORT_DURATION MS(500)
 /*
- * Interval of reads by a host that hears no controller, and delay after a
+ * Interval of reads by a host that hears from no controller, and delay after a
  * failed call.
  */
 #define READ_INTERVAL MS(2000)
@@ -116,8 +116,8 @@
 		if (strcmp(a, b) == 0 || (l == old && strcmp(b, "free") != 0))
 			continue;
 		log_line(LOG_WARNING, "control",
-		    "Content %016" PRIx64 " is now %s, was %s: targets crashed "
-		    "while they ran it.",
+		    "Content %016" PRIx64 " is now %s, was %s, for "
+		    "crashes of targets that ran it.",
 		    l->items[i].digest, b, a);
 	}
 }
@@ -358,7 +358,7 @@
 
 /*
  * Runs periodic work.  The controller reads the stored list once and writes it
- * after each change; a host that hears no controller reads it every
+ * after each change; a host that hears from no controller reads it every
  * READ_INTERVAL.
  */
 void
--- a/gspard/sitectl_receive.c
+++ b/gspard/sitectl_receive.c
@@ -143,9 +143,9 @@
 	k->controller_term = w->term;
 	/*
 	 * A controller that renews its lease only by its standbys' promises,
-	 * while this host reaches the store, should be replaced although it is
-	 * heard: its standbys may be cut off from the store together with it
-	 * and would never notice.
+	 * while this host reaches the store, should be replaced although its
+	 * heartbeats arrive: its standbys may be cut off from the store
+	 * together with it and would never notice.
 	 */
 	if (w->controller[0] == '\0')
 		k->controller_heard = 0;
@@ -153,8 +153,8 @@
 		k->controller_heard = now;
 	name_copy(k->controller, sizeof(k->controller), w->controller);
 	/*
-	 * The address is needed too: a host that has just started may hear the
-	 * controller before it has read the record.  Without the address it
+	 * The address is needed too: a host that has just started may receive
+	 * the controller before it has read the record.  Without the address it
 	 * could not report, and the controller would forget it and never send
 	 * it owners.
 	 */
--- a/gspard/target.c
+++ b/gspard/target.c
@@ -116,7 +116,7 @@
 	t->loads_since = now;
 	t->next = d->targets;
 	d->targets = t;
-	event_add("dispatch", 0, "takes %s", name);
+	event_add("dispatch", 0, "target %s taken over", name);
 	return (t);
 }
 
@@ -286,7 +286,8 @@
 	target_call_send(s, t, STEP_NONE, path, NULL);
 }
 
-/* Returns the JSON text of a grant, full or as a renewal; the caller frees it.
+/*
+ * Returns the JSON text of a grant, full or as a renewal; the caller frees it.
  */
 static char *
 grant_text(struct service *s, const struct target *t, int whole, int64_t until)
@@ -332,8 +333,8 @@
 	    t->view >= t->min_view && t->view != 0 ? c->lease_until : 0,
 	    &until);
 	if (t->grant.phase == GRANT_INACTIVE && was != GRANT_INACTIVE) {
-		event_add(
-		    "dispatch", 0, "%s does not answer, grant lapsed", t->name);
+		event_add("dispatch", 0,
+		    "target %s does not answer, grant lapsed", t->name);
 		d->report_due = 1;
 		run_flush(s, t, GS_NO_OWNER, now);
 	}
--- a/gspard/watch.c
+++ b/gspard/watch.c
@@ -20,17 +20,17 @@
 #define WATCH_MS 1000
 #define WATCH_EVACUATIONS_MS 2000
 /* Pause after a change, so that changes in quick succession are read with one
- * call: the number of calls matters, and the bound on leaving targets (2 s)
- * permits the delay. */
+ * call, as the platform counts calls.  A target that leaves must get no more
+ * requests after 2 s, which leaves time for this pause. */
 #define WATCH_PAUSE MS(250)
-/* Retry delay while the store does not answer, doubled from the least to the
- * longest.  Each call counts, also a refused one; but targets that left while
- * this host was cut off must be known 3 s after its return, of which the doubt
- * window for lapsed entries takes two. */
+/* Retry delay while the store does not answer, doubled after each failure up to
+ * the maximum.  The platform counts failed calls too, but after an outage a
+ * host must know within 3 s which targets have left, and waits 2 s of these for
+ * entries that lapsed (LAPSE_GRACE). */
 #define RETRY_MIN MS(100)
 #define RETRY_MAX MS(400)
 
-/* Publishes a shared snapshot to a service. */
+/* Sends a reference to a shared snapshot to a service. */
 void
 watch_publish(
     struct service *s, const char *to, enum msg_kind kind, struct shared *sh)
@@ -53,7 +53,8 @@
 	w->invalid_logged[w->ninvalid_logged++ % INVALID_LOGGED_MAX] = h;
 	count_add(C_ENTRY_FOREIGN, 1);
 	log_line(LOG_WARNING, "watch",
-	    "Entry of target %s, version %llu, is invalid: it counts as gone.",
+	    "Entry of target %s, version %llu, is not valid; the target is "
+	    "treated as gone.",
 	    f->name, (unsigned long long)f->version);
 }
 
@@ -88,7 +89,8 @@
 		evacuations_end(e, f->name, now);
 	else if (evacuations_begin(e, f->name, since) != 0)
 		log_line(LOG_ERR, "watch",
-		    "More than %d data centres are evacuated: %s is not.",
+		    "At most %d data centres can be evacuated at a time, "
+		    "evacuation of %s ignored.",
 		    EVACUATIONS_MAX, f->name);
 }
 
@@ -226,7 +228,7 @@
 }
 
 /*
- * Tells the control service whether this host's list of targets was read from
+ * Informs the control service whether this host's list of targets was read from
  * the store just now.  Otherwise a controller that was cut off would push its
  * old list to all hosts once it is back, and a target that had left would get
  * requests again.
@@ -243,7 +245,8 @@
 	    fresh ? MSG_TARGETS_FRESH : MSG_TARGETS_STALE, NULL, NULL);
 }
 
-/* Handles the end of a watch, with changes or without, and schedules the next.
+/*
+ * Handles the end of a watch, with changes or without, and schedules the next.
  */
 static void
 watch_done(struct feed *f, const struct store *st, usec now)
@@ -261,7 +264,7 @@
 
 	if (f->backoff == 0)
 		log_line(LOG_WARNING, "watch",
-		    "Store does not answer for %s: result %d, status %d, "
+		    "Reading %s from the store failed: result %d, status %d, "
 		    "%zu bytes in %lld ms.",
 		    f->kind, st->result, st->status, st->body.n,
 		    (long long)(st->duration / 1000));
--- a/regress/scenario/site_doubt.lua
+++ b/regress/scenario/site_doubt.lua
@@ -22,15 +22,15 @@
 sleep_ms(400)
 s:fault("down=1")
 await("the store is away", 9000, function()
-	return log_has(other, "Store does not answer for servers") > 0
+	return log_has(other, "Reading servers from the store failed") > 0
 end)
 sleep_ms(2500)
 s:cut_store(other, true)
 s:fault("down=0")
 kill(s.hosts[first].pid, 18)
-local told = log_has(other, "follows the store, heard")
+local told = log_has(other, "Not following the store: controller")
 await("it is told", 9000, function()
-	return log_has(other, "follows the store, heard") > told
+	return log_has(other, "Not following the store: controller") > told
 end)
 s:cut_store(other, false)
 sleep_ms(3000)
--- a/regress/scenario/site_large.lua
+++ b/regress/scenario/site_large.lua
@@ -41,13 +41,13 @@
 	end
 end
 
-local lost = logged("Following the store, no controller is heard")
+local lost = logged("Following the store; last heartbeat from controller")
 local routes = s:many_routes(ROUTES)
 grow(routes, "first")
 say("many routes more are in force")
 grow(routes, "second")
 say("one more is")
-check(logged("Following the store, no controller is heard") == lost,
+check(logged("Following the store; last heartbeat from controller") == lost,
     "hosts lost sight of the controller")
 check(s:controller() == "h1", "control went elsewhere")
 s:stop_all()
