--- a/decide/keys_grant.c
+++ b/decide/keys_grant.c
@@ -111,7 +111,7 @@
 }
 
 /*
- * Returns the time from which nobody but the next owner can hold the range; it
+ * Returns the time from which only the next owner can hold the range; it
  * follows from the orders sent and their replies alone.
  *
  * A release that got its reply ends what the owner held until then.  A grant
@@ -127,7 +127,8 @@
 	return (r->released ? r->unanswered_until : r->granted_until);
 }
 
-/* Completes a move: nobody holds the range any more, so next becomes owner. */
+/* Completes a move: no target holds the range any more, so next becomes owner.
+ */
 static void
 complete_move(struct keys *k, struct key_range *r, usec now)
 {
--- a/decide/keys_plan.c
+++ b/decide/keys_plan.c
@@ -54,7 +54,7 @@
 /* A rate limit ends when no host has reported it for this long. */
 #define LIMIT_EXPIRY MS(2000)
 /* Part of its weight that a target keeps whatever its limit: without requests
- * nobody would notice that it accepts more again. */
+ * it would go unnoticed that it accepts more again. */
 #define CAP_MIN 0.02
 
 /* True if a target is cold and has a rate limit meanwhile. */
@@ -388,8 +388,8 @@
  * once, or NO_TARGET.
  *
  * The owner has ended, and its last grants can only have reached this
- * incarnation: nobody else can hold the keys, so there is no need to wait until
- * those grants lapse.  Not during a move: an earlier controller may have
+ * incarnation: no other target can hold the keys, so there is no need to wait
+ * until those grants lapse.  Not during a move: an earlier controller may have
  * granted the range to its next owner.
  */
 static int
--- a/decide/keys_store.c
+++ b/decide/keys_store.c
@@ -76,7 +76,7 @@
 	r->next = stored_target(k, json_array_get(v, 3));
 	r->next_fence = (uint64_t)json_integer_value(json_array_get(v, 4));
 	if (r->owner == NO_TARGET) {
-		/* Nobody but the next owner can hold it. */
+		/* Only the next owner can hold it. */
 		r->owner = r->next;
 		r->fence = r->next_fence;
 		r->next = NO_TARGET;
--- a/decide/quarantine.h
+++ b/decide/quarantine.h
@@ -64,8 +64,8 @@
 	int runs;				  /* at targets that crashed */
 	usec last_crash;			  /* time of the last crash */
 	usec probation_since;			  /* 0 if not on probation */
-	usec cleared;				  /* by an answer; 0 if never */
-	usec until; /* end of the quarantine; 0 if not quarantined */
+	usec cleared; /* when an answer cleared it; 0 if never */
+	usec until;   /* end of the quarantine; 0 if not quarantined */
 };
 
 struct quarantine {
--- a/gspard/call.h
+++ b/gspard/call.h
@@ -45,13 +45,13 @@
 	char caller[128];
 	char type[128];
 	struct str body;
-	int ticket;  /* asks for a ticket */
+	int ticket;  /* the caller requests a ticket */
 	int left_ms; /* time until its deadline */
 	/* The members below are used only with the platform's interface
 	 * FORM_OBJECTS. */
 	struct shared *site; /* the configuration that owns the rule */
 	const struct rule *rule;
-	struct str headers; /* to pass on; lines end in CRLF */
+	struct str headers; /* forwarded to the target; lines end in CRLF */
 	char id[128];	    /* request id given by the caller */
 	int key_number;	    /* of a keyed service; -1: none */
 	struct answer answer;
--- a/gspard/site_frame.c
+++ b/gspard/site_frame.c
@@ -54,26 +54,26 @@
 
 /* Encodes one rule, with its backends in the given array. */
 static void
-fill_rule(struct site_frame *f, Gspar__SiteRule *w, const struct rule *r,
+fill_rule(struct site_frame *f, Gspar__SiteRule *msg, const struct rule *r,
     uint32_t *backends)
 {
 	int i;
 
-	gspar__site_rule__init(w);
-	w->host = host_index(f, r);
-	w->prefix = r->prefix.p;
-	w->idempotent = r->idempotent;
-	w->timeout = (uint64_t)r->timeout;
-	w->aim = (uint64_t)r->aim;
-	w->attempts = (uint32_t)r->attempts;
-	w->priority = r->priority;
-	w->gone = r->gone;
-	w->n_service = w->n_weight = (size_t)r->nbackends;
-	w->service = backends;
-	w->weight = backends + r->nbackends;
+	gspar__site_rule__init(msg);
+	msg->host = host_index(f, r);
+	msg->prefix = r->prefix.p;
+	msg->idempotent = r->idempotent;
+	msg->timeout = (uint64_t)r->timeout;
+	msg->aim = (uint64_t)r->aim;
+	msg->attempts = (uint32_t)r->attempts;
+	msg->priority = r->priority;
+	msg->gone = r->gone;
+	msg->n_service = msg->n_weight = (size_t)r->nbackends;
+	msg->service = backends;
+	msg->weight = backends + r->nbackends;
 	for (i = 0; i < r->nbackends; i++) {
-		w->service[i] = (uint32_t)r->backends[i].service;
-		w->weight[i] = r->backends[i].weight;
+		msg->service[i] = (uint32_t)r->backends[i].service;
+		msg->weight[i] = r->backends[i].weight;
 	}
 }
 
@@ -152,55 +152,56 @@
 
 /* Decodes the services; returns 0, or -1 if they are not valid. */
 static int
-read_services(struct site *site, const Gspar__SiteTold *w)
+read_services(struct site *site, const Gspar__SiteTold *msg)
 {
 	struct site_service *s;
 	size_t i;
 
-	if (w->n_services > SITE_SERVICES_MAX)
+	if (msg->n_services > SITE_SERVICES_MAX)
 		return (-1);
-	for (i = 0; i < w->n_services; i++) {
+	for (i = 0; i < msg->n_services; i++) {
 		s = &site->services[site->nservices++];
-		if (name_copy(s->name, sizeof(s->name), w->services[i]->name) !=
-		    0)
+		if (name_copy(
+			s->name, sizeof(s->name), msg->services[i]->name) != 0)
 			return (-1);
-		s->keyed = w->services[i]->keyed;
-		s->max_conns = (int)w->services[i]->max_conns;
-		s->warmup = (usec)w->services[i]->warmup;
-		s->cold_start = (usec)w->services[i]->cold_start;
-		s->cold_rate = w->services[i]->cold_rate / 1000.0;
+		s->keyed = msg->services[i]->keyed;
+		s->max_conns = (int)msg->services[i]->max_conns;
+		s->warmup = (usec)msg->services[i]->warmup;
+		s->cold_start = (usec)msg->services[i]->cold_start;
+		s->cold_rate = msg->services[i]->cold_rate / 1000.0;
 	}
 	return (0);
 }
 
 /* Decodes the backends of a rule; returns 0, or -1 if they are not valid. */
 static int
-read_backends(struct rule *r, const Gspar__SiteRule *w, int nservices)
+read_backends(struct rule *r, const Gspar__SiteRule *msg, int nservices)
 {
 	size_t i;
 
-	if (w->n_service > RULE_BACKENDS_MAX || w->n_weight != w->n_service)
+	if (msg->n_service > RULE_BACKENDS_MAX ||
+	    msg->n_weight != msg->n_service)
 		return (-1);
-	for (i = 0; i < w->n_service; i++) {
-		if (w->service[i] >= (uint32_t)nservices)
+	for (i = 0; i < msg->n_service; i++) {
+		if (msg->service[i] >= (uint32_t)nservices)
 			return (-1);
-		r->backends[i].service = (int)w->service[i];
-		r->backends[i].weight = w->weight[i];
+		r->backends[i].service = (int)msg->service[i];
+		r->backends[i].weight = msg->weight[i];
 	}
-	r->nbackends = (int)w->n_service;
+	r->nbackends = (int)msg->n_service;
 	return (0);
 }
 
 /* Decodes one rule; returns 0, or -1 if it is not valid. */
 static int
 read_rule(
-    struct site *site, const Gspar__SiteTold *w, const Gspar__SiteRule *in)
+    struct site *site, const Gspar__SiteTold *msg, const Gspar__SiteRule *in)
 {
 	struct rule *r = site_add_rule(site);
 
-	if (in->host >= w->n_hosts ||
-	    str_set(&r->host, w->hosts[in->host], strlen(w->hosts[in->host])) !=
-		0 ||
+	if (in->host >= msg->n_hosts ||
+	    str_set(&r->host, msg->hosts[in->host],
+		strlen(msg->hosts[in->host])) != 0 ||
 	    str_set(&r->prefix, in->prefix, strlen(in->prefix)) != 0)
 		return (-1);
 	r->idempotent = in->idempotent;
@@ -217,23 +218,23 @@
  * memory runs out.  The caller frees it.
  */
 struct site *
-site_frame_read(const Gspar__SiteTold *w)
+site_frame_read(const Gspar__SiteTold *msg)
 {
-	struct site *site = site_new((int)w->n_rules);
+	struct site *site = site_new((int)msg->n_rules);
 	size_t i;
 	int bad;
 
 	if (site == NULL)
 		return (NULL);
-	site->version = w->version;
-	site->since = w->since;
-	site->head_max = w->head_max;
-	site->body_max = w->body_max;
-	site->head_time = (usec)w->head_time;
-	site->idle_time = (usec)w->idle_time;
-	bad = w->version == 0 || read_services(site, w) != 0;
-	for (i = 0; i < w->n_rules && !bad; i++)
-		bad = read_rule(site, w, w->rules[i]) != 0;
+	site->version = msg->version;
+	site->since = msg->since;
+	site->head_max = msg->head_max;
+	site->body_max = msg->body_max;
+	site->head_time = (usec)msg->head_time;
+	site->idle_time = (usec)msg->idle_time;
+	bad = msg->version == 0 || read_services(site, msg) != 0;
+	for (i = 0; i < msg->n_rules && !bad; i++)
+		bad = read_rule(site, msg, msg->rules[i]) != 0;
 	if (bad) {
 		site_free(site);
 		return (NULL);
--- a/gspard/sitectl_broadcast.c
+++ b/gspard/sitectl_broadcast.c
@@ -115,26 +115,26 @@
 
 /* Encodes one service's owners; returns -1 if memory runs out. */
 static int
-fill_service(Gspar__KeyOwners *w, const struct owner_service *s, usec now)
+fill_service(Gspar__KeyOwners *msg, const struct owner_service *s, usec now)
 {
 	int i;
 
-	gspar__key_owners__init(w);
-	w->service = (char *)s->name;
-	w->n_from = w->n_owner = w->n_state = (size_t)s->nranges;
-	w->n_to = w->n_from;
-	w->to = calloc((size_t)s->nranges + 1, sizeof(*w->to));
-	w->from = calloc((size_t)s->nranges + 1, sizeof(*w->from));
-	w->owner = calloc((size_t)s->nranges + 1, sizeof(*w->owner));
-	w->state = calloc((size_t)s->nranges + 1, sizeof(*w->state));
-	if (w->from == NULL || w->owner == NULL || w->state == NULL ||
-	    w->to == NULL)
+	gspar__key_owners__init(msg);
+	msg->service = (char *)s->name;
+	msg->n_from = msg->n_owner = msg->n_state = (size_t)s->nranges;
+	msg->n_to = msg->n_from;
+	msg->to = calloc((size_t)s->nranges + 1, sizeof(*msg->to));
+	msg->from = calloc((size_t)s->nranges + 1, sizeof(*msg->from));
+	msg->owner = calloc((size_t)s->nranges + 1, sizeof(*msg->owner));
+	msg->state = calloc((size_t)s->nranges + 1, sizeof(*msg->state));
+	if (msg->from == NULL || msg->owner == NULL || msg->state == NULL ||
+	    msg->to == NULL)
 		return (-1);
 	for (i = 0; i < s->nranges; i++) {
-		w->from[i] = s->ranges[i].from;
-		w->to[i] = s->ranges[i].to;
-		w->owner[i] = (uint32_t)(s->ranges[i].target + 1);
-		w->state[i] = range_state(&s->ranges[i], now);
+		msg->from[i] = s->ranges[i].from;
+		msg->to[i] = s->ranges[i].to;
+		msg->owner[i] = (uint32_t)(s->ranges[i].target + 1);
+		msg->state[i] = range_state(&s->ranges[i], now);
 	}
 	return (0);
 }
--- a/gspard/sitectl_config.c
+++ b/gspard/sitectl_config.c
@@ -146,18 +146,18 @@
 /* Handles the configuration's version in a host's report. */
 void
 site_receive_report(struct sitectl *k, struct sitectl_host *h,
-    const Gspar__HostReport *w, usec now)
+    const Gspar__HostReport *msg, usec now)
 {
 	const struct site *site = sitectl_site(k);
 	uint64_t own = site == NULL ? 0 : site->version;
 
-	h->site_version = w->site;
-	if (w->site > own) {
-		behind_announced(&k->behind, own, w->site, 0, now);
+	h->site_version = msg->site;
+	if (msg->site > own) {
+		behind_announced(&k->behind, own, msg->site, 0, now);
 		name_copy(
 		    k->site_source, sizeof(k->site_source), h->process.host);
 	}
-	if (w->site < own && w->site_asked)
+	if (msg->site < own && msg->site_asked)
 		h->site_requested = 1;
 }
 
@@ -187,15 +187,15 @@
 
 /* Handles the configuration's version in the controller's heartbeat. */
 void
-site_receive_heartbeat(struct sitectl *k, const Gspar__Owners *w, usec now)
+site_receive_heartbeat(struct sitectl *k, const Gspar__Owners *msg, usec now)
 {
 	const struct site *site = sitectl_site(k);
 	uint64_t own = site == NULL ? 0 : site->version;
 
-	behind_announced(&k->behind, own, w->site, w->site_told, now);
-	if (w->site < own && w->controller[0] != '\0' &&
-	    strcmp(w->site_from, sitectl_self(k)) == 0)
-		send_whole(k, w->controller);
+	behind_announced(&k->behind, own, msg->site, msg->site_told, now);
+	if (msg->site < own && msg->controller[0] != '\0' &&
+	    strcmp(msg->site_from, sitectl_self(k)) == 0)
+		send_whole(k, msg->controller);
 }
 
 /*
--- a/gspard/sitectl_fleet.c
+++ b/gspard/sitectl_fleet.c
@@ -46,18 +46,19 @@
 
 /* Encodes one target. */
 void
-fleet_fill_target(Gspar__TargetTold *w, const struct fleet_target *t, usec now)
+fleet_fill_target(
+    Gspar__TargetTold *msg, const struct fleet_target *t, usec now)
 {
-	gspar__target_told__init(w);
-	w->id = (char *)t->id;
-	w->addr = (char *)t->addr;
-	w->service = (char *)t->service;
-	w->dc = (char *)t->dc;
-	w->slots = (uint32_t)t->slots;
-	w->leaving = t->leaving;
-	w->gone = t->gone;
+	gspar__target_told__init(msg);
+	msg->id = (char *)t->id;
+	msg->addr = (char *)t->addr;
+	msg->service = (char *)t->service;
+	msg->dc = (char *)t->dc;
+	msg->slots = (uint32_t)t->slots;
+	msg->leaving = t->leaving;
+	msg->gone = t->gone;
 	if (t->cold_until > now)
-		w->cold_ms = (uint32_t)((t->cold_until - now) / 1000);
+		msg->cold_ms = (uint32_t)((t->cold_until - now) / 1000);
 }
 
 /* Encodes the evacuations; returns their number. */
@@ -225,16 +226,16 @@
 
 /* Handles targets that the controller sent. */
 void
-fleet_receive(struct sitectl *k, const Gspar__FleetTold *w, usec now)
+fleet_receive(struct sitectl *k, const Gspar__FleetTold *msg, usec now)
 {
 	struct fleet *f;
 
-	if (k->acting || w->term < k->controller_term ||
-	    (f = read_targets(w->targets, w->n_targets)) == NULL)
+	if (k->acting || msg->term < k->controller_term ||
+	    (f = read_targets(msg->targets, msg->n_targets)) == NULL)
 		return;
-	f->whole = w->whole;
-	read_evacuations(&f->evacuations, w->evacuations, w->n_evacuations,
-	    w->evacuations_as_of, now);
+	f->whole = msg->whole;
+	read_evacuations(&f->evacuations, msg->evacuations, msg->n_evacuations,
+	    msg->evacuations_as_of, now);
 	pass_to_watch(k, f);
 }
 
@@ -243,14 +244,14 @@
  * cannot.
  */
 void
-fleet_receive_relay(struct sitectl *k, const Gspar__StoreNews *w, usec now)
+fleet_receive_relay(struct sitectl *k, const Gspar__StoreNews *msg, usec now)
 {
-	struct fleet *f = read_targets(w->targets, w->n_targets);
+	struct fleet *f = read_targets(msg->targets, msg->n_targets);
 
 	if (f == NULL)
 		return;
-	read_evacuations(&f->evacuations, w->evacuations, w->n_evacuations,
-	    w->evacuations_as_of, now);
+	read_evacuations(&f->evacuations, msg->evacuations, msg->n_evacuations,
+	    msg->evacuations_as_of, now);
 	pass_to_watch(k, f);
 }
 
--- a/gspard/sitectl_quarantine.c
+++ b/gspard/sitectl_quarantine.c
@@ -170,28 +170,28 @@
 
 /* Adds requests whose connection broke to a report. */
 static void
-add_broken(Gspar__HostReport *w, struct quarantine_report_buf *buf,
+add_broken(Gspar__HostReport *msg, struct quarantine_report_buf *buf,
     const struct quarantine_break *from)
 {
-	Gspar__BrokenSend *b = &buf->broken[w->n_broken];
+	Gspar__BrokenSend *b = &buf->broken[msg->n_broken];
 
-	if (w->n_broken == QUARANTINE_REPORT_MAX)
+	if (msg->n_broken == QUARANTINE_REPORT_MAX)
 		return;
 	gspar__broken_send__init(b);
 	b->content = from->digest;
 	b->target = from->target;
 	b->sends = (uint32_t)from->sends;
 	b->on_probation = from->on_probation;
-	buf->broken_list[w->n_broken++] = b;
+	buf->broken_list[msg->n_broken++] = b;
 }
 
 /* Adds the end of a target to a report. */
 static void
 add_end(
-    Gspar__HostReport *w, struct quarantine_report_buf *buf, uint64_t target)
+    Gspar__HostReport *msg, struct quarantine_report_buf *buf, uint64_t target)
 {
-	if (w->n_ended < QUARANTINE_REPORT_MAX)
-		buf->ended[w->n_ended++] = target;
+	if (msg->n_ended < QUARANTINE_REPORT_MAX)
+		buf->ended[msg->n_ended++] = target;
 }
 
 /*
@@ -199,7 +199,7 @@
  * received them.
  */
 static void
-add_crashes(const struct sitectl *k, Gspar__HostReport *w,
+add_crashes(const struct sitectl *k, Gspar__HostReport *msg,
     struct quarantine_report_buf *buf)
 {
 	struct quarantine_break b = {.sends = 1};
@@ -211,15 +211,15 @@
 		for (n = 0; n < e->crashes && n < QUARANTINE_TARGETS_MAX; n++) {
 			b.digest = e->digest;
 			b.target = e->targets[n];
-			add_broken(w, buf, &b);
-			add_end(w, buf, e->targets[n]);
+			add_broken(msg, buf, &b);
+			add_end(msg, buf, e->targets[n]);
 		}
 	}
 }
 
 /* Fills in the crash data and the quarantine list of a report. */
 void
-quarantine_fill_report(struct sitectl *k, Gspar__HostReport *w, usec now)
+quarantine_fill_report(struct sitectl *k, Gspar__HostReport *msg, usec now)
 {
 	const struct quarantine *q = &k->quarantine;
 	struct quarantine_report_buf *buf = &k->report_buf;
@@ -230,28 +230,28 @@
 		k->report_since = now;
 	}
 	if (now - k->report_since < REPORT_DURATION)
-		add_crashes(k, w, buf);
+		add_crashes(k, msg, buf);
 	for (i = 0; i < q->nbreaks && i < QUARANTINE_BREAKS_MAX; i++) {
 		if (q->breaks[i].source == 0 &&
 		    now - q->breaks[i].at < REPORT_DURATION)
-			add_broken(w, buf, &q->breaks[i]);
+			add_broken(msg, buf, &q->breaks[i]);
 	}
 	for (i = 0; i < q->nends && i < QUARANTINE_ENDS_MAX; i++) {
 		if (now - q->ends[i].at < REPORT_DURATION)
-			add_end(w, buf, q->ends[i].target);
+			add_end(msg, buf, q->ends[i].target);
 	}
-	w->broken = buf->broken_list;
-	w->ended = buf->ended;
+	msg->broken = buf->broken_list;
+	msg->ended = buf->ended;
 	memcpy(buf->answered, k->answered, sizeof(buf->answered));
-	w->answered = buf->answered;
-	w->n_answered = (size_t)k->nanswered;
+	msg->answered = buf->answered;
+	msg->n_answered = (size_t)k->nanswered;
 	k->nanswered = 0;
-	w->quarantine = quarantine_checksum(&k->quarantined);
-	if (w->quarantine == k->controller_quarantine)
+	msg->quarantine = quarantine_checksum(&k->quarantined);
+	if (msg->quarantine == k->controller_quarantine)
 		return;
-	w->n_quarantined =
+	msg->n_quarantined =
 	    fill_list(&k->quarantined, buf->items, buf->list, now);
-	w->quarantined = buf->list;
+	msg->quarantined = buf->list;
 }
 
 /* Decodes a list from another host. */
@@ -279,7 +279,7 @@
 /* Handles the crash data of a host's report, as controller. */
 void
 quarantine_receive_report(struct sitectl *k, struct sitectl_host *h,
-    const Gspar__HostReport *w, usec now)
+    const Gspar__HostReport *msg, usec now)
 {
 	uint64_t source = XXH3_64bits_withSeed(
 	    h->process.host, strlen(h->process.host), h->process.boot);
@@ -289,14 +289,14 @@
 	size_t i;
 	int n;
 
-	decode_list(&l, w->quarantined, w->n_quarantined, now);
+	decode_list(&l, msg->quarantined, msg->n_quarantined, now);
 	for (n = 0; n < l.n; n++)
 		quarantine_add_item(&k->quarantine, &l.items[n], now);
-	for (i = 0; i < w->n_answered; i++)
-		quarantine_clear(&k->quarantine, w->answered[i], now);
+	for (i = 0; i < msg->n_answered; i++)
+		quarantine_clear(&k->quarantine, msg->answered[i], now);
 	/* This host's own observations are already counted. */
-	for (i = 0; i < w->n_broken && !is_self(k, h); i++) {
-		from = w->broken[i];
+	for (i = 0; i < msg->n_broken && !is_self(k, h); i++) {
+		from = msg->broken[i];
 		b.digest = from->content;
 		b.target = from->target;
 		b.source = source;
@@ -304,23 +304,24 @@
 		b.on_probation = from->on_probation;
 		quarantine_add_break(&k->quarantine, &b, now);
 	}
-	for (i = 0; i < w->n_ended; i++)
-		quarantine_add_end(&k->quarantine, w->ended[i], now);
+	for (i = 0; i < msg->n_ended; i++)
+		quarantine_add_end(&k->quarantine, msg->ended[i], now);
 	if (k->acting &&
-	    w->quarantine != quarantine_checksum(&k->quarantined) &&
+	    msg->quarantine != quarantine_checksum(&k->quarantined) &&
 	    now - h->quarantine_sent_at > PUSH_RETRY_DELAY)
 		send_list(k, h->process.host, now);
 }
 
 /* Handles the controller's list. */
 void
-quarantine_receive(struct sitectl *k, const Gspar__QuarantineTold *w, usec now)
+quarantine_receive(
+    struct sitectl *k, const Gspar__QuarantineTold *msg, usec now)
 {
 	struct quarantine_list l;
 
-	if (k->acting || w->term < k->controller_term)
+	if (k->acting || msg->term < k->controller_term)
 		return;
-	decode_list(&l, w->list, w->n_list, now);
+	decode_list(&l, msg->list, msg->n_list, now);
 	quarantine_adopt(&k->quarantine, &l, now);
 }
 
--- a/gspard/sitectl_receive.c
+++ b/gspard/sitectl_receive.c
@@ -16,26 +16,26 @@
 
 /* Decodes one service's owners. */
 static void
-read_service(struct owner_service *s, const Gspar__KeyOwners *w, usec now)
+read_service(struct owner_service *s, const Gspar__KeyOwners *msg, usec now)
 {
 	struct owner_range *r;
-	size_t i, n = w->n_from;
+	size_t i, n = msg->n_from;
 
-	name_copy(s->name, sizeof(s->name), w->service);
-	if (w->n_owner < n || w->n_state < n || w->n_to < n)
+	name_copy(s->name, sizeof(s->name), msg->service);
+	if (msg->n_owner < n || msg->n_state < n || msg->n_to < n)
 		return;
 	s->ranges = calloc(n + 1, sizeof(*s->ranges));
 	if (s->ranges == NULL)
 		return;
 	for (i = 0; i < n; i++) {
 		r = &s->ranges[s->nranges++];
-		r->from = w->from[i];
-		r->to = w->to[i];
-		r->target = (int)w->owner[i] - 1;
-		r->moving = w->state[i] != 0;
-		if (w->state[i] >= RANGE_MOVING_UNTIL)
+		r->from = msg->from[i];
+		r->to = msg->to[i];
+		r->target = (int)msg->owner[i] - 1;
+		r->moving = msg->state[i] != 0;
+		if (msg->state[i] >= RANGE_MOVING_UNTIL)
 			r->served_at =
-			    now + MS(w->state[i] - RANGE_MOVING_UNTIL);
+			    now + MS(msg->state[i] - RANGE_MOVING_UNTIL);
 	}
 }
 
@@ -44,7 +44,7 @@
  * out.
  */
 static struct owners *
-read_owners(const struct sitectl *k, const Gspar__Owners *w, usec now)
+read_owners(const struct sitectl *k, const Gspar__Owners *msg, usec now)
 {
 	struct owners *o;
 	size_t i;
@@ -53,20 +53,21 @@
 	o = calloc(1, sizeof(*o));
 	if (o == NULL)
 		return (NULL);
-	o->number = w->number;
-	o->hosts = (int)w->host_count;
-	o->targets = calloc(w->n_targets + 1, sizeof(*o->targets));
-	o->services = calloc(w->n_services + 1, sizeof(*o->services));
+	o->number = msg->number;
+	o->hosts = (int)msg->host_count;
+	o->targets = calloc(msg->n_targets + 1, sizeof(*o->targets));
+	o->services = calloc(msg->n_services + 1, sizeof(*o->services));
 	if (o->targets == NULL || o->services == NULL) {
 		owners_free(o);
 		return (NULL);
 	}
-	for (i = 0; i < w->n_targets; i++)
+	for (i = 0; i < msg->n_targets; i++)
 		name_copy(
-		    o->targets[o->ntargets++], NAME_MAX_GS, w->targets[i]);
-	for (i = 0; i < w->n_services; i++)
-		read_service(&o->services[o->nservices++], w->services[i], now);
-	for (i = 0; i < w->n_services; i++) {
+		    o->targets[o->ntargets++], NAME_MAX_GS, msg->targets[i]);
+	for (i = 0; i < msg->n_services; i++)
+		read_service(
+		    &o->services[o->nservices++], msg->services[i], now);
+	for (i = 0; i < msg->n_services; i++) {
 		for (n = 0; n < o->services[i].nranges; n++) {
 			if (o->services[i].ranges[n].target >= o->ntargets)
 				o->services[i].ranges[n].target = -1;
@@ -94,15 +95,15 @@
 
 /* Handles a host that the controller lists. */
 static void
-receive_host_addr(struct sitectl *k, const Gspar__HostAddr *w, usec now)
+receive_host_addr(struct sitectl *k, const Gspar__HostAddr *msg, usec now)
 {
 	struct member m;
 
 	memset(&m, 0, sizeof(m));
-	name_copy(m.host, sizeof(m.host), w->host);
-	name_copy(m.addr, sizeof(m.addr), w->addr);
-	m.boot = w->boot;
-	sitectl_host_seen(k, &m, w->dc, 0, now);
+	name_copy(m.host, sizeof(m.host), msg->host);
+	name_copy(m.addr, sizeof(m.addr), msg->addr);
+	m.boot = msg->boot;
+	sitectl_host_seen(k, &m, msg->dc, 0, now);
 }
 
 /*
@@ -111,17 +112,17 @@
  * give all hosts the same rank, and with it the same turn at limited targets.
  */
 static void
-receive_host_list(struct sitectl *k, const Gspar__Owners *w, usec now)
+receive_host_list(struct sitectl *k, const Gspar__Owners *msg, usec now)
 {
 	struct sitectl_host *h;
 	size_t i;
 	int n;
 
-	for (n = 0; n < k->nhosts && w->n_hosts > 0; n++)
+	for (n = 0; n < k->nhosts && msg->n_hosts > 0; n++)
 		k->hosts[n].listed_at = 0;
-	for (i = 0; i < w->n_hosts; i++) {
-		receive_host_addr(k, w->hosts[i], now);
-		if ((h = sitectl_host(k, w->hosts[i]->host)) != NULL)
+	for (i = 0; i < msg->n_hosts; i++) {
+		receive_host_addr(k, msg->hosts[i], now);
+		if ((h = sitectl_host(k, msg->hosts[i]->host)) != NULL)
 			h->listed_at = now;
 	}
 	for (n = 0; n < k->nhosts; n++) {
@@ -132,54 +133,54 @@
 
 /* Handles a heartbeat or owners from the controller. */
 void
-broadcast_receive(struct sitectl *k, const Gspar__Owners *w, usec now)
+broadcast_receive(struct sitectl *k, const Gspar__Owners *msg, usec now)
 {
 	struct owners *o;
 
 	if (k->acting)
-		term_superseded(&k->term, now, w->term);
-	if (w->term < k->controller_term || k->acting)
+		term_superseded(&k->term, now, msg->term);
+	if (msg->term < k->controller_term || k->acting)
 		return;
-	k->controller_term = w->term;
+	k->controller_term = msg->term;
 	/*
 	 * A controller that renews its lease only by its standbys' promises,
 	 * while this host reaches the store, should be replaced although its
 	 * heartbeats arrive: its standbys may be cut off from the store
 	 * together with it and would never notice.
 	 */
-	if (w->controller[0] == '\0')
+	if (msg->controller[0] == '\0')
 		k->controller_heard = 0;
-	else if (!w->late || !k->fresh)
+	else if (!msg->late || !k->fresh)
 		k->controller_heard = now;
-	name_copy(k->controller, sizeof(k->controller), w->controller);
+	name_copy(k->controller, sizeof(k->controller), msg->controller);
 	/*
 	 * The address is needed too: a host that has just started may receive
 	 * the controller before it has read the record.  Without the address it
 	 * could not report, and the controller would forget it and never send
 	 * it owners.
 	 */
-	if (w->self != NULL)
-		receive_host_addr(k, w->self, now);
-	if (!w->whole) {
-		receive_host_list(k, w, now);
-		site_receive_heartbeat(k, w, now);
-		term_version_announced(&k->term, now, w->record);
-		k->controller_overloaded = w->strained;
-		k->controller_fleet = w->fleet;
-		k->controller_quarantine = w->quarantine;
-		k->controller_follows = w->follows;
-		if (w->follows)
+	if (msg->self != NULL)
+		receive_host_addr(k, msg->self, now);
+	if (!msg->whole) {
+		receive_host_list(k, msg, now);
+		site_receive_heartbeat(k, msg, now);
+		term_version_announced(&k->term, now, msg->record);
+		k->controller_overloaded = msg->strained;
+		k->controller_fleet = msg->fleet;
+		k->controller_quarantine = msg->quarantine;
+		k->controller_follows = msg->follows;
+		if (msg->follows)
 			k->follower_heard = now;
 		else if (k->follower_heard > now - FOLLOW_HEAD_START)
 			/* The next heartbeat may say otherwise. */
 			k->follower_heard = now - FOLLOW_HEAD_START;
 	}
-	if (!w->whole || w->number < k->number)
+	if (!msg->whole || msg->number < k->number)
 		return;
-	if ((o = read_owners(k, w, now)) == NULL)
+	if ((o = read_owners(k, msg, now)) == NULL)
 		return;
-	if (w->since != 0)
-		o = apply_difference(k, o, w->since);
+	if (msg->since != 0)
+		o = apply_difference(k, o, msg->since);
 	if (o != NULL)
 		owners_publish(k, o);
 }
--- a/gspard/sitectl_relay.c
+++ b/gspard/sitectl_relay.c
@@ -95,14 +95,14 @@
 
 /* Handles the broadcast of a standby. */
 void
-relay_receive(struct sitectl *k, const Gspar__StoreNews *w, usec now)
+relay_receive(struct sitectl *k, const Gspar__StoreNews *msg, usec now)
 {
 	const struct site *site = sitectl_site(k);
 
-	if (k->acting || w->term < k->controller_term)
+	if (k->acting || msg->term < k->controller_term)
 		return;
 	k->follower_heard = now;
 	behind_announced(
-	    &k->behind, site == NULL ? 0 : site->version, w->site, 0, now);
-	fleet_receive_relay(k, w, now);
+	    &k->behind, site == NULL ? 0 : site->version, msg->site, 0, now);
+	fleet_receive_relay(k, msg, now);
 }
--- a/gspard/sitectl_report.c
+++ b/gspard/sitectl_report.c
@@ -27,7 +27,7 @@
 
 /* Encodes what the router has measured. */
 static void
-fill_report(Gspar__HostReport *w, const struct router_report *h,
+fill_report(Gspar__HostReport *msg, const struct router_report *h,
     Gspar__KeyHeat *keys, Gspar__KeyHeat **klist, Gspar__TargetLearnt *targets,
     Gspar__TargetLearnt **tlist, uint32_t *buf)
 {
@@ -55,10 +55,10 @@
 		targets[i].answers = (uint32_t)h->targets[i].answers;
 		targets[i].limit = limit_to_wire(h->targets[i].limit);
 	}
-	w->heat = klist;
-	w->n_heat = (size_t)h->nkeys;
-	w->targets = tlist;
-	w->n_targets = (size_t)h->ntargets;
+	msg->heat = klist;
+	msg->n_heat = (size_t)h->nkeys;
+	msg->targets = tlist;
+	msg->n_targets = (size_t)h->ntargets;
 }
 
 /* Sends this host's report to the controller. */
@@ -127,7 +127,7 @@
 /* Handles a host's report, as controller. */
 void
 report_receive(
-    struct sitectl *k, const char *host, const Gspar__HostReport *w, usec now)
+    struct sitectl *k, const char *host, const Gspar__HostReport *msg, usec now)
 {
 	uint16_t keys[HEAT_SAMPLE_MAX];
 	struct sitectl_host *h;
@@ -138,30 +138,31 @@
 
 	memset(&m, 0, sizeof(m));
 	name_copy(m.host, sizeof(m.host), host);
-	name_copy(m.addr, sizeof(m.addr), w->addr);
-	m.boot = w->boot;
-	sitectl_host_seen(k, &m, w->dc, w->stopping, now);
-	if (w->term != 0)
-		term_holder_follows(&k->term, now, &m, w->term);
+	name_copy(m.addr, sizeof(m.addr), msg->addr);
+	m.boot = msg->boot;
+	sitectl_host_seen(k, &m, msg->dc, msg->stopping, now);
+	if (msg->term != 0)
+		term_holder_follows(&k->term, now, &m, msg->term);
 	if ((h = sitectl_host(k, host)) != NULL) {
-		h->owners_reported = w->owners;
-		h->max_hosts = (int)w->bears;
-		h->store_reachable = w->store;
-		site_receive_report(k, h, w, now);
-		quarantine_receive_report(k, h, w, now);
+		h->owners_reported = msg->owners;
+		h->max_hosts = (int)msg->bears;
+		h->store_reachable = msg->store;
+		site_receive_report(k, h, msg, now);
+		quarantine_receive_report(k, h, msg, now);
 	}
 	if (k->acting)
-		fleet_check_host(k, host, w->fleet, now);
-	for (i = 0; i < w->n_heat; i++) {
-		ks = sitectl_keys(k, w->heat[i]->service);
-		for (n = 0; n < w->heat[i]->n_keys && n < HEAT_SAMPLE_MAX; n++)
-			keys[n] = (uint16_t)w->heat[i]->keys[n];
+		fleet_check_host(k, host, msg->fleet, now);
+	for (i = 0; i < msg->n_heat; i++) {
+		ks = sitectl_keys(k, msg->heat[i]->service);
+		for (n = 0; n < msg->heat[i]->n_keys && n < HEAT_SAMPLE_MAX;
+		     n++)
+			keys[n] = (uint16_t)msg->heat[i]->keys[n];
 		if (ks != NULL)
 			keys_add_load(
-			    ks, keys, (int)n, w->heat[i]->each / 1000.0, now);
+			    ks, keys, (int)n, msg->heat[i]->each / 1000.0, now);
 	}
-	for (i = 0; i < w->n_targets; i++) {
+	for (i = 0; i < msg->n_targets; i++) {
 		for (j = 0; j < k->nkeys; j++)
-			receive_target_report(k->keys[j], w->targets[i], now);
+			receive_target_report(k->keys[j], msg->targets[i], now);
 	}
 }
