--- a/gspard/sitectl_broadcast.c
+++ b/gspard/sitectl_broadcast.c
@@ -38,9 +38,9 @@
 		return (NULL);
 	o->number = owners_number(k);
 	/*
-	 * Hosts that were not heard recently count too: they may still send
-	 * although they are cut off, and the shares of a rate limit must not
-	 * add up to more than it.
+	 * Hosts that were not heard from recently count too: they may still
+	 * send although they are cut off, and the shares of a rate limit must
+	 * not add up to more than it.
 	 */
 	o->hosts = k->nhosts;
 	for (i = 0; i < k->nkeys; i++)
@@ -115,26 +115,26 @@
 
 /* Encodes one service's owners; returns -1 if memory runs out. */
 static int
-fill_service(Gspar__KeyOwners *w, const struct owner_service *s, usec now)
+fill_service(Gspar__KeyOwners *msg, const struct owner_service *s, usec now)
 {
 	int i;
 
-	gspar__key_owners__init(w);
-	w->service = (char *)s->name;
-	w->n_from = w->n_owner = w->n_state = (size_t)s->nranges;
-	w->n_to = w->n_from;
-	w->to = calloc((size_t)s->nranges + 1, sizeof(*w->to));
-	w->from = calloc((size_t)s->nranges + 1, sizeof(*w->from));
-	w->owner = calloc((size_t)s->nranges + 1, sizeof(*w->owner));
-	w->state = calloc((size_t)s->nranges + 1, sizeof(*w->state));
-	if (w->from == NULL || w->owner == NULL || w->state == NULL ||
-	    w->to == NULL)
+	gspar__key_owners__init(msg);
+	msg->service = (char *)s->name;
+	msg->n_from = msg->n_owner = msg->n_state = (size_t)s->nranges;
+	msg->n_to = msg->n_from;
+	msg->to = calloc((size_t)s->nranges + 1, sizeof(*msg->to));
+	msg->from = calloc((size_t)s->nranges + 1, sizeof(*msg->from));
+	msg->owner = calloc((size_t)s->nranges + 1, sizeof(*msg->owner));
+	msg->state = calloc((size_t)s->nranges + 1, sizeof(*msg->state));
+	if (msg->from == NULL || msg->owner == NULL || msg->state == NULL ||
+	    msg->to == NULL)
 		return (-1);
 	for (i = 0; i < s->nranges; i++) {
-		w->from[i] = s->ranges[i].from;
-		w->to[i] = s->ranges[i].to;
-		w->owner[i] = (uint32_t)(s->ranges[i].target + 1);
-		w->state[i] = range_state(&s->ranges[i], now);
+		msg->from[i] = s->ranges[i].from;
+		msg->to[i] = s->ranges[i].to;
+		msg->owner[i] = (uint32_t)(s->ranges[i].target + 1);
+		msg->state[i] = range_state(&s->ranges[i], now);
 	}
 	return (0);
 }
@@ -240,7 +240,7 @@
 	const struct conf *conf = kernel_conf(k->s->kernel);
 	Gspar__HostAddr hosts[SITECTL_HOSTS_MAX], *list[SITECTL_HOSTS_MAX];
 	Gspar__HostAddr self = GSPAR__HOST_ADDR__INIT;
-	const struct site *t = sitectl_site(k);
+	const struct site *site = sitectl_site(k);
 	const struct fleet *fleet = sitectl_fleet(k);
 	struct sitectl_host *h;
 	int i, late = term_renewal_late(&k->term, now);
@@ -267,7 +267,7 @@
 	w.term = k->term.rec.term;
 	w.number = owners_number(k);
 	w.controller = (char *)(k->resigned ? "" : conf->host);
-	w.site = t == NULL ? 0 : t->version;
+	w.site = site == NULL ? 0 : site->version;
 	w.site_told = k->site_pushed;
 	w.site_from = k->site_request ? k->site_source : "";
 	k->site_request = 0;
@@ -279,7 +279,7 @@
 	 */
 	w.follows = fleet != NULL && k->fresh && !late;
 	w.late = late;
-	w.strained = strained(sitectl_capacity(k), k->nhosts);
+	w.strained = is_overloaded(sitectl_capacity(k), k->nhosts);
 	/*
 	 * Also while targets come and go: changes are sent before the heartbeat
 	 * with their digest, on the same connection, so a host whose list still
@@ -299,7 +299,7 @@
 	}
 }
 
-/* Tells all hosts that this host is no longer the controller. */
+/* Informs all hosts that this host is no longer the controller. */
 void
 broadcast_resignation(struct sitectl *k, usec now)
 {
--- a/regress/scenario/site_doubt.lua
+++ b/regress/scenario/site_doubt.lua
@@ -24,15 +24,15 @@
 sleep_ms(400)
 s:fault("down=1")
 await("the store is away", 9000, function()
-	return count_logged(other, "Store does not answer for servers") > 0
+	return count_logged(other, "Reading servers from the store failed") > 0
 end)
 sleep_ms(2500)
 s:cut_store(other, true)
 s:fault("down=0")
 kill(s.hosts[first].pid, 18)
-local before = count_logged(other, "follows the store, heard")
+local before = count_logged(other, "Not following the store: controller")
 await("it hears of the store from the controller", 9000, function()
-	return count_logged(other, "follows the store, heard") > before
+	return count_logged(other, "Not following the store: controller") > before
 end)
 s:cut_store(other, false)
 sleep_ms(3000)
--- a/regress/scenario/site_large.lua
+++ b/regress/scenario/site_large.lua
@@ -41,13 +41,13 @@
 	end
 end
 
-local lost = logged("Following the store, no controller is heard")
+local lost = logged("Following the store; last heartbeat from controller")
 local routes = s:many_routes(ROUTES)
 grow(routes, "first")
 say("many more routes are in force")
 grow(routes, "second")
 say("one more route is in force")
-check(logged("Following the store, no controller is heard") == lost,
+check(logged("Following the store; last heartbeat from controller") == lost,
     "hosts lost contact with the controller")
 check(s:controller() == "h1", "control moved to another host")
 s:stop_all()
