--- a/gspard/door.c
+++ b/gspard/door.c
@@ -36,7 +36,7 @@
 	apr_thread_mutex_t *lock;
 	const struct door_ops *ops;
 	struct shared *active; /* catalogue or site configuration in use */
-	unsigned idle_timeout_s;
+	unsigned idle_limit_s;
 	struct slow *slow;
 	struct callers *callers;
 	int sock;
@@ -246,9 +246,9 @@
 		c->site = sh;
 	else
 		shared_unref(sh);
-	if (d->idle_timeout_s > 0)
+	if (d->idle_limit_s > 0)
 		MHD_set_connection_option(
-		    c->conn, MHD_CONNECTION_OPTION_TIMEOUT, d->idle_timeout_s);
+		    c->conn, MHD_CONNECTION_OPTION_TIMEOUT, d->idle_limit_s);
 	info = MHD_get_connection_info(
 	    c->conn, MHD_CONNECTION_INFO_CLIENT_ADDRESS);
 	if (c->caller[0] == '\0' && info != NULL &&
@@ -395,8 +395,8 @@
 	if (__atomic_load_n(&c->answered, __ATOMIC_ACQUIRE))
 		return (respond(d, c));
 	if (!c->head_parsed) {
-		if (d->ops->health_path != NULL &&
-		    strcmp(c->uri, d->ops->health_path) == 0)
+		if (d->ops->health_uri != NULL &&
+		    strcmp(c->uri, d->ops->health_uri) == 0)
 			return (answer_health(d, c));
 		parse_head(d, c, method);
 		if (c->refusal != GS_OK)
@@ -479,8 +479,8 @@
 		case MSG_SITE:
 			/* Rounded up: callers may reuse a connection until
 			 * the configured time is over. */
-			d->idle_timeout_s = (unsigned)((site_of(m)->idle_time +
-							   US_PER_SEC - 1) /
+			d->idle_limit_s = (unsigned)((site_of(m)->idle_time +
+							 US_PER_SEC - 1) /
 			    US_PER_SEC);
 			set_active(d, m);
 			break;
--- a/gspard/door_ops.h
+++ b/gspard/door_ops.h
@@ -17,7 +17,7 @@
 	/* Adds the headers of a target's answer. */
 	void (*target_headers)(struct MHD_Response *, const struct answer *);
 	/* Path of the load balancer's health check, or NULL for none. */
-	const char *health_path;
+	const char *health_uri;
 };
 
 extern const struct door_ops native_door;
