--- a/decide/keys.h
+++ b/decide/keys.h
@@ -44,9 +44,8 @@
 /* Outcome of an order that got no HTTP status. */
 #define ORDER_NO_REPLY 0  /* may be carried out, now or later */
 #define ORDER_NOT_SENT -1 /* no byte of it left this host */
-#define ORDER_NO_REPLY_NEW_CONN                                                \
-	-2 /* no reply on a connection opened for it                           \
-	    */
+/* No reply on a connection opened for it. */
+#define ORDER_NO_REPLY_NEW_CONN -2
 
 /* A grant or a release of keys, sent to a target. */
 struct key_order {
--- a/decide/once.c
+++ b/decide/once.c
@@ -70,7 +70,7 @@
  * value.
  *
  * A ticket below min_number may have been used and evicted, and one of another
- * table may have been used there.  Running it could bill a family twice, so
+ * table may have been used there.  Running it could repeat its effects, so
  * the caller gets the outcome "unknown".  A number from min_number on that is
  * not in the table was never used, as an entry is only overwritten once
  * min_number is above it.
--- a/decide/quarantine.c
+++ b/decide/quarantine.c
@@ -8,8 +8,9 @@
 #define ENDED_WITHIN MS(6000)
 /* Crashes further apart than this are not attributed to the same request. */
 #define CRASHES_WITHIN MS(600000)
-/* By then the target's software may have been fixed.  A content that has been
- * quarantined before is quarantined again after a single crash. */
+/* How long a content is quarantined; the target's software may be fixed
+ * meanwhile.  A content that has been quarantined before is quarantined again
+ * after a single crash. */
 #define QUARANTINE_FOR MS(3600000)
 /* Probation ends after this time without another crash. */
 #define PROBATION_FOR MS(60000)
--- a/decide/queue.h
+++ b/decide/queue.h
@@ -29,9 +29,10 @@
 	unsigned slots;
 	unsigned busy;
 	unsigned busy_long;
-	unsigned long_max;     /* slots that long jobs may use */
-	usec mean[2];	       /* run time, smoothed */
-	usec used_time[2];     /* slot time, shared equally between the two */
+	unsigned long_max; /* slots that long jobs may use */
+	usec mean[2];	   /* run time, smoothed */
+	/* Slot time given to short and to long jobs, kept equal. */
+	usec used_time[2];
 	uint64_t virtual_time; /* tag of the last job started */
 	struct {
 		uint64_t caller;
--- a/decide/stop_plan.c
+++ b/decide/stop_plan.c
@@ -1,7 +1,7 @@
 #include "stop_plan.h"
 
-/* By then the load balancer has taken the host out: it probes once a second and
- * acts on the second failed probe. */
+/* Time from the start of a stop until the load balancer sends the host no more
+ * requests: it probes once a second and acts on the second failed probe. */
 #define BALANCER_NOTICES MS(2600)
 /* The last sixth of the grace period is left for writing the last answers and
  * ending threads; the platform allows for targets that still work during it.
--- a/decide/term.c
+++ b/decide/term.c
@@ -451,9 +451,9 @@
 		return (PROMISE_NONE);
 	/*
 	 * This process never takes control again, so its promise can outlive
-	 * it. While the store is away no other standby can be named, and a
-	 * holder that lost this promise with the process would let all keys
-	 * lapse.
+	 * it. While the platform is unavailable no other standby can be named,
+	 * and a holder that lost this promise with the process would let all
+	 * keys lapse.
 	 */
 	if (t->leaving)
 		return (PROMISE_FINAL);
--- a/gspard/direct.c
+++ b/gspard/direct.c
@@ -30,7 +30,8 @@
 /* Size of the cache of connections to targets.  With libcurl's default, four
  * for each transfer, more than half of all requests opened a new one. */
 #define CONN_CACHE_SIZE 400
-/* Assumed number of hosts until it is known. */
+/* Number of hosts assumed until it is known, except for shares of rate limits
+ * (RATE_HOSTS_ASSUMED). */
 #define HOSTS_ASSUMED 12
 
 /* Inserts a request into the list, ordered by priority, then by arrival. */
--- a/gspard/direct_flow.c
+++ b/gspard/direct_flow.c
@@ -16,9 +16,10 @@
 /* Requests for the keys of a target that stays in backoff for longer are
  * refused. */
 #define BACKOFF_WAIT_MAX MS(200)
-/* Shortest retry delay that callers are given, and the part of their remaining
- * time beyond which they do not retry: the delay stays below a third of it. */
+/* Shortest retry delay given to callers. */
 #define RETRY_MIN_MS 40
+/* Callers do not retry if the delay exceeds this part (a third) of their
+ * remaining time: the delay stays below it. */
 #define RETRY_TIME_DIVISOR 3
 /* Retry delay with FEATURE_RETRY off. */
 #define RETRY_FIXED_MS 200
--- a/gspard/direct_pick.c
+++ b/gspard/direct_pick.c
@@ -14,7 +14,7 @@
 
 /* Interval at which limits of targets are updated. */
 #define LIMITS_INTERVAL MS(20)
-/* Assumed number of hosts in a shared rate limit until it is known. */
+/* Number of hosts assumed to share a rate limit until their number is known. */
 #define RATE_HOSTS_ASSUMED 512
 
 /* Returns a target's state by id, or NULL. */
--- a/gspard/direct_send.c
+++ b/gspard/direct_send.c
@@ -117,7 +117,7 @@
 	return (0);
 }
 
-/* Frees a request's attempt, if any; one in flight is cut. */
+/* Frees a request's attempt, if any; aborts one in flight. */
 void
 attempt_drop(struct direct *d, struct pending *p)
 {
--- a/gspard/dispatch.c
+++ b/gspard/dispatch.c
@@ -119,7 +119,7 @@
 		if (strcmp(t->cell, c->name) != 0)
 			continue;
 		target_apply_view(t, v, current_view(c));
-		run_process_queue(s, t, now);
+		run_send_queued(s, t, now);
 		target_tick(s, t, now);
 	}
 	d->report_due = 1;
@@ -383,7 +383,7 @@
 		target_update_wanted(t);
 		target_tick(s, t, now);
 		runs_resend(s, t, now);
-		run_process_queue(s, t, now);
+		run_send_queued(s, t, now);
 	}
 	release_targets(s);
 	if (d->report_due || now - d->last_report >= REPORT_INTERVAL)
--- a/gspard/dispatch.h
+++ b/gspard/dispatch.h
@@ -145,7 +145,7 @@
 void run_cancel(
     struct service *, const char *host, uint64_t conn, uint64_t corr, usec now);
 void run_peer_down(struct service *, const char *host, uint64_t conn, usec now);
-void run_process_queue(struct service *, struct target *, usec now);
+void run_send_queued(struct service *, struct target *, usec now);
 void run_flush(struct service *, struct target *, int code, usec now);
 void run_free(struct service *, struct run *);
 int run_match_any(const struct job *, void *);
--- a/gspard/gspard.c
+++ b/gspard/gspard.c
@@ -84,11 +84,12 @@
 		fprintf(stderr, "%s: %s\n", name, what);
 }
 
-/* The services in start order, for the native platform interface ... */
+/* Services in start order with FORM_NATIVE. */
 static const struct service_ops *const native_services[] = {&platform_service,
     &peer_service, &dispatch_service, &control_service, &router_service,
     &door_service, &admin_service, NULL};
-/* ... and for a platform of objects, where hosts send to targets directly. */
+/* Services in start order with FORM_OBJECTS, where hosts send to targets
+ * directly. */
 static const struct service_ops *const objects_services[] = {&platform_service,
     &peer_service, &sitectl_service, &direct_service, &door_service,
     &watch_service, &probe_service, NULL};
@@ -307,7 +308,7 @@
 	if (kernel_start(k) != 0)
 		goto quit;
 	event_add("kernel", 0, "started");
-	log_line(LOG_NOTICE, "kernel", "Started in %s.", conf.dc);
+	log_line(LOG_NOTICE, "kernel", "Started in data centre %s.", conf.dc);
 	wait_for_stop(k, &set);
 	if (conf.form == FORM_OBJECTS)
 		stop_objects(k);
--- a/gspard/peer.c
+++ b/gspard/peer.c
@@ -477,7 +477,7 @@
 	struct peer *p = s->state;
 	const apr_pollfd_t *d;
 	apr_int32_t i, n;
-	usec now, swept = 0;
+	usec now, last_sweep = 0;
 
 	while (!p->stop) {
 		n = 0;
@@ -486,9 +486,9 @@
 		for (i = 0; i < n; i++)
 			handle_ready(s, &d[i], now);
 		handle_messages(s, now);
-		if (n > 0 || now - swept >= TICK_INTERVAL) {
+		if (n > 0 || now - last_sweep >= TICK_INTERVAL) {
 			sweep(s, now);
-			swept = now;
+			last_sweep = now;
 		}
 	}
 	flush(p, clock_mono());
--- a/gspard/platform.c
+++ b/gspard/platform.c
@@ -10,13 +10,13 @@
 #include "store.h"
 #include "transfer.h"
 
-/* Timeout of a call; a later answer is of no use to any lease. */
+/* Timeout of a call; an answer that comes later is too late for any lease. */
 #define CALL_TIMEOUT_MS 1500
 /*
  * Lists and changes may be large: their timeout is longer while bytes arrive,
  * and CALL_TIMEOUT_MS applies to gaps between these.  With CALL_TIMEOUT_MS for
- * the whole answer, a link that needs longer than that for 750 KB never gets
- * it, as each read is given up most of the way.
+ * the whole answer, a link that needs longer than that for 750 KB would
+ * never complete a read, as each is given up most of the way.
  */
 #define LARGE_TIMEOUT_MS 10000
 /* Longest wait for events, without large calls in flight and with. */
@@ -192,7 +192,7 @@
 		switch_address(s, c);
 	}
 	st->duration = clock_mono() - c->sent;
-	/* The time of a watch says nothing: the store waits for changes. */
+	/* Not for a watch, in which the store waits for changes. */
 	if (st->wait_ms == 0)
 		hist_add(H_STORE, st->duration);
 	st->status = (int)status;
--- a/gspard/run.c
+++ b/gspard/run.c
@@ -227,7 +227,7 @@
 		r->ticket = ticket;
 		once_begin(&t->once, ticket, r);
 	}
-	run_process_queue(s, t, now);
+	run_send_queued(s, t, now);
 }
 
 /* Handles a request frame, and takes the frame over. */
@@ -305,7 +305,7 @@
  * or whose shard has moved; all of them if the host's lease has lapsed.
  */
 void
-run_process_queue(struct service *s, struct target *t, usec now)
+run_send_queued(struct service *s, struct target *t, usec now)
 {
 	struct dispatch *d = s->state;
 	struct dispatch_cell *c = dispatch_cell(d, t->cell);
--- a/gspard/send.c
+++ b/gspard/send.c
@@ -371,6 +371,6 @@
 		finish_answered(s, r, status);
 	if (t->nmoving > 0)
 		target_update_wanted(t);
-	run_process_queue(s, t, now);
+	run_send_queued(s, t, now);
 	target_tick(s, t, now);
 }
--- a/gspard/sitectl.h
+++ b/gspard/sitectl.h
@@ -135,7 +135,8 @@
 	struct pace site_pace;	   /* of copies that hosts requested */
 	int site_pushed;	   /* was small enough to be pushed */
 	int site_request; /* request it with the next report or heartbeat */
-	char site_source[NAME_MAX_GS];	      /* a host that has a newer one */
+	/* A host that has a newer configuration. */
+	char site_source[NAME_MAX_GS];
 	struct router_report *pending_report; /* from the router, to be sent */
 
 	/* Requests that crash targets: what was seen, what is quarantined. */
--- a/gspard/sitectl_fleet.c
+++ b/gspard/sitectl_fleet.c
@@ -21,14 +21,14 @@
  * for additions and removals, so the same index is tried first.
  */
 static const struct fleet_target *
-find_target(const struct fleet *f, const char *id, int place)
+find_target(const struct fleet *f, const char *id, int hint)
 {
 	int i;
 
 	if (f == NULL)
 		return (NULL);
-	if (place < f->ntargets && strcmp(f->targets[place].id, id) == 0)
-		return (&f->targets[place]);
+	if (hint < f->ntargets && strcmp(f->targets[hint].id, id) == 0)
+		return (&f->targets[hint]);
 	for (i = 0; i < f->ntargets; i++) {
 		if (strcmp(f->targets[i].id, id) == 0)
 			return (&f->targets[i]);
--- a/gspard/sitectl_receive.c
+++ b/gspard/sitectl_receive.c
@@ -108,8 +108,8 @@
 
 /*
  * Updates the list of hosts.  The controller sends it when it changes; in
- * between, each heartbeat confirms the last one.  Expired instead, it would
- * give all hosts the same rank, and with it the same turn at limited targets.
+ * between, each heartbeat confirms the last one.  If it expired, all hosts
+ * would have the same rank, and with it the same turn at limited targets.
  */
 static void
 receive_host_list(struct sitectl *k, const Gspar__Owners *msg, usec now)
@@ -154,7 +154,7 @@
 		k->controller_heard = now;
 	name_copy(k->controller, sizeof(k->controller), msg->controller);
 	/*
-	 * The address is needed too: a host that has just started may receive
+	 * The address is needed too: a host that has just started may learn of
 	 * the controller before it has read the record.  Without the address it
 	 * could not report, and the controller would forget it and never send
 	 * it owners.
--- a/gspard/target.c
+++ b/gspard/target.c
@@ -120,7 +120,7 @@
 	return (t);
 }
 
-/* Frees a short call; one in flight is cut. */
+/* Frees a short call; aborts one in flight. */
 static void
 target_call_free(struct service *s, struct target_call *n)
 {
@@ -327,8 +327,8 @@
 	enum grant_step step;
 	int64_t until = 0;
 
-	/* Without a view of this duty's epoch, the shards may be granted to
-	 * another target. */
+	/* Grants nothing until a view of at least min_view has arrived: by an
+	 * older one, shards may be granted here that another target owns. */
 	step = grant_next(&t->grant, now,
 	    t->view >= t->min_view && t->view != 0 ? c->lease_until : 0,
 	    &until);
@@ -397,6 +397,6 @@
 out:
 	json_decref(o);
 	target_call_free(s, n);
-	run_process_queue(s, t, now);
+	run_send_queued(s, t, now);
 	target_tick(s, t, now);
 }
--- a/gspard/watch.c
+++ b/gspard/watch.c
@@ -422,7 +422,8 @@
 		if (!is_followed(s, i) ||
 		    (w->from_controller && !w->feeds[i].listing))
 			continue;
-		/* While the store fails, only the first kind probes it. */
+		/* While the store fails, only the first feed retries; the
+		 * others that failed wait for it. */
 		if (i > 0 && w->feeds[0].backoff != 0 &&
 		    w->feeds[i].backoff != 0)
 			continue;
@@ -436,8 +437,9 @@
  * Resets the record of store failures when the controller begins to follow the
  * store for this host: the store answers the controller, even if it did not
  * answer this host.  Otherwise this host, if it takes control minutes later,
- * would assume that the store has just come back, doubt each removed entry, and
- * let all hosts use a target for two seconds longer than allowed.
+ * would assume that the store has just come back, treat each removed entry as
+ * possibly lost by the store, and let all hosts use a target for two seconds
+ * longer than allowed.
  */
 static void
 reset_failures(struct watch *w, usec now)
