--- a/decide/cell.h
+++ b/decide/cell.h
@@ -18,7 +18,7 @@
 #define CELL_SERVICES 16
 #define CELL_TARGETS 512
 #define CELL_HOSTS 128
-/* Index of a host or target where there is none. */
+/* Stands for no host or target where an index is expected. */
 #define CELL_NONE (-1)
 
 /* One process of a host, as the controller knows it. */
--- a/decide/cell_host.c
+++ b/decide/cell_host.c
@@ -222,7 +222,9 @@
 		t->handover = 0;
 		t->reported = 0;
 		t->confirmed = 0;
-		/* Its last grant to the target may not have lapsed yet. */
+		/*
+		 * The host's last grant to the target may not have lapsed yet.
+		 */
 		t->grants_lapse_at =
 		    lease_granter_end(now, c->times.host_lease);
 	}
--- a/decide/grant.c
+++ b/decide/grant.c
@@ -149,10 +149,10 @@
 }
 
 /*
- * Handles a message that was not answered.  The grant in it may be valid all
- * the same, and may arrive after later ones.  Until it has lapsed, no release
- * of shards is certain: a server that does not check the order of grants would
- * accept the older set again.
+ * Handles a message that was not answered.  The grant in it may still be valid,
+ * and may arrive after later ones.  Until it has lapsed, no release of shards
+ * is certain: a target that does not check the order of grants would accept the
+ * older set of shards again.
  */
 void
 grant_failed(struct grant *g, usec now)
--- a/decide/keys.h
+++ b/decide/keys.h
@@ -163,7 +163,7 @@
 	uint64_t write_seq;  /* of the last write sent */
 	uint64_t stored_seq; /* of the last write known to be stored */
 	int put_pending;
-	int put_unknown;
+	int put_unknown; /* whether the write took effect is unknown */
 	char *put_text;
 	uint64_t base_version;
 	int dirty; /* a change is not written yet */
--- a/decide/membership.c
+++ b/decide/membership.c
@@ -244,7 +244,7 @@
 
 /*
  * Adopts targets and evacuations received from the controller.  The controller
- * is trusted even where this host would doubt that a target is gone; targets
+ * is trusted even if this host would doubt that a target is gone; targets
  * that are missing from a complete list are gone.
  */
 void
--- a/decide/pace.c
+++ b/decide/pace.c
@@ -16,7 +16,7 @@
  * is for callers.
  */
 #define REQUESTED_SHARE 0.25
-/* Assumed link speed where none is configured, in Mbit/s. */
+/* Assumed link speed if none is configured, in Mbit/s. */
 #define LINK_DEFAULT_MBPS 100.0
 
 /* Returns the bytes per second of a link. */
--- a/decide/site.c
+++ b/decide/site.c
@@ -46,7 +46,7 @@
 	return (&site->rules[site->nrules++]);
 }
 
-/* Compares hosts in the order of rules, ignoring case. */
+/* Compares host names, ignoring case; rules are sorted by them. */
 static int
 host_cmp(const struct str *a, const struct str *b)
 {
--- a/decide/term.c
+++ b/decide/term.c
@@ -98,7 +98,7 @@
 }
 
 /*
- * Finds the promise of a standby, or adds one; drops the oldest where the table
+ * Finds the promise of a standby, or adds one; drops the oldest if the table
  * is full.
  */
 static struct promise *
@@ -287,8 +287,8 @@
 }
 
 /*
- * Stores the record just read and since when it has been unchanged; r is NULL
- * where there is none.
+ * Stores the record just read, and the time since which it has been unchanged;
+ * r is NULL if there is no record.
  */
 static void
 update_record(
@@ -330,7 +330,7 @@
 		t->next_get = now + bootstrap_timeout(t);
 }
 
-/* Takes the result of a read; found is 0 where there is no record. */
+/* Takes the result of a read; found is 0 if there is no record. */
 void
 term_get_done(struct term *t, usec now, int found, uint64_t version,
     const struct control_record *r)
@@ -560,9 +560,10 @@
 }
 
 /*
- * Takes the term that a process follows. If the process is the holder that
- * control was taken from, and it follows this host's term, it grants nothing
- * more under its own, so its remaining promises need not be waited for.
+ * Handles a report of the term that a process follows. If the process is the
+ * holder that control was taken from, and it follows this host's term, it
+ * grants nothing more under its own term, so its remaining promises need not be
+ * waited for.
  */
 void
 term_holder_follows(
--- a/decide/term.h
+++ b/decide/term.h
@@ -99,7 +99,7 @@
 
 	/* The one write that may be pending or of unknown outcome. */
 	int put_pending;
-	int put_unknown;
+	int put_unknown; /* whether it took effect is unknown until a read */
 	struct control_record put_rec;
 	uint64_t base_version;
 	usec put_sent;
--- a/gspard/call.h
+++ b/gspard/call.h
@@ -53,7 +53,7 @@
 	const struct rule *rule;
 	struct str headers; /* forwarded to the target; lines end in CRLF */
 	char id[128];	    /* request id given by the caller */
-	int key_number;	    /* of a keyed service; -1: none */
+	int key_number; /* shard key, used if the service is keyed; -1: none */
 	struct answer answer;
 };
 
--- a/gspard/callers.c
+++ b/gspard/callers.c
@@ -23,7 +23,7 @@
 	struct caller *first;
 };
 
-/* Returns an empty list that uses the door's lock; NULL where memory is
+/* Returns an empty list that uses the door's lock; NULL if memory is
  * exhausted. */
 struct callers *
 callers_new(apr_thread_mutex_t *lock)
@@ -97,7 +97,7 @@
 
 /*
  * Records that a request on a connection begins or has been answered.  True
- * where callers_end_idle() has ended the connection just before the request
+ * if callers_end_idle() has ended the connection just before the request
  * arrived: an end of file on it then doesn't mean that the caller has left.
  */
 int
@@ -119,7 +119,7 @@
 	return (ended);
 }
 
-/* True where bytes of a request are waiting to be read. */
+/* True if bytes of a request are waiting to be read. */
 static int
 has_bytes(const struct caller *c)
 {
--- a/gspard/control.c
+++ b/gspard/control.c
@@ -199,7 +199,7 @@
 		local_cell_handle_frame(cell, m, now);
 }
 
-/* Handles the outcome of a platform call. */
+/* Handles the outcome of a store call. */
 static void
 handle_store_done(struct service *s, struct store *st, usec now)
 {
--- a/gspard/ctl_catalogue.c
+++ b/gspard/ctl_catalogue.c
@@ -226,7 +226,7 @@
 	}
 }
 
-/* Handles the outcome of a platform call for the catalogue. */
+/* Handles the outcome of a store call for the catalogue. */
 void
 catalogue_store_done(struct service *s, const struct store *st, usec now)
 {
--- a/gspard/ctl_cell.c
+++ b/gspard/ctl_cell.c
@@ -1,5 +1,5 @@
 /*
- * One cell on this host: connects messages and platform calls to the decisions
+ * One cell on this host: connects messages and store calls to the decisions
  * in decide/.
  */
 #include <stdio.h>
--- a/gspard/ctl_store.c
+++ b/gspard/ctl_store.c
@@ -6,7 +6,7 @@
 #include "control.h"
 #include "record.h"
 
-/* Returns a platform call for the cell's control record. */
+/* Returns a store call for the cell's control record. */
 static struct store *
 record_store(const struct local_cell *c, enum store_op op)
 {
@@ -19,7 +19,7 @@
 	return (st);
 }
 
-/* Returns a platform call for a service's assignment in the cell. */
+/* Returns a store call for a service's assignment in the cell. */
 static struct store *
 assignment_store(
     const struct local_cell *c, enum store_op op, const char *service)
@@ -111,7 +111,7 @@
 		term_get_failed(&c->term, now);
 }
 
-/* Handles the outcome of a platform call for this cell. */
+/* Handles the outcome of a store call for this cell. */
 void
 local_cell_store_done(struct local_cell *c, const struct store *st, usec now)
 {
--- a/gspard/direct.c
+++ b/gspard/direct.c
@@ -54,7 +54,7 @@
 		d->last = p;
 }
 
-/* Refuses a call that did not become a request; retry_ms is 0 where the time of
+/* Refuses a call that did not become a request; retry_ms is 0 if the time of
  * a retry is unknown. */
 static void
 refuse_call(struct call *c, int code, uint32_t retry_ms)
--- a/gspard/direct_crash.c
+++ b/gspard/direct_crash.c
@@ -26,7 +26,7 @@
 	return (d->quarantine == NULL ? NULL : d->quarantine->p);
 }
 
-/* True where a content is on probation. */
+/* True if a content is on probation. */
 static int
 on_probation(const struct direct *d, uint64_t digest, usec now)
 {
@@ -84,7 +84,7 @@
 	}
 }
 
-/* True where this host has an attempt with the content in flight. */
+/* True if this host has an attempt with the content in flight. */
 static int
 is_running(const struct direct *d, uint64_t digest)
 {
@@ -98,7 +98,7 @@
 }
 
 /*
- * True where the content of a request permits a run; else sets the retry delay.
+ * True if the content of a request permits a run; else sets the retry delay.
  * On probation one host runs it, one at a time, so that a crash has one
  * possible cause.
  */
--- a/gspard/direct_flow.c
+++ b/gspard/direct_flow.c
@@ -184,10 +184,10 @@
 }
 
 /*
- * Queues a request until a target can take it, or refuses it at once where it
+ * Queues a request until a target can take it, or refuses it at once if it
  * could not finish in time: its caller may still be served by another host, and
  * requests that are bound to be late must not delay the others.  The target is
- * NULL where any of the service will do.
+ * NULL if any of the service will do.
  */
 static void
 queue_or_refuse(struct direct *d, struct pending *p, struct target_state *s,
@@ -280,7 +280,7 @@
 		queue_or_refuse(d, p, s, &s->queue, now);
 }
 
-/* True where a service has a target that is not closed. */
+/* True if the service has a target that is not closed. */
 static int
 has_targets(const struct direct *d, const struct service_state *v, usec now)
 {
--- a/gspard/direct_outcome.c
+++ b/gspard/direct_outcome.c
@@ -38,7 +38,7 @@
 
 /* Returns what the end of an attempt says about its target. */
 static enum dest_end
-target_end(const struct attempt *a, CURLcode res, enum reply_kind kind)
+attempt_dest_end(const struct attempt *a, CURLcode res, enum reply_kind kind)
 {
 	if (!a->t.maybe_sent)
 		return (DEST_UNREACHED);
@@ -70,7 +70,7 @@
 	    AVG_TIME_GAIN * ((double)(now - a->sent) - p->svc->avg_time);
 }
 
-/* True where a request that may have run may be retried. */
+/* True if a request that may have run may be retried. */
 static int
 may_retry(const struct pending *p, usec now)
 {
@@ -80,7 +80,7 @@
 	    budget_withdraw(&p->svc->retry_budget));
 }
 
-/* True where a request that is known not to have run may be retried. */
+/* True if a request that is known not to have run may be retried. */
 static int
 may_resend(const struct pending *p, int arrived, usec now)
 {
@@ -232,7 +232,7 @@
 
 	if (res == CURLE_OK)
 		kind = d->ops->kind(&a->t.reply, p->call);
-	update_stats(p, target_end(a, res, kind), now);
+	update_stats(p, attempt_dest_end(a, res, kind), now);
 	update_target(d, p, res, kind, now);
 	if (!a->t.maybe_sent)
 		unreached(d, p, res, now);
--- a/gspard/direct_pick.c
+++ b/gspard/direct_pick.c
@@ -36,7 +36,7 @@
 
 /*
  * Returns when a target stops getting requests because its data centre is
- * evacuated: at once, or after half of the evacuation bound where it owns keys,
+ * evacuated: at once, or after half of the evacuation bound if it owns keys,
  * which are moved first.
  */
 static usec
@@ -159,7 +159,7 @@
 	}
 }
 
-/* Returns the state of a service, which is created if missing; NULL where the
+/* Returns the state of a service, which is created if missing; NULL if the
  * table is full. */
 struct service_state *
 service_state_get(struct direct *d, const char *name)
@@ -184,7 +184,7 @@
 }
 
 /* Returns the statistics of a rule, which are created if missing and replace
- * another rule's where all of its slots are taken. */
+ * another rule's if all of its slots are taken. */
 struct rule_stats *
 rule_stats_get(struct direct *d, const struct rule *r)
 {
@@ -207,7 +207,7 @@
 }
 
 /* Returns the target of a service that is expected to answer soonest, or NULL
- * where all are full.  The cost of the one that this request was sent to before
+ * if all are full.  The cost of the one that this request was sent to before
  * is multiplied, so that a retry prefers another. */
 struct target_state *
 pick_target(struct direct *d, const struct pending *p, usec now)
--- a/gspard/direct_send.c
+++ b/gspard/direct_send.c
@@ -89,7 +89,7 @@
 		curl_easy_setopt(a->t.easy, CURLOPT_FRESH_CONNECT, 1L);
 }
 
-/* Starts an attempt of a request; 0, or -1 where memory is exhausted. */
+/* Starts an attempt of a request; 0, or -1 if memory is exhausted. */
 int
 attempt_start(
     struct direct *d, struct pending *p, struct target_state *target, usec now)
--- a/gspard/msg.c
+++ b/gspard/msg.c
@@ -180,7 +180,7 @@
 	m->data = NULL;
 }
 
-/* Allocates a platform call for store_send(); NULL if out of memory. */
+/* Allocates a store call for store_send(); NULL if out of memory. */
 struct store *
 store_new(enum store_op op, const char *reply_to, const char *path)
 {
@@ -195,7 +195,7 @@
 	return (s);
 }
 
-/* Frees a platform call. */
+/* Frees a store call. */
 void
 store_free(void *arg)
 {
@@ -207,7 +207,7 @@
 	free(s);
 }
 
-/* Sends a platform call; if the ring is full, it ends as one without answer. */
+/* Sends a store call; if the ring is full, it ends as one without answer. */
 void
 store_send(struct kernel *k, struct store *s)
 {
--- a/gspard/platform.c
+++ b/gspard/platform.c
@@ -249,7 +249,7 @@
 	}
 }
 
-/* True where no byte has arrived for too long; the answer to a watch may begin
+/* True if no byte has arrived for too long; the answer to a watch may begin
  * late. */
 static int
 is_stalled(const struct store_call *c, usec now)
--- a/gspard/router_report.c
+++ b/gspard/router_report.c
@@ -6,7 +6,7 @@
 
 #define TARGETS_MAX 1024
 
-/* Returns an empty report with capacity for a number of services; NULL where
+/* Returns an empty report with capacity for a number of services; NULL if
  * memory is exhausted. */
 struct router_report *
 router_report_new(int services)
--- a/gspard/sitectl.h
+++ b/gspard/sitectl.h
@@ -152,7 +152,7 @@
 	int quarantine_known;	/* as controller: the stored list was read */
 	uint64_t quarantine_version;
 	uint64_t quarantine_stored; /* checksum of the stored list */
-	usec quarantine_next;
+	usec quarantine_next_call;
 
 	/* The owners of keys, as last published on this host. */
 	struct shared *owners;
--- a/gspard/sitectl_quarantine.c
+++ b/gspard/sitectl_quarantine.c
@@ -332,7 +332,7 @@
 	struct store *st = store_new(op, "control", QUARANTINE_PATH);
 	struct quarantine_list l;
 
-	k->quarantine_next = now + READ_INTERVAL;
+	k->quarantine_next_call = now + READ_INTERVAL;
 	if (st == NULL)
 		return;
 	name_copy(st->tag, sizeof(st->tag), QUARANTINE_TAG);
@@ -368,7 +368,7 @@
 	refresh(k, now);
 	if (!k->acting)
 		k->quarantine_known = 0;
-	if (k->quarantine_pending || now < k->quarantine_next)
+	if (k->quarantine_pending || now < k->quarantine_next_call)
 		return;
 	if (!k->acting && k->following)
 		call_store(k, STORE_GET, now);
--- a/gspard/slow.c
+++ b/gspard/slow.c
@@ -22,7 +22,7 @@
 	struct call *first;
 };
 
-/* Returns an empty list that uses the door's lock; NULL where memory is
+/* Returns an empty list that uses the door's lock; NULL if memory is
  * exhausted. */
 struct slow *
 slow_new(apr_thread_mutex_t *lock)
@@ -68,7 +68,7 @@
 }
 
 /*
- * Claims a call for its regular answer; 0 where the timeout has been answered
+ * Claims a call for its regular answer; 0 if the timeout has been answered
  * already.  Without this, both answers could be written to the connection,
  * mixed with each other.
  */
@@ -82,7 +82,7 @@
 	    was == CLAIMED);
 }
 
-/* True where the call is neither claimed nor timed out. */
+/* True if the call is neither claimed nor timed out. */
 int
 slow_is_reading(const struct call *c)
 {
--- a/gspard/slow.h
+++ b/gspard/slow.h
@@ -6,6 +6,7 @@
 
 #include "call.h"
 
+/* The calls whose requests are being read or answered, slow or not. */
 struct slow;
 
 struct slow *slow_new(apr_thread_mutex_t *);
--- a/gspard/target.c
+++ b/gspard/target.c
@@ -41,7 +41,7 @@
 	free(b);
 }
 
-/* Copies the target's settings from the catalogue; 0, or -1 where the catalogue
+/* Copies the target's settings from the catalogue; 0, or -1 if the catalogue
  * does not have it. */
 int
 target_configure(struct dispatch *d, struct target *t)
@@ -76,7 +76,7 @@
 	return (-1);
 }
 
-/* Starts to dispatch for a target; NULL where memory is exhausted or this
+/* Starts to dispatch for a target; NULL if memory is exhausted or this
  * host's catalogue does not have the target. */
 struct target *
 target_new(struct service *s, const char *name, const struct dispatch_cell *c,
--- a/gspard/target_ops.h
+++ b/gspard/target_ops.h
@@ -24,7 +24,7 @@
 	int not_run;		    /* the target states that it did not run */
 	struct load load;
 	double limit; /* of the target, in requests a second from all hosts;
-			 negative where it names none */
+			 negative if it names none */
 	int closes;   /* the target closes the connection */
 };
 
--- a/gspard/transfer.c
+++ b/gspard/transfer.c
@@ -41,7 +41,7 @@
 	return (CURL_SOCKOPT_OK);
 }
 
-/* Appends received bytes to the answer's body, or discards them where the body
+/* Appends received bytes to the answer's body, or discards them if the body
  * is not wanted. */
 static size_t
 on_body(char *p, size_t size, size_t n, void *arg)
@@ -57,7 +57,8 @@
 	return (str_add(&t->reply.body, p, size * n) == 0 ? size * n : 0);
 }
 
-/* Passes a header line of the answer to the kind of target. */
+/* Passes a header line of the answer to the operations for this kind of target.
+ */
 static size_t
 on_header(char *p, size_t size, size_t n, void *arg)
 {
@@ -90,7 +91,8 @@
 
 /* Sets the options that all transfers to targets share. */
 void
-transfer_set_options(struct transfer *t, const char *url, long connect_ms)
+transfer_set_options(
+    struct transfer *t, const char *url, long connect_timeout_ms)
 {
 	t->reply.limit = -1;
 	curl_easy_setopt(t->easy, CURLOPT_URL, url);
@@ -98,7 +100,8 @@
 	curl_easy_setopt(t->easy, CURLOPT_HTTP_VERSION, CURL_HTTP_VERSION_1_1);
 	curl_easy_setopt(t->easy, CURLOPT_PROTOCOLS_STR, "http");
 	curl_easy_setopt(t->easy, CURLOPT_PROXY, "");
-	curl_easy_setopt(t->easy, CURLOPT_CONNECTTIMEOUT_MS, connect_ms);
+	curl_easy_setopt(
+	    t->easy, CURLOPT_CONNECTTIMEOUT_MS, connect_timeout_ms);
 	curl_easy_setopt(t->easy, CURLOPT_HTTPHEADER, t->headers);
 	curl_easy_setopt(
 	    t->easy, CURLOPT_SOCKOPTFUNCTION, transfer_set_keepalive);
--- a/gspard/watch.c
+++ b/gspard/watch.c
@@ -77,7 +77,7 @@
 	membership_entry_put(&w->membership, &t, now);
 }
 
-/* Handles one evacuation; since is 0 where its start is unknown. */
+/* Handles one evacuation; since is 0 if its start is unknown. */
 static void
 handle_evacuation(struct watch *w, const struct store_item *f, int listing,
     usec since, usec now)
@@ -94,7 +94,7 @@
 		    EVACUATIONS_MAX, f->name);
 }
 
-/* Handles changes of evacuations; since is when they began, or 0 where it is
+/* Handles changes of evacuations; since is when they began, or 0 if it is
  * unknown. */
 static void
 handle_evacuations(
@@ -166,7 +166,7 @@
 	}
 }
 
-/* True where a kind of object is followed at all. */
+/* True if a kind of object is followed at all. */
 static int
 is_followed(const struct service *s, int kind)
 {
--- a/standin/caller.c
+++ b/standin/caller.c
@@ -25,12 +25,12 @@
 #define TRIES_MAX 20
 
 enum outcome {
-	OUTCOME_OK,
-	OUTCOME_NOT_RUN,
-	OUTCOME_UNKNOWN,
-	OUTCOME_BAD,
-	OUTCOME_WRONG,
-	OUTCOME_LOST,
+	OUTCOME_OK,	 /* the expected answer */
+	OUTCOME_NOT_RUN, /* an error that says the request was not run */
+	OUTCOME_UNKNOWN, /* an error that doesn't say so */
+	OUTCOME_BAD,	 /* an error code below 200 */
+	OUTCOME_WRONG,	 /* no error, but not the expected answer */
+	OUTCOME_LOST,	 /* no complete answer */
 	OUTCOME_N
 };
 static const char *const outcome_names[OUTCOME_N] = {
