--- a/gspard/sitectl.h
+++ b/gspard/sitectl.h
@@ -102,9 +102,8 @@
 	const struct target_ops *ops;
 	struct term term;
 	uint64_t promise_seq;
-	usec
-	    promise_requested_at[SITECTL_PROMISES_MAX]; /* of promise requests,
-							   by sequence number */
+	/* When promise requests were sent, by sequence number. */
+	usec promise_requested_at[SITECTL_PROMISES_MAX];
 	char controller[NAME_MAX_GS];
 	uint64_t controller_term;
 	usec controller_heard;	   /* its last heartbeat */
--- a/regress/unit/t_membership.c
+++ b/regress/unit/t_membership.c
@@ -307,4 +307,4 @@
     {"invalid entry", invalid_entry},
     {"digest", digest},
 };
-UNIT_MAIN("known", tests)
+UNIT_MAIN("membership", tests)
--- a/regress/unit/t_membership_size.c
+++ b/regress/unit/t_membership_size.c
@@ -64,4 +64,4 @@
 }
 
 static const struct unit_test tests[] = {{"linear time", linear_time}};
-UNIT_MAIN("known_size", tests)
+UNIT_MAIN("membership_size", tests)
--- a/regress/unit/t_stop_plan.c
+++ b/regress/unit/t_stop_plan.c
@@ -57,4 +57,4 @@
     {"kept connection", kept_connection},
     {"order", order},
 };
-UNIT_MAIN("leave", tests)
+UNIT_MAIN("stop_plan", tests)
--- a/regress/unit/t_superseded.c
+++ b/regress/unit/t_superseded.c
@@ -43,4 +43,4 @@
     {"frequent changes", frequent_changes},
     {"no change yet", no_change_yet},
 };
-UNIT_MAIN("lately", tests)
+UNIT_MAIN("superseded", tests)
